--- a/sprucewinch/gateway/model.py
+++ b/sprucewinch/gateway/model.py
@@ -163,9 +163,7 @@
     """Figures that the fleet has to keep together.
 
     Args:
-        contact_s: Silence after which a machine counts as out of touch, in seconds.
         grace_s: Time from the order to stop until the process is killed, in seconds.
-        drain_s: Time within which a leaving backend server gets no more requests, in seconds.
         lookup_ttl_s: Longest time that callers keep a look-up answer, in seconds.
         shift_cap: Most callers of a region that may change region from one window to the next.
         retry_ratio: Repeats allowed for each request, over all machines.
@@ -175,9 +173,7 @@
         cold_slack: Requests beyond that factor in one second.
     """
 
-    contact_s: float = 3.0
     grace_s: float = 6.0
-    drain_s: float = 2.0
     lookup_ttl_s: float = 5.0
     shift_cap: float = 0.15
     retry_ratio: float = 0.2
--- a/sprucewinch/gateway/outliers.py
+++ b/sprucewinch/gateway/outliers.py
@@ -59,12 +59,11 @@
 class Record:
     """What speaks for and against one server."""
 
-    __slots__ = ("ejected_at", "ejected_until", "ejections", "samples", "told_at")
+    __slots__ = ("ejected_until", "ejections", "samples", "told_at")
 
     def __init__(self) -> None:
         self.samples: deque[Sample] = deque()
         self.ejections = 0
-        self.ejected_at = float("-inf")
         self.ejected_until = float("-inf")
         self.told_at = float("-inf")
 
@@ -90,7 +89,6 @@
             self.ejections = 0
         pause_s = min(_MOST_EJECTION_S, _FIRST_EJECTION_S * 2**self.ejections)
         self.ejections += 1
-        self.ejected_at = now
         self.ejected_until = now + pause_s
         self.samples.clear()
 
--- a/sprucewinch/gateway/replica.py
+++ b/sprucewinch/gateway/replica.py
@@ -4,7 +4,6 @@
 goes back to an older revision, and a removed key stays removed until a newer write.
 """
 
-from collections.abc import Iterable
 from typing import NamedTuple
 
 MAX_REMOVED = 4096
@@ -86,10 +85,6 @@
         gone = tuple(Removal(k, r) for k, r in self.removed.items() if r > revision)
         return Delta(items, gone, self.at)
 
-    def under(self, prefix: str) -> Iterable[Item]:
-        """Return the items whose keys begin with a prefix."""
-        return [item for key, item in self.items.items() if key.startswith(prefix)]
-
     def _put(self, item: Item) -> bool:
         held = self.items.get(item.key)
         known = held.revision if held else self.removed.get(item.key, 0)
--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -34,9 +34,7 @@
 from consortium import NAMES  # isort: skip
 
 REGIONS = {"east-a": "east", "east-b": "east", "west-a": "west"}
-BOUNDS = Bounds(
-    contact_s=3.0, retry_ratio=0.2, retry_slack=60.0, cold_over=1.5, cold_slack=5.0, shift_cap=0.15
-)
+BOUNDS = Bounds(retry_ratio=0.2, retry_slack=60.0, cold_over=1.5, cold_slack=5.0, shift_cap=0.15)
 RULE = ServiceRule("rates", health_path="/healthz", connections=100, warmup_s=3.0, cold_per_s=9.0)
 
 
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -7,7 +7,7 @@
 
 from sprucewinch.errors import SettingsError
 from sprucewinch.gateway.beliefs import Evacuation, MalformedItemError
-from sprucewinch.gateway.model import Backend, Member, Part, PolicyChoice, PolicyProgram
+from sprucewinch.gateway.model import Backend, Bounds, Member, Part, PolicyChoice, PolicyProgram
 from sprucewinch.gateway.registry import choice_item, member_item, program_item
 from sprucewinch.gateway.replica import Item
 
@@ -83,16 +83,21 @@
         settings = self._load(json.dumps(SETTINGS))
         self.assertEqual(settings.regions, {"a": "east", "b": "west"})
         self.assertEqual(settings.peer_address, "10.1.0.34:7540")
-        self.assertEqual((settings.bounds.contact_s, settings.bounds.lookup_ttl_s), (3.0, 5.0))
+        self.assertEqual(settings.bounds.lookup_ttl_s, 5.0)
         self.assertEqual((settings.bounds.retry_slack, settings.bounds.cold_over), (64, 1.5))
         self.assertEqual(settings.memory_bytes, 300 * 1024 * 1024)
 
+    def test_unused_bounds_are_accepted(self) -> None:
+        unused = {"Contact": "3000ms", "Drain": "2s"}
+        self.assertEqual(self._load(json.dumps({**SETTINGS, "Bounds": unused})).bounds, Bounds())
+
     def test_faults_are_named(self) -> None:
         broken = (
             ("{", "settings.json"),
             (json.dumps({**SETTINGS, "Zone": None}), "Zone"),
             (json.dumps({**SETTINGS, "Listen": []}), "Listen"),
             (json.dumps({**SETTINGS, "Bounds": {"Contact": 3}}), "Contact"),
+            (json.dumps({**SETTINGS, "Bounds": {"Drain": "soon"}}), "Drain"),
         )
         for text, word in broken:
             with self.subTest(word=word), self.assertRaises(SettingsError) as caught:
