--- a/sprucewinch/body.py
+++ b/sprucewinch/body.py
@@ -47,19 +47,3 @@
     def replayable(self) -> bool:
         """True while the body can still be sent from its start."""
         return not self.consumed
-
-
-class BytesBody(Body):
-    """A body that is wholly in memory.
-
-    Args:
-        data: The body.
-    """
-
-    def __init__(self, data: bytes) -> None:
-        self.first = data
-        self.complete = True
-
-    async def next_chunk(self) -> Optional[bytes]:
-        """Return None: there is nothing after `first`."""
-        return None
--- a/sprucewinch/documents.py
+++ b/sprucewinch/documents.py
@@ -48,7 +48,6 @@
     def __init__(self, accept: Accept) -> None:
         self.accept = accept
         self.documents: dict[str, Revisioned] = {}
-        self.rejected = 0
 
     def offer(self, document: Revisioned) -> bool:
         """Take over a document when it is newer and usable.
@@ -59,7 +58,6 @@
         if document.revision <= self.revision(document.key):
             return False
         if not self.accept(document):
-            self.rejected += 1
             return False
         self.documents[document.key] = document
         return True
--- a/sprucewinch/measures.py
+++ b/sprucewinch/measures.py
@@ -44,7 +44,6 @@
         distance_ms: Time one way from the client region to each region, in milliseconds.
         link_per_s: Most requests a second from the client region to each other region.
         demand_per_s: Requests a second of these callers.
-        demand_by_region: Where these callers' requests arrived, requests a second.
         share_low: Smallest share that the measures of a region may still reflect.
         share_high: Largest share that the measures of a region may still reflect.
     """
@@ -55,7 +54,6 @@
     distance_ms: Mapping[str, float]
     link_per_s: Mapping[str, float] = field(default_factory=dict)
     demand_per_s: float = 0.0
-    demand_by_region: Mapping[str, float] = field(default_factory=dict)
     share_low: Mapping[str, float] = field(default_factory=dict)
     share_high: Mapping[str, float] = field(default_factory=dict)
 
--- a/sprucewinch/peer_client.py
+++ b/sprucewinch/peer_client.py
@@ -46,11 +46,6 @@
             channel.close()
         self.channels.clear()
 
-    def keep_only(self, addresses: set[str]) -> None:
-        """Close the channels to addresses that are no longer in use."""
-        for address in self.channels.keys() - addresses:
-            self.channels.pop(address).close()
-
     async def exchange(self, address: str, message: ExchangeRequest) -> Optional[ExchangeReply]:
         """Exchange what is known with one entry VM; None when it does not answer."""
         self.bytes_sent += message.ByteSize()
--- a/sprucewinch/view.py
+++ b/sprucewinch/view.py
@@ -79,7 +79,6 @@
     def snapshot(self, service: str) -> Snapshot:
         """Return the measures of one service."""
         sums = {r: self._sums.get((service, r), _NOTHING) for r in self.topology.order}
-        demand = {region: total.demand for region, total in sums.items()}
         return Snapshot(
             service=service,
             client_region=self.client_region,
@@ -89,8 +88,7 @@
             },
             distance_ms=self._distances,
             link_per_s=self._links,
-            demand_per_s=sum(demand.values()),
-            demand_by_region=demand,
+            demand_per_s=sum(total.demand for total in sums.values()),
         )
 
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -7,7 +7,6 @@
 
 from sprucewinch.backend import Attempt
 from sprucewinch.callers import CallerApp
-from sprucewinch.clock import ManualClock
 from sprucewinch.config import Document
 from sprucewinch.dispatch import Dispatcher, PeerLink
 from sprucewinch.node import Node
@@ -15,6 +14,7 @@
 from sprucewinch.request import Request, Responder
 from sprucewinch.tickets import parse_ticket
 from tests.fakes import configure, example, node, run
+from tests.manual_clock import ManualClock
 
 
 class NoPeers(PeerLink):
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -10,7 +10,6 @@
     RetirePolicy,
     UsePolicy,
 )
-from sprucewinch.clock import ManualClock
 from sprucewinch.config import Document, decode_document, encode_document
 from sprucewinch.documents import CONFIGURATION_KEY
 from sprucewinch.errors import (
@@ -23,6 +22,7 @@
 )
 from sprucewinch.writer import MAX_RECORDS, ChangeWriter
 from tests.fakes import FakePlatform, example
+from tests.manual_clock import ManualClock
 
 PROGRAM = "def shares(snapshot):\n    return {snapshot['client_region']: 1}"
 
--- a/tools/soak/ledger.py
+++ b/tools/soak/ledger.py
@@ -115,7 +115,6 @@
         self.broken: list[Broken] = []
         self.ends: dict[str, list[tuple[float, int]]] = defaultdict(list)
         self.signalled: dict[str, list[tuple[float, int]]] = defaultdict(list)
-        self.began_at = 0.0
         self.quiet_from = float("inf")
 
     def breaks(self, rule: str, what: str) -> None:
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -107,7 +107,6 @@
     async def start(self) -> None:
         """Start everything and wait until all entry VMs are ready."""
         self.folder = Path(self._stack.enter_context(tempfile.TemporaryDirectory()))
-        self.ledger.began_at = self.loop.time()
         for zone in ZONES:
             for service in SERVICES:
                 for _ in range(_SERVERS_PER_ZONE):
