--- a/sprucewinch/_loops.py
+++ b/sprucewinch/_loops.py
@@ -2,11 +2,11 @@
 
 import asyncio
 import random
-from collections.abc import Callable
 
 from . import log
 from ._plan_rounds import PlanRounds
 from ._platform_reader import PlatformReader
+from ._supervise import Step, forever
 from .admission import Admission
 from .backend import BackendClient
 from .clock import Clock
@@ -58,7 +58,7 @@
 
     def start(self) -> None:
         """Start all loops."""
-        loops: list[Callable] = [
+        steps: list[Step] = [
             self._tick_loop,
             self._exchange_loop,
             self._change_loop,
@@ -66,7 +66,9 @@
             self._plan_loop,
             self._probe_loop,
         ]
-        self._tasks = [asyncio.ensure_future(_forever(loop)) for loop in loops]
+        self._tasks = [
+            asyncio.ensure_future(forever(step, _log_failure, pause_s=TICK_S)) for step in steps
+        ]
 
     async def stop(self) -> None:
         """Stop all loops."""
@@ -136,16 +138,8 @@
             admission.leaving(server, self.clock.monotonic() + LEAVING_S)
 
 
-async def _forever(step: Callable) -> None:
-    """Run a step again and again; a fault in one round does not end the loop."""
-    while True:
-        try:
-            await step()
-        except asyncio.CancelledError:
-            raise
-        except Exception as error:
-            log.trouble(f"event=loop-fault step={step.__name__} error={error!r}")
-            await asyncio.sleep(TICK_S)
+def _log_failure(step: Step, error: Exception) -> None:
+    log.trouble(f"event=loop-fault step={step.__name__} error={error!r}")
 
 
 def configuration_document(revision: int, value: bytes) -> Revisioned:
--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -3,11 +3,12 @@
 import asyncio
 import random
 import signal
-from collections.abc import Callable, Coroutine
-from typing import Any, Optional, Protocol
+from collections.abc import Callable
+from typing import Optional, Protocol
 
 from .. import log
 from .._http_server import AsgiApp
+from .._supervise import Step, forever
 from ..clock import Clock, SystemClock
 from ..errors import SettingsError
 from .app import GatewayApp
@@ -271,17 +272,13 @@
             self.heartbeats.run_measures,
             self._tick_loop,
         ):
-            self._tasks.append(asyncio.ensure_future(self._forever(loop)))
+            supervised = forever(loop, self._loop_failed, pause_s=_TICK_S)
+            self._tasks.append(asyncio.ensure_future(supervised))
 
-    async def _forever(self, loop: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Run a loop again when it fails: a fault of one part must not end the process."""
-        while True:
-            try:
-                await loop()
-            except Exception as error:
-                self.journal.counters["loop_faults"] += 1
-                self.journal.state("fault", loop=loop.__qualname__, error=repr(error))
-                await asyncio.sleep(_TICK_S)
+    def _loop_failed(self, loop: Step, error: Exception) -> None:
+        """Count and log a failure of one part, which must not end the process."""
+        self.journal.counters["loop_faults"] += 1
+        self.journal.state("fault", loop=loop.__qualname__, error=repr(error))
 
     def _own_measures(self, now: float) -> Optional[Measured]:
         """Return what this machine has seen of its region; None while no policy asks for it."""
