--- a/tests/manual_clock.py
+++ b/tests/manual_clock.py
@@ -4,7 +4,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that stands still until it is told to advance.
+    """A clock that stands still until a test sets `now`.
 
     Args:
         start: First reading of both clocks, in seconds.
@@ -20,7 +20,3 @@
     def wall(self) -> float:
         """Return the reading, in seconds."""
         return self.now
-
-    def advance(self, seconds: float) -> None:
-        """Move the clock forward by some seconds."""
-        self.now += seconds
