--- a/sprucewinch/_supervise.py
+++ b/sprucewinch/_supervise.py
@@ -23,6 +23,6 @@
     while True:
         try:
             await step()
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  a loop outlives any fault of a step, logged
             failed(step, error)
             await asyncio.sleep(pause_s)
