--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -3,7 +3,7 @@
 from unittest import mock
 
 from sprucewinch import _loops
-from sprucewinch._supervise import forever
+from sprucewinch._supervise import Step, forever
 from sprucewinch.gateway import daemon
 from sprucewinch.gateway.daemon import Gateway
 from sprucewinch.gateway.journal import Journal
@@ -28,9 +28,12 @@
 class Forever(unittest.IsolatedAsyncioTestCase):
     async def test_a_step_runs_again_after_failures_and_ends(self) -> None:
         steps, failures = Steps(), []
-        task = asyncio.ensure_future(
-            forever(steps.run, lambda step, error: failures.append((step, str(error))), pause_s=0)
-        )
+
+        def failed(step: Step, error: Exception) -> None:
+            assert isinstance(error, Exception), "a cancelled step has not failed"
+            failures.append((step, str(error)))
+
+        task = asyncio.ensure_future(forever(steps.run, failed, pause_s=0))
         await asyncio.wait_for(steps.resting.wait(), 5)
         self.assertEqual(failures, [(steps.run, "run 1"), (steps.run, "run 2")])
         task.cancel()
