--- /dev/null
+++ b/tests/test_formats.py
@@ -0,0 +1,296 @@
+"""What entry VMs send each other and keep in the store, byte by byte, as the first release has it.
+
+The literals are the format: a fleet is upgraded VM by VM, so a byte that differs here is a byte
+that the other half of the fleet cannot read. Names of the code stand in the functions below the
+imports and nowhere else; whoever renames a class changes a line there and no literal.
+"""
+
+import asyncio
+import unittest
+from typing import Any
+
+import msgspec
+
+from sprucewinch.config import decode_document, drain_key, encode_document
+from sprucewinch.documents import AUDIT_PREFIX, CONFIGURATION_KEY, PLAN_PREFIX, WATCH_PREFIX
+from sprucewinch.documents import revisioned as read_revision
+from sprucewinch.gateway.beliefs import Beliefs
+from sprucewinch.gateway.deltas import DELTA_PATH, decode_delta, encode_delta
+from sprucewinch.gateway.gossip import Beat, Row
+from sprucewinch.gateway.heartbeats import BadSample, Crowded, Message
+from sprucewinch.gateway.listeners import PeerApp
+from sprucewinch.gateway.measured import Measured, ServiceMeasure
+from sprucewinch.gateway.model import Member, PolicyChoice, PolicyProgram
+from sprucewinch.gateway.registry import choice_item, decode_own, member_item, program_item
+from sprucewinch.gateway.relay import News
+from sprucewinch.gateway.replica import Delta, Item, Removal
+from sprucewinch.steering import Plan
+from sprucewinch.tickets import TicketBook, parse_ticket
+from standins.consortium_store import StoreStandIn
+from standins.virtual import VirtualLoop, run_virtual
+
+from .gateway_fakes import FactsByKey
+from .virtual_fleet import VirtualFleet
+
+
+def encode_datagram(message: Any) -> bytes:
+    """Return what stands in a datagram."""
+    return msgspec.msgpack.encode(message)
+
+
+def decode_datagram(data: bytes) -> Any:
+    """Return a datagram's message, as the receiver decodes it."""
+    return msgspec.msgpack.decode(data, type=Message)
+
+
+def decode_plan(value: bytes) -> Plan:
+    """Return a steering plan."""
+    return msgspec.json.decode(value, type=Plan)
+
+
+def encode_plan(plan: Plan) -> bytes:
+    """Return a steering plan's bytes."""
+    return msgspec.json.encode(plan)
+
+
+def ticket_book(incarnation: int) -> TicketBook:
+    """Return the tickets of an entry VM with a known secret."""
+    return TicketBook("vm-a", incarnation, b"k" * 32)
+
+
+def peer_app(*deltas: Delta) -> PeerApp:
+    """Return the listener for neighbours of a VM that knows some deltas."""
+    beliefs = Beliefs(FactsByKey())
+    for delta in deltas:
+        beliefs.apply(delta, 0.0)
+    return PeerApp(beliefs)
+
+
+# Heartbeat, 4 slots: tag, sender, newest known revision, rows. Row, 6 slots: name, incarnation,
+# heartbeat counter, takes callers, reaches the store, link in Mbit/s.
+HEARTBEAT = (
+    b"\x94\xa4beat\xa3vm1\xcd\x12g\x92"
+    b"\x96\xa3vm1\xcf\x00\x00\x01\x9a\xb6\x97\xe8\x00\x0c\xc3\xc3d"
+    b"\x96\xa3vm2\xcf\x00\x00\x01\x9a\xb6\x97\xe8\x01\x03\xc2\xc2\x00"
+)
+# The same from a VM that does not say yet whether it reaches the store or how wide its link is.
+SHORT_HEARTBEAT = b"\x94\xa4beat\xa3vm1\x07\x91\x94\xa3vm1\x01\x02\xc3"
+FILLED_HEARTBEAT = b"\x94\xa4beat\xa3vm1\x07\x91\x96\xa3vm1\x01\x02\xc3\xc3\x00"
+# News of the store, 4 slots: tag, sender, revision, age in milliseconds.
+NEWS = b"\x94\xa4news\xa3vm1\xcd\x12g\xcc\xfa"
+# Crowded server, 4 slots: tag, server, requests running, requests waiting.
+CROWDED = b"\x94\xa7crowded\xa7rates-7\x06\x12"
+# Failed or slow request, 2 slots: tag, server.
+BAD = b"\x92\xa3bad\xa7rates-7"
+# Measures of a region, 4 slots: tag, sender, region, services. Service, 4 slots: name, requests
+# in use, latency in milliseconds (-1: unknown), requests a second of the region's callers.
+MEASURED = (
+    b"\x94\xa8measured\xa3vm1\xa4east\x92"
+    b"\x94\xa5rates\xcb@)\x00\x00\x00\x00\x00\x00\xcb@H\x19\x99\x99\x99\x99\x9a"
+    b"\xcb@>\x00\x00\x00\x00\x00\x00"
+    b"\x94\xa4maps\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xcb\xbf\xf0\x00\x00\x00\x00\x00\x00"
+    b"\xcb\x00\x00\x00\x00\x00\x00\x00\x00"
+)
+DATAGRAMS = {
+    "beat": HEARTBEAT,
+    "news": NEWS,
+    "crowded": CROWDED,
+    "bad": BAD,
+    "measured": MEASURED,
+}
+# Delta, 4 slots: items, removals, revision that it leads to, whole. Item, 3 slots: key, value as
+# binary, revision. Removal, 2 slots: key, revision.
+DELTA = (
+    b'\x94\x91\x93\xafservers/rates-7\xc4\x11{"Zone":"east-a"})\x91\x92\xafservers/rates-6**\xc2'
+)
+WHOLE_DELTA = b"\x94\x91\x93\xa9op/config\xc4\x02{}\x07\x90\t\xc3"
+
+
+class Datagrams(unittest.TestCase):
+    def test_each_has_its_tag_and_slots(self) -> None:
+        rows = (
+            Row("vm1", 1764000000000, 12, True, True, 100),
+            Row("vm2", 1764000000001, 3, False, False, 0),
+        )
+        services = (
+            ServiceMeasure("rates", 12.5, 48.2, 30.0),
+            ServiceMeasure("maps", 0.0, -1.0, 0.0),
+        )
+        built = {
+            "beat": Beat("vm1", 4711, rows),
+            "news": News("vm1", 4711, 250),
+            "crowded": Crowded("rates-7", 6, 18),
+            "bad": BadSample("rates-7"),
+            "measured": Measured("vm1", "east", services),
+        }
+        for tag, message in built.items():
+            with self.subTest(tag):
+                self.assertEqual(encode_datagram(message), DATAGRAMS[tag])
+
+    def test_each_is_read_and_written_again(self) -> None:
+        for tag, data in DATAGRAMS.items():
+            with self.subTest(tag):
+                self.assertEqual(encode_datagram(decode_datagram(data)), data)
+
+    def test_a_row_that_ends_early_is_filled(self) -> None:
+        self.assertEqual(encode_datagram(decode_datagram(SHORT_HEARTBEAT)), FILLED_HEARTBEAT)
+
+    def test_a_fleet_sends_these_and_no_others(self) -> None:
+        sent = run_virtual(_datagrams_of_a_fleet)
+        slots = {tuple(msgspec.msgpack.decode(data)[:1]) + (data[0],) for data in sent}
+        known = {(tag, data[0]) for tag, data in DATAGRAMS.items() if tag != "measured"}
+        self.assertEqual(slots, known)
+        for data in set(sent):
+            self.assertEqual(encode_datagram(decode_datagram(data)), data)
+
+
+async def _datagrams_of_a_fleet(loop: VirtualLoop) -> list[bytes]:
+    """Return what the VMs of a small fleet send each other."""
+    store = StoreStandIn(loop)
+    store.put("op/config", b'{"Version":"r1","Hosts":[],"Services":[]}')
+    fleet = VirtualFleet(loop, store, 3)
+    sent: list[bytes] = []
+    deliver = fleet.deliver
+
+    def record(sender: Any, data: bytes, address: tuple[str, int]) -> None:
+        sent.append(data)
+        deliver(sender, data, address)
+
+    fleet.deliver = record  # type: ignore[method-assign]
+    await asyncio.sleep(5.0)
+    fleet.machines[0].heartbeats.tell_crowded("rates-7", 6, 18)
+    fleet.machines[0].heartbeats.tell_bad_sample("rates-7")
+    await asyncio.sleep(0.1)
+    return sent
+
+
+class Deltas(unittest.TestCase):
+    def test_slots(self) -> None:
+        item = Item("servers/rates-7", b'{"Zone":"east-a"}', 41)
+        gone = Removal("servers/rates-6", 42)
+        self.assertEqual(encode_delta(Delta((item,), (gone,), 42, False)), DELTA)
+        whole = Delta((Item("op/config", b"{}", 7),), (), 9, True)
+        self.assertEqual(encode_delta(whole), WHOLE_DELTA)
+
+    def test_read_and_written_again(self) -> None:
+        for data in (DELTA, WHOLE_DELTA):
+            self.assertEqual(encode_delta(decode_delta(data)), data)
+
+    def test_a_neighbour_asks_for_one_by_revision(self) -> None:
+        async def main(loop: VirtualLoop) -> list[dict]:
+            sent: list[dict] = []
+
+            async def send(message: dict) -> None:
+                sent.append(message)
+
+            app = peer_app(decode_delta(DELTA))
+            scope = {"path": "/v1/delta", "query_string": b"after=40"}
+            await app(scope, None, send)  # type: ignore[arg-type]
+            return sent
+
+        head, body = run_virtual(main)
+        self.assertEqual(DELTA_PATH, "/v1/delta")
+        self.assertEqual((head["status"], body["body"]), (200, DELTA))
+        self.assertEqual(
+            head["headers"],
+            [(b"content-type", b"application/msgpack"), (b"content-length", b"60")],
+        )
+
+
+# Key, value, and what builds it.
+OWN_ITEMS = (
+    (
+        "sprucewinch/members/vm1",
+        b'{"name":"vm1","zone":"east-a","region":"east","caller_address":"10.0.0.1:80",'
+        b'"peer_address":"10.0.0.1:70"}',
+        lambda: member_item(Member("vm1", "east-a", "east", "10.0.0.1:80", "10.0.0.1:70")),
+    ),
+    (
+        "sprucewinch/policies/mine",
+        b'{"name":"mine","source":"def shares(snapshot):\\n    return {}\\n"}',
+        lambda: program_item(PolicyProgram("mine", "def shares(snapshot):\n    return {}\n")),
+    ),
+    (
+        "sprucewinch/policy-of/*",
+        b'{"service":"*","policy":"mine"}',
+        lambda: choice_item(PolicyChoice("*", "mine")),
+    ),
+)
+WRITERS = (member_item, program_item, choice_item)
+
+
+class OwnItems(unittest.TestCase):
+    def test_keys_and_values(self) -> None:
+        for key, value, build in OWN_ITEMS:
+            with self.subTest(key):
+                self.assertEqual(tuple(build()), (key, value))
+
+    def test_read_and_written_again(self) -> None:
+        for (key, value, _), write in zip(OWN_ITEMS, WRITERS, strict=True):
+            with self.subTest(key):
+                fact: Any = decode_own(Item(key, value, 1))
+                self.assertEqual(tuple(write(fact)), (key, value))
+
+
+# The own interface's document: every field once with a value that is not its default.
+DOCUMENT = (
+    b'{"revision":7,"configuration":{"name":"freight",'
+    b'"region":[{"name":"east","clients":["10.1.0.0/16"]},{"name":"west"}],'
+    b'"hall":[{"name":"east-1","region":"east"},{"name":"west-1","region":"west"}],'
+    b'"service":[{"name":"rates","repeatable":true,"deadline_ms":1500,"max_wait_ms":40,'
+    b'"policy":"capacity","shift_cap":0.3},{"name":"book","repeatable":false}],'
+    b'"pool":[{"hall":"east-1","service":"rates","servers":["10.0.0.1:80"],"slots":6,'
+    b'"connections":99},{"hall":"west-1","service":"book","servers":["10.0.0.2:80"]}],'
+    b'"link":[{"a":"east","b":"west","one_way_ms":12.5,"requests_per_s":300.0}],'
+    b'"lookup":{"ttl_ms":900},"shift":{"cap":0.2,"window_s":8.0},'
+    b'"guard":{"ceiling":0.7,"stale_s":4.0,"warm_step":0.2}},'
+    b'"policies":[{"name":"mine","source":"def shares(snapshot):\\n    return {}\\n"}],'
+    b'"drained":["hall:west-1"],'
+    b'"audit":[{"revision":7,"operation":"0f","at":1764000000.5,"operator":"eva",'
+    b'"action":"drain","detail":"hall west-1"}]}'
+)
+SMALL_DOCUMENT = (
+    b'{"revision":1,"configuration":{"name":"n","region":[{"name":"r"}],'
+    b'"hall":[{"name":"h","region":"r"}],"service":[{"name":"s","repeatable":true}],'
+    b'"pool":[{"hall":"h","service":"s","servers":["10.0.0.1:80"]}]}}'
+)
+PLAN = (
+    b'{"client_region":"east","revision":4,"planner":"vm1/18f","configuration_revision":7,'
+    b'"shares":{"rates":{"east":0.75,"west":0.25}},"notes":{"rates":["shift-cap"]},'
+    b'"faults":{"book":"no policy \'x\' is loaded"}}'
+)
+
+
+class Documents(unittest.TestCase):
+    def test_keys(self) -> None:
+        self.assertEqual(CONFIGURATION_KEY, "steer/configuration")
+        self.assertEqual(
+            (WATCH_PREFIX, PLAN_PREFIX, AUDIT_PREFIX), ("steer/", "steer/plan/", "audit/")
+        )
+
+    def test_read_and_written_again(self) -> None:
+        for value in (DOCUMENT, SMALL_DOCUMENT):
+            self.assertEqual(encode_document(decode_document(value)), value)
+        self.assertEqual(encode_plan(decode_plan(PLAN)), PLAN)
+
+    def test_a_revision_is_read_from_any_document(self) -> None:
+        for value, revision in ((DOCUMENT, 7), (PLAN, 4)):
+            self.assertEqual(
+                tuple(read_revision("steer/x", value) or ()), ("steer/x", revision, value)
+            )
+
+    def test_a_draining_thing(self) -> None:
+        found = [drain_key(kind, "a") for kind in ("server", "hall", "region")]  # type: ignore[arg-type]
+        self.assertEqual(found, ["server:a", "hall:a", "region:a"])
+
+
+class Tickets(unittest.TestCase):
+    # Home, incarnation and number in hexadecimal, service, proof.
+    ISSUED = ("vm-a:18f:0:book:94bea9a85f57672fb892", "vm-a:18f:1:book:51895ce5d52580c7dcce")
+
+    def test_texts(self) -> None:
+        self.assertEqual(tuple(ticket_book(0x18F).issue("book", 2, 0.0)), self.ISSUED)
+
+    def test_read_and_written_again(self) -> None:
+        for text in self.ISSUED:
+            self.assertEqual(str(parse_ticket(text)), text)
