--- a/tests/formats_own.py
+++ b/tests/formats_own.py
@@ -24,12 +24,11 @@
 from sprucewinch.clock import Clock
 from sprucewinch.dispatch import Dispatcher, PeerLink
 from sprucewinch.documents import Revisioned
-from sprucewinch.errors import PlatformError, WriteUnknownError
+from sprucewinch.errors import WriteUnknownError
 from sprucewinch.gateway.listeners import TextApp
 from sprucewinch.node import Node
 from sprucewinch.operators import OperatorsApp
 from sprucewinch.outcome import Reason, not_run
-from sprucewinch.platform import Entry
 from sprucewinch.settings import Limits
 
 from .fakes import FakePlatform, settings
@@ -47,7 +46,9 @@
     return _DIGEST.sub("@DIGEST", _OPERATION.sub("OPERATION", text))
 
 
-class _StillClock(Clock):
+class StillClock(Clock):
+    """A clock that stands still."""
+
     def monotonic(self) -> float:
         return 100.0
 
@@ -76,7 +77,7 @@
     """
 
     def __init__(self, platform: FakePlatform | None = None) -> None:
-        clock = _StillClock()
+        clock = StillClock()
         self.lines: list[str] = []
         self.platform = platform or FakePlatform()
         self.node = Node(
@@ -166,6 +167,3 @@
         except SystemExit as end:
             status = int(end.code or 0)
     return status, without_chance(out.getvalue()), err.getvalue()
-
-
-__all__ = ["Entry", "Lost", "OwnVm", "PlatformError", "command", "listening", "state_app"]
