--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 lint: $(STAMP)
 	$(BIN)/ruff format --check .
 	$(BIN)/ruff check .
-	$(BIN)/vulture
+	$(BIN)/python -m tools.unused
 	$(BIN)/lint-imports --no-cache
 
 test: lint
--- a/tests/formats_gateway.py
+++ b/tests/formats_gateway.py
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from sprucewinch._supervise import forever
 from sprucewinch.clock import Clock
 from sprucewinch.errors import SettingsError
 from sprucewinch.gateway.daemon import Gateway
@@ -154,7 +155,8 @@
         async def broken() -> None:
             raise ValueError("broken")
 
-        task = self.loop.create_task(self.gateway._forever(broken))
+        supervised = forever(broken, self.gateway._loop_failed, pause_s=1.0)
+        task = self.loop.create_task(supervised)
         await pass_time(0.1)
         task.cancel()
 
@@ -204,7 +206,7 @@
         self.body = body
 
 
-async def asgi(
+async def asgi(  # noqa: PLR0913  one argument a part of a request
     app: Any,
     target: str,
     *,
--- a/tests/test_formats_own_lines.py
+++ b/tests/test_formats_own_lines.py
@@ -11,10 +11,11 @@
 
 import msgspec
 
-from sprucewinch._loops import _forever as supervised
+from sprucewinch._loops import _log_failure
 from sprucewinch._peer_listener import PeerListener
 from sprucewinch._plan_rounds import PlanRounds
 from sprucewinch._platform_reader import PlatformReader
+from sprucewinch._supervise import forever
 from sprucewinch.daemon import Daemon
 from sprucewinch.platform import Entry
 from tools.fleet import free_ports
@@ -152,7 +153,7 @@
         async def broken() -> None:
             raise ValueError("broken")
 
-        task = asyncio.create_task(supervised(broken))
+        task = asyncio.create_task(forever(broken, _log_failure, pause_s=1.0))
         await asyncio.sleep(0.05)
         task.cancel()
         line = "warning event=loop-fault step=broken error=ValueError('broken')"
