--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -14,13 +14,13 @@
 from .decision_log import Journal
 from .following.follow_role import Relay
 from .following.followers import NeighbourFollower, StoreFollower
+from .header_names import Names
 from .internal_apps import PeerApp, TextApp
 from .listeners import Listening
 from .membership.directory import Directory
 from .membership.gossip import Gossip
 from .membership.heartbeats import Heartbeats
 from .membership.registrar import Registrar
-from .model import GatewaySettings, Member, Names
 from .regions.policies import PolicyBook
 from .regions.region_reports import MeasureBoard, Measured
 from .regions.shares import RegionShares
@@ -28,10 +28,12 @@
 from .requests.pipeline import Pipeline
 from .requests.sender import Sender
 from .requests.server_order import Placer
+from .resources import Member
 from .servers.backend_registry import ServerBook
 from .servers.outliers import Outliers
 from .servers.pool import Pool
 from .servers.probe import Prober
+from .settings import GatewaySettings
 from .state.outages import StoreOutages
 from .state.store import Store
 from .state.store_view import Beliefs, Decoder
--- a/sprucewinch/gateway/decision_log.py
+++ b/sprucewinch/gateway/decision_log.py
@@ -7,8 +7,8 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from .model import RouteConfiguration
 from .requests.client_request import Call, Reply
+from .resources import RouteConfiguration
 from .state.store_view import Change
 
 _LINES_PER_S = 150.0
--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -15,7 +15,7 @@
 
 from ..._hash import hash64
 from ..membership.gossip import Gossip
-from ..model import Member
+from ..resources import Member
 from ..state.outages import StoreOutages
 from ..state.store_view import Beliefs
 
--- /dev/null
+++ b/sprucewinch/gateway/header_names.py
@@ -0,0 +1,32 @@
+"""Names of the headers and cookies that callers, VMs and backend servers exchange.
+
+Owns the list of names that a platform may choose; an adapter gives them. Relies on nothing.
+"""
+
+from typing import NamedTuple
+
+
+class Names(NamedTuple):
+    """Names of headers and cookies on the wire; lower case.
+
+    Args:
+        request_id: Names one attempt of a caller; echoed in the answer.
+        deadline_ms: What is left of the caller's time, in milliseconds.
+        affinity: Cookie that names the object a request is about.
+        expected: Backend server that alone may run the request.
+        signature: A backend server's mark on an answer of its own.
+        not_run: A backend server's word that it did not run the request.
+        load: A backend server's load: running, waiting, slots.
+        cold_ms: In answers to probes, how much longer a server is cold, in milliseconds.
+        instance: In answers to probes, the server's id.
+    """
+
+    request_id: str = "sprucewinch-request-id"
+    deadline_ms: str = "sprucewinch-deadline-ms"
+    affinity: str = "sprucewinch-affinity"
+    expected: str = "sprucewinch-expected"
+    signature: str = "sprucewinch-signature"
+    not_run: str = "sprucewinch-not-run"
+    load: str = "sprucewinch-load"
+    cold_ms: str = "sprucewinch-cold-ms"
+    instance: str = "sprucewinch-instance"
--- a/sprucewinch/gateway/listeners.py
+++ b/sprucewinch/gateway/listeners.py
@@ -5,7 +5,7 @@
 import uvicorn
 
 from ..net.http_server import AsgiApp, ListenerLimits, bind, keep_alive, make_listener
-from .model import RouteConfiguration
+from .resources import RouteConfiguration
 from .state.store_view import Change
 
 _CONNECTIONS_PART = 0.5
--- a/sprucewinch/gateway/membership/registrar.py
+++ b/sprucewinch/gateway/membership/registrar.py
@@ -4,7 +4,7 @@
 from typing import Optional
 
 from ...retry import backoff_s
-from ..model import Member
+from ..resources import Member
 from ..state.own_items import MEMBER_PREFIX, member_item
 from ..state.replica import Item
 from ..state.store import Store, StoreUnavailableError
--- a/sprucewinch/gateway/regions/policies.py
+++ b/sprucewinch/gateway/regions/policies.py
@@ -4,7 +4,7 @@
 
 from ...errors import PolicyError, SettingsError
 from ...steering.policy import Policy, ProgramPolicy, shipped_policies
-from ..model import PolicyChoice, PolicyProgram
+from ..resources import PolicyChoice, PolicyProgram
 from ..state.store_view import Beliefs, Change
 
 DEFAULT_POLICY = "capacity"
--- a/sprucewinch/gateway/requests/app.py
+++ b/sprucewinch/gateway/requests/app.py
@@ -12,7 +12,8 @@
 from ...net.http_server import TARGET_KEY
 from ...net.request import end_to_end
 from ..decision_log import Journal
-from ..model import CallerLimits, Names
+from ..header_names import Names
+from ..resources import CallerLimits
 from ..state.store_view import Beliefs
 from .client_request import Call, Refused, Reply
 from .pipeline import Pipeline
--- a/sprucewinch/gateway/requests/client_request.py
+++ b/sprucewinch/gateway/requests/client_request.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple, Optional
 
 from ...net.connection import Answer
-from ..model import Route
+from ..resources import Route
 from ..servers.backend_server import Server
 
 
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -8,8 +8,9 @@
 from collections.abc import Callable
 from typing import Optional, Union
 
-from ..model import Bounds, Route, RouteConfiguration
+from ..resources import Route, RouteConfiguration
 from ..servers.backend_registry import ServerBook
+from ..settings import Bounds
 from ..state.store_view import Beliefs, Change
 from .client_request import Call, Chosen, Refused, Reply, Send, Verdict
 from .retry_budget import RepeatBudget
--- a/sprucewinch/gateway/requests/retry_budget.py
+++ b/sprucewinch/gateway/requests/retry_budget.py
@@ -5,7 +5,7 @@
 machines enters, and it is taken too high rather than too low.
 """
 
-from ..model import Bounds
+from ..settings import Bounds
 from .sliding_count import SlidingCount
 
 _SAFETY = 0.75
--- a/sprucewinch/gateway/requests/routes.py
+++ b/sprucewinch/gateway/requests/routes.py
@@ -2,7 +2,7 @@
 
 from typing import Optional
 
-from ..model import Route, RouteConfiguration
+from ..resources import Route, RouteConfiguration
 
 
 class RouteTable:
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from ...net.connection import Answer, ConnectFailedError, ExchangeFailedError
-from ..model import Names
+from ..header_names import Names
 from ..servers.backend_registry import ServerBook
 from ..servers.backend_server import Server
 from ..servers.outliers import Outliers
--- a/sprucewinch/gateway/requests/server_selection.py
+++ b/sprucewinch/gateway/requests/server_selection.py
@@ -8,7 +8,7 @@
 
 from typing import Union
 
-from ..model import Route
+from ..resources import Route
 from ..servers.backend_registry import ServerBook
 from ..servers.backend_server import Server
 from ..servers.outliers import Outliers
--- a/sprucewinch/gateway/requests/split.py
+++ b/sprucewinch/gateway/requests/split.py
@@ -5,7 +5,7 @@
 """
 
 from ..._hash import hash64
-from ..model import Part, Route
+from ..resources import Part, Route
 
 _MOST_OFF = 0.03
 """How far a running share may lie off its weight."""
--- a/sprucewinch/gateway/requests/verdict.py
+++ b/sprucewinch/gateway/requests/verdict.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple, Optional
 
 from ...net.connection import Answer
-from ..model import Names
+from ..header_names import Names
 from .client_request import Verdict
 
 _BAD_REQUEST = 400
--- a/sprucewinch/gateway/servers/backend_registry.py
+++ b/sprucewinch/gateway/servers/backend_registry.py
@@ -5,9 +5,10 @@
 from typing import Optional
 
 from ..._hash import hash64
-from ..model import Backend, Bounds, RouteConfiguration
+from ..resources import Backend, Evacuation, RouteConfiguration
+from ..settings import Bounds
 from ..state.outages import RETURN_S, StoreOutages
-from ..state.store_view import Beliefs, Change, Evacuation
+from ..state.store_view import Beliefs, Change
 from .backend_server import Server
 from .service_times import ServiceTimes
 
--- a/sprucewinch/gateway/servers/backend_server.py
+++ b/sprucewinch/gateway/servers/backend_server.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Optional
 
 from ..._hash import hash64
-from ..model import Backend
+from ..resources import Backend
 from .service_times import CROWDED_PART
 
 _COLD_WINDOW_S = 1.15
--- a/sprucewinch/gateway/servers/probe.py
+++ b/sprucewinch/gateway/servers/probe.py
@@ -11,7 +11,7 @@
 
 from ...net.connection import Answer, get
 from ..decision_log import Journal
-from ..model import Names
+from ..header_names import Names
 from .backend_registry import COLD_MARGIN_S, ServerBook
 from .backend_server import Server
 
--- a/sprucewinch/gateway/servers/service_times.py
+++ b/sprucewinch/gateway/servers/service_times.py
@@ -2,7 +2,7 @@
 
 from typing import Optional
 
-from ..model import RouteConfiguration
+from ..resources import RouteConfiguration
 
 CROWDED_PART = 0.34
 """Waiting requests for each slot beyond which a server is crowded, unless all are still answered
--- a/sprucewinch/gateway/state/own_items.py
+++ b/sprucewinch/gateway/state/own_items.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from ..model import Member, PolicyChoice, PolicyProgram
+from ..resources import Fact, Member, PolicyChoice, PolicyProgram
 from .replica import Item
-from .store_view import Fact, MalformedItemError
+from .store_view import MalformedItemError
 
 OWN_PREFIX = "sprucewinch/"
 MEMBER_PREFIX = OWN_PREFIX + "members/"
--- a/sprucewinch/gateway/state/store_view.py
+++ b/sprucewinch/gateway/state/store_view.py
@@ -2,21 +2,18 @@
 
 import abc
 from collections.abc import Callable, Iterable
-from typing import NamedTuple, Optional, Union
-
-from ..model import Backend, Member, PolicyChoice, PolicyProgram, RouteConfiguration
+from typing import NamedTuple, Optional
+
+from ..resources import (
+    Backend,
+    Evacuation,
+    Fact,
+    Member,
+    RouteConfiguration,
+)
 from .replica import Delta, Item, Replica
 
 
-class Evacuation(NamedTuple):
-    """The operators' order to send nothing to the backend servers of a data hall."""
-
-    zone: str
-
-
-Fact = Union[RouteConfiguration, Evacuation, Backend, Member, PolicyProgram, PolicyChoice]
-
-
 class MalformedItemError(Exception):
     """An item of the store cannot be read; the message says what is wrong with it."""
 
--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -4,15 +4,6 @@
 import random
 from typing import Optional
 
-from sprucewinch.gateway.model import (
-    Backend,
-    Bounds,
-    Member,
-    Part,
-    Route,
-    RouteConfiguration,
-    ServiceRule,
-)
 from sprucewinch.gateway.regions.policies import PolicyBook
 from sprucewinch.gateway.regions.region_reports import MeasureBoard
 from sprucewinch.gateway.regions.shares import RegionShares
@@ -20,12 +11,22 @@
 from sprucewinch.gateway.requests.pipeline import Pipeline
 from sprucewinch.gateway.requests.sender import Sender
 from sprucewinch.gateway.requests.server_order import Placer
+from sprucewinch.gateway.resources import (
+    Backend,
+    Fact,
+    Member,
+    Part,
+    Route,
+    RouteConfiguration,
+    ServiceRule,
+)
 from sprucewinch.gateway.servers.backend_registry import ServerBook
 from sprucewinch.gateway.servers.outliers import Outliers
 from sprucewinch.gateway.servers.pool import Pool
+from sprucewinch.gateway.settings import Bounds
 from sprucewinch.gateway.state.outages import StoreOutages
 from sprucewinch.gateway.state.replica import Delta, Item, Removal
-from sprucewinch.gateway.state.store_view import Beliefs, Decoder, Fact
+from sprucewinch.gateway.state.store_view import Beliefs, Decoder
 from standins.scripted_server import ScriptedServer
 from standins.virtual import VirtualLoop
 
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -17,8 +17,8 @@
 from sprucewinch.gateway.internal_apps import PeerApp
 from sprucewinch.gateway.membership.gossip import Beat, Row
 from sprucewinch.gateway.membership.heartbeats import BadSample, Crowded, Message
-from sprucewinch.gateway.model import Member, PolicyChoice, PolicyProgram
 from sprucewinch.gateway.regions.region_reports import Measured, ServiceMeasure
+from sprucewinch.gateway.resources import Member, PolicyChoice, PolicyProgram
 from sprucewinch.gateway.state.own_items import choice_item, decode_own, member_item, program_item
 from sprucewinch.gateway.state.replica import Delta, Item, Removal
 from sprucewinch.gateway.state.store_view import Beliefs
--- a/tests/test_gateway_admit.py
+++ b/tests/test_gateway_admit.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from sprucewinch.gateway.model import Backend
+from sprucewinch.gateway.resources import Backend
 from sprucewinch.gateway.servers.backend_server import Server
 from standins.scripted_server import Spoil
 from standins.virtual import VirtualLoop, pass_time, run_virtual
--- a/tests/test_gateway_measured.py
+++ b/tests/test_gateway_measured.py
@@ -6,9 +6,9 @@
 
 from sprucewinch.errors import SettingsError
 from sprucewinch.gateway.membership.heartbeats import Message
-from sprucewinch.gateway.model import PolicyChoice
 from sprucewinch.gateway.regions.policies import PolicyBook
 from sprucewinch.gateway.regions.region_reports import KEPT_S, Measured, ServiceMeasure
+from sprucewinch.gateway.resources import PolicyChoice
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
--- a/tests/test_gateway_outliers.py
+++ b/tests/test_gateway_outliers.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.model import Backend
 from sprucewinch.gateway.requests.client_request import Chosen
+from sprucewinch.gateway.resources import Backend
 from sprucewinch.gateway.servers.outliers import Outliers
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
--- a/tests/test_gateway_policies.py
+++ b/tests/test_gateway_policies.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from sprucewinch.gateway.model import Backend, PolicyChoice, PolicyProgram
 from sprucewinch.gateway.regions.policies import DEFAULT_POLICY, PolicyBook
 from sprucewinch.gateway.regions.region_reports import MeasureBoard
 from sprucewinch.gateway.regions.shares import RegionShares
+from sprucewinch.gateway.resources import Backend, PolicyChoice, PolicyProgram
 from sprucewinch.steering.placement import moved_part
 
 from .gateway_fakes import BOUNDS, REGIONS, World, route
--- a/tests/test_gateway_probe.py
+++ b/tests/test_gateway_probe.py
@@ -4,8 +4,8 @@
 from typing import Optional
 
 from sprucewinch.gateway.decision_log import Journal
+from sprucewinch.gateway.resources import Evacuation
 from sprucewinch.gateway.servers.probe import Prober
-from sprucewinch.gateway.state.store_view import Evacuation
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
 from .gateway_fakes import NAMES, Path, route
--- a/tests/test_gateway_routes.py
+++ b/tests/test_gateway_routes.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.model import Part, RouteConfiguration
 from sprucewinch.gateway.requests.routes import RouteTable
 from sprucewinch.gateway.requests.split import Splits
+from sprucewinch.gateway.resources import Part, RouteConfiguration
 
 from .gateway_fakes import route
 
--- a/tests/test_gateway_servers.py
+++ b/tests/test_gateway_servers.py
@@ -6,8 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.model import Backend
-from sprucewinch.gateway.state.store_view import Evacuation
+from sprucewinch.gateway.resources import Backend, Evacuation
 
 from .gateway_fakes import BOUNDS, RULE, World, route
 
--- a/tests/test_gateway_service_times.py
+++ b/tests/test_gateway_service_times.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.model import Part, RouteConfiguration
+from sprucewinch.gateway.resources import Part, RouteConfiguration
 from sprucewinch.gateway.servers.service_times import CROWDED_PART, ServiceTimes
 
 from .gateway_fakes import route
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -8,7 +8,7 @@
 from sprucewinch.gateway.following.followers import StoreFollower
 from sprucewinch.gateway.membership.gossip import Gossip
 from sprucewinch.gateway.membership.registrar import Registrar
-from sprucewinch.gateway.model import Member
+from sprucewinch.gateway.resources import Member
 from sprucewinch.gateway.state.outages import StoreOutages
 from sprucewinch.gateway.state.store_view import Beliefs
 from sprucewinch.gateway.timing import Timing
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -6,10 +6,18 @@
 from pathlib import Path
 
 from sprucewinch.errors import SettingsError
-from sprucewinch.gateway.model import Backend, Bounds, Member, Part, PolicyChoice, PolicyProgram
+from sprucewinch.gateway.resources import (
+    Backend,
+    Evacuation,
+    Member,
+    Part,
+    PolicyChoice,
+    PolicyProgram,
+)
+from sprucewinch.gateway.settings import Bounds
 from sprucewinch.gateway.state.own_items import choice_item, member_item, program_item
 from sprucewinch.gateway.state.replica import Item
-from sprucewinch.gateway.state.store_view import Evacuation, MalformedItemError
+from sprucewinch.gateway.state.store_view import MalformedItemError
 
 from . import adapter  # noqa: F401 - makes the next imports possible
 
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -12,8 +12,8 @@
 from sprucewinch.gateway.membership.gossip import Gossip
 from sprucewinch.gateway.membership.heartbeats import Heartbeats
 from sprucewinch.gateway.membership.registrar import Registrar
-from sprucewinch.gateway.model import Member
 from sprucewinch.gateway.regions.region_reports import MeasureBoard
+from sprucewinch.gateway.resources import Member
 from sprucewinch.gateway.servers.backend_registry import ServerBook
 from sprucewinch.gateway.servers.outliers import Outliers
 from sprucewinch.gateway.state.outages import StoreOutages
