--- a/sprucewinch/cli.py
+++ b/sprucewinch/cli.py
@@ -211,7 +211,7 @@
 
     @SetParseFn(str)
     def machine(self, address: str) -> None:
-        """Show what a machine of the routed request path believes.
+        """Show what a VM of the routed request path believes.
 
         Args:
             address: `IP:PORT` of its metrics listener.
@@ -227,7 +227,7 @@
 
         Args:
             request_id: Its id, or the start of it.
-            logs: Files with the lines of the machines that may have had it.
+            logs: Files with the lines of the VMs that may have had it.
         """
         found = read_story(logs, request_id)
         values = {"request": found.request_id, "meaning": found.meaning}
--- a/sprucewinch/clock.py
+++ b/sprucewinch/clock.py
@@ -13,16 +13,16 @@
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Return seconds since the epoch; may jump, and differs between machines."""
+        """Return seconds since the epoch; may jump, and differs between VMs."""
 
 
 class SystemClock(Clock):
-    """The machine's clocks."""
+    """The VM's clocks."""
 
     def monotonic(self) -> float:
-        """Return the machine's monotonic clock, in seconds."""
+        """Return the VM's monotonic clock, in seconds."""
         return time.monotonic()
 
     def wall(self) -> float:
-        """Return the machine's wall clock, in seconds since the epoch."""
+        """Return the VM's wall clock, in seconds since the epoch."""
         return time.time()
--- a/sprucewinch/gateway/decision_log.py
+++ b/sprucewinch/gateway/decision_log.py
@@ -7,7 +7,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from .requests.client_request import Call, Reply
+from .requests.client_request import ClientRequest, Reply
 from .resources import RouteConfiguration
 from .state.store_view import Change
 
@@ -16,7 +16,7 @@
 _HIGHEST_US = 600_000_000
 
 
-class Journal:
+class DecisionLog:
     """Writes lines and counts.
 
     Lines beyond the rate are dropped and counted; answers in full are dropped first.
@@ -57,41 +57,48 @@
         word = "gone" if after is None else ("changed" if change.before else "new")
         self.state("fact", key=change.key, word=word, revision=change.revision)
 
-    def replied(self, call: Call, reply: Reply, seconds: float) -> None:
+    def replied(self, request: ClientRequest, reply: Reply, seconds: float) -> None:
         """Write a line for a request's final answer and count it."""
-        outcome = reply.refused.value if reply.refused else "answered"
+        outcome = reply.refusal.value if reply.refusal else "answered"
         self.counters[f"requests_{outcome}"] += 1
         route = reply.route.name if reply.route else ""
         if reply.answer is not None:
             self._observe(route, seconds)
-        plain = reply.answer is not None and len(call.sends) == 1
-        self._request(call, outcome, reply.status, route, seconds, half=plain)
+        plain = reply.answer is not None and len(request.attempts) == 1
+        self._request(request, outcome, reply.status, route, seconds, half=plain)
 
-    def left(self, call: Call, seconds: float) -> None:
+    def left(self, request: ClientRequest, seconds: float) -> None:
         """Write a line for a caller that left before its answer."""
         self.counters["requests_left"] += 1
-        self._request(call, "left", 0, "", seconds, half=False)
+        self._request(request, "left", 0, "", seconds, half=False)
 
     def _request(
-        self, call: Call, outcome: str, status: int, route: str, seconds: float, *, half: bool
+        self,
+        request: ClientRequest,
+        outcome: str,
+        status: int,
+        route: str,
+        seconds: float,
+        *,
+        half: bool,
     ) -> None:
-        for send in call.sends[1:]:
+        for send in request.attempts[1:]:
             self.counters[f"repeats_after_{send.verdict.value}"] += 1
         inputs = {
-            "id": call.id,
+            "id": request.id,
             "outcome": outcome,
             "status": status,
             "route": route,
-            "object": call.key,
+            "object": request.key,
             "ms": round(seconds * 1000, 1),
             "version": self.configuration_version,
             "sends": [
                 [s.server_id, s.verdict.value, s.why, round(s.seconds * 1000, 1)]
-                for s in call.sends
+                for s in request.attempts
             ],
         }
-        if call.blocked is not None and not call.sends:
-            inputs["blocked"] = call.blocked._asdict()
+        if request.blocked is not None and not request.attempts:
+            inputs["blocked"] = request.blocked._asdict()
         self._line("request", inputs, reserve=_BURST / 2 if half else 0.0)
 
     def _line(self, event: str, inputs: dict[str, Any], *, reserve: float) -> None:
--- a/sprucewinch/gateway/following/deltas.py
+++ b/sprucewinch/gateway/following/deltas.py
@@ -13,7 +13,7 @@
 
 
 async def fetch_delta(address: str, after: int) -> Optional[Delta]:
-    """Ask a neighbour what has changed after a revision; None when it does not answer.
+    """Ask a peer what has changed after a revision; None when it does not answer.
 
     Args:
         address: `IP:PORT` of its peer listener.
@@ -29,12 +29,12 @@
 
 
 def encode_delta(delta: Delta) -> bytes:
-    """Return a delta as bytes for a neighbour."""
+    """Return a delta as bytes for a peer."""
     return msgspec.msgpack.encode(delta)
 
 
 def decode_delta(data: bytes) -> Delta:
-    """Return the delta that a neighbour sent.
+    """Return the delta that a peer sent.
 
     Raises:
         msgspec.MsgspecError: When it is none.
--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -1,10 +1,10 @@
-"""Who follows the store, and who follows a machine that does.
+"""Who follows the store, and who follows a VM that does.
 
-Calls to the store are dear, so a few machines of each region, the watchers, follow it for all. A
-watcher tells the others several times a second which revision it knows and how long ago the store
-confirmed that. Whoever knows less fetches what has changed from it. A machine that hears nothing
-fresh, or cannot catch up, follows the store itself: the choice of watchers saves calls, and no
-promise hangs on it.
+Calls to the store are limited, so a few VMs of each region, the store followers, follow it for
+all. A follower sends a progress notice several times a second: the revision it holds and how long
+ago the store confirmed that. A VM with an older revision fetches a delta from it. A VM that
+receives no fresh notice, or cannot catch up, follows the store itself: the choice of followers
+saves calls, and no promise depends on it.
 """
 
 import math
@@ -17,15 +17,15 @@
 from ..membership.gossip import Gossip
 from ..resources import Member
 from ..state.outages import StoreOutages
-from ..state.store_view import Beliefs
+from ..state.store_view import StoreView
 
-NEWS_S = 0.3
-"""How often a watcher tells what it knows, in seconds."""
+NOTICE_S = 0.3
+"""How often a store follower tells what it knows, in seconds."""
 
-NEWS_SILENCE_S = 1.0
-"""Time without news after which a machine follows the store itself, in seconds."""
+NOTICE_SILENCE_S = 1.0
+"""Time without news after which a VM follows the store itself, in seconds."""
 
-MOST_AGE_S = 3.2
+NOTICE_MAX_AGE_S = 3.2
 """Age of the store's word beyond which news is no longer fresh: a watch and its margin, in
 seconds."""
 
@@ -34,17 +34,17 @@
 
 _BEHIND_S = 0.8
 _DOUBT_S = 3.0
-"""How long a machine follows the store itself after its neighbours failed it, in seconds."""
+"""How long a VM follows the store itself after its peers failed it, in seconds."""
 
 _OTHER_REGIONS = 16
-"""Machines of other regions that are told each time; after a change all are."""
+"""VMs of other regions that are told each time; after a change all are."""
 
 
-class News(msgspec.Struct, array_like=True, frozen=True, tag="news"):
-    """What a watcher knows.
+class ProgressNotice(msgspec.Struct, array_like=True, frozen=True, tag="news"):
+    """What a store follower knows.
 
     Args:
-        sender: Name of the watcher.
+        sender: Name of the store follower.
         revision: Newest revision of a fact that it knows.
         age_ms: How long ago the store confirmed that, in milliseconds.
     """
@@ -54,14 +54,14 @@
     age_ms: int
 
 
-class Relay:
-    """One machine's part in passing on what the store says.
+class FollowRole:
+    """One VM's part in passing on what the store says.
 
     Args:
-        name: Name of this machine.
+        name: Name of this VM.
         region: Its region.
         gossip: Who is there.
-        beliefs: What this machine believes.
+        store_view: What this VM holds of the store.
         outages: Told when the store answers others.
         regions: How many regions there are.
     """
@@ -71,7 +71,7 @@
         name: str,
         region: str,
         gossip: Gossip,
-        beliefs: Beliefs,
+        store_view: StoreView,
         outages: StoreOutages,
         *,
         regions: int,
@@ -79,87 +79,89 @@
         self.name = name
         self.region = region
         self.gossip = gossip
-        self.beliefs = beliefs
+        self.store_view = store_view
         self.outages = outages
-        self.watchers_per_region = math.ceil(_LEAST_WATCHERS / max(1, regions))
-        self.ahead_of_us: Optional[str] = None
+        self.followers_per_region = math.ceil(_LEAST_WATCHERS / max(1, regions))
+        self.peer_ahead: Optional[str] = None
         self._heard_at = float("-inf")
         self._told = 0
         self._behind_since: Optional[float] = None
         self._doubt_until = float("-inf")
 
-    def news(self, now: float) -> Optional[News]:
-        """Return what this machine can tell others; None when the store's word is too old."""
-        age_s = now - self.beliefs.told_by_store_at
-        if age_s > MOST_AGE_S:
+    def notice(self, now: float) -> Optional[ProgressNotice]:
+        """Return what this VM can tell others; None when the store's word is too old."""
+        age_s = now - self.store_view.store_answered_at
+        if age_s > NOTICE_MAX_AGE_S:
             return None
-        return News(self.name, self.beliefs.known_to, int(max(0.0, age_s) * 1000))
+        return ProgressNotice(
+            self.name, self.store_view.complete_revision, int(max(0.0, age_s) * 1000)
+        )
 
-    def take(self, news: News, now: float) -> bool:
-        """Learn from a watcher.
+    def take(self, notice: ProgressNotice, now: float) -> bool:
+        """Learn from a store follower.
 
         Returns:
-            True when it knows more than this machine.
+            True when it knows more than this VM.
         """
-        age_s = news.age_ms / 1000
-        if age_s > MOST_AGE_S:
+        age_s = notice.age_ms / 1000
+        if age_s > NOTICE_MAX_AGE_S:
             return False
         self._heard_at = now
-        self.outages.answered_others(now - age_s, now)
-        self._told = max(self._told, news.revision)
-        if news.revision > self.beliefs.replica.at:
-            self.ahead_of_us = news.sender
+        self.outages.answered_peer(now - age_s, now)
+        self._told = max(self._told, notice.revision)
+        if notice.revision > self.store_view.replica.at:
+            self.peer_ahead = notice.sender
             if self._behind_since is None:
                 self._behind_since = now
             return True
-        self.look_whether_caught_up()
-        self.beliefs.confirmed_at = max(self.beliefs.confirmed_at, now - age_s)
+        self.check_caught_up()
+        self.store_view.confirmed_at = max(self.store_view.confirmed_at, now - age_s)
         return False
 
-    def look_whether_caught_up(self) -> None:
-        """Note it when this machine knows as much as it was told of."""
-        if self.beliefs.replica.at >= self._told:
-            self.ahead_of_us = None
+    def check_caught_up(self) -> None:
+        """Note it when this VM knows as much as it was told of."""
+        if self.store_view.replica.at >= self._told:
+            self.peer_ahead = None
             self._behind_since = None
 
-    def doubt(self, now: float) -> None:
-        """Note that a neighbour did not give what it had told of."""
+    def distrust_peers(self, now: float) -> None:
+        """Note that a peer did not give what it had told of."""
         self._doubt_until = now + _DOUBT_S
 
-    def fresh(self, now: float) -> bool:
-        """Tell whether others keep this machine up to date."""
-        if now < self._doubt_until or now - self._heard_at > NEWS_SILENCE_S:
+    def peers_are_current(self, now: float) -> bool:
+        """Tell whether others keep this VM up to date."""
+        if now < self._doubt_until or now - self._heard_at > NOTICE_SILENCE_S:
             return False
         return self._behind_since is None or now - self._behind_since <= _BEHIND_S
 
-    def chosen(self, now: float) -> bool:
-        """Tell whether this machine is one of its region's watchers."""
-        return self.gossip.linked and self._first(now, self.gossip.can_watch)
+    def is_elected(self, now: float) -> bool:
+        """Tell whether this VM is one of its region's store followers."""
+        return self.gossip.linked and self._first(now, self.gossip.can_follow_store)
 
-    def first_in_line(self, now: float) -> bool:
-        """Tell whether this machine would be a watcher if the store answered all alike."""
-        return self._first(now, self.gossip.takes_callers)
+    def is_first_in_line(self, now: float) -> bool:
+        """Tell whether this VM would be a store follower if the store answered all alike."""
+        return self._first(now, self.gossip.accepts_callers)
 
     def _first(self, now: float, counts: Callable[[str, float], bool]) -> bool:
         own = self._rank(self.name)
         better = sum(
             counts(member.name, now) and self._rank(member.name) < own
-            for member in self.beliefs.members.values()
+            for member in self.store_view.members.values()
             if member.region == self.region and member.name != self.name
         )
-        return better < self.watchers_per_region
+        return better < self.followers_per_region
 
     def follows_store(self, now: float) -> bool:
-        """Tell whether this machine has to follow the store now."""
-        return not self.fresh(now) or self.chosen(now)
+        """Tell whether this VM has to follow the store now."""
+        return not self.peers_are_current(now) or self.is_elected(now)
 
-    def audience(self, changed: bool) -> Iterable[Member]:
-        """Return the machines that a watcher tells: all after a change, else mostly its region's.
+    def recipients(self, changed: bool) -> Iterable[Member]:
+        """Return the VMs that a store follower tells: all after a change, else mostly its region's.
 
         Args:
-            changed: True when this machine has just learnt something.
+            changed: True when this VM has just learnt something.
         """
-        members = [m for m in self.beliefs.members.values() if m.name != self.name]
+        members = [m for m in self.store_view.members.values() if m.name != self.name]
         if changed:
             return members
         near = [member for member in members if member.region == self.region]
@@ -167,5 +169,5 @@
         return near + self.gossip.rng.sample(far, min(_OTHER_REGIONS, len(far)))
 
     def _rank(self, name: str) -> tuple[int, int]:
-        """Return what machines are sorted by: wide links first, else the same everywhere."""
-        return -self.gossip.link_of(name), hash64(f"watch|{name}")
+        """Return what VMs are sorted by: wide links first, else the same everywhere."""
+        return -self.gossip.link_mbps_of(name), hash64(f"watch|{name}")
--- a/sprucewinch/gateway/following/followers.py
+++ b/sprucewinch/gateway/following/followers.py
@@ -1,75 +1,75 @@
-"""Keeps beliefs in step with the store, directly or through neighbours that follow it."""
+"""Keeps beliefs in step with the store, directly or through peers that follow it."""
 
 import asyncio
 from collections.abc import Callable
 
 from ...retry import backoff_s
-from ..decision_log import Journal
+from ..decision_log import DecisionLog
 from ..membership.gossip import Gossip
 from ..membership.heartbeats import Heartbeats
 from ..state.outages import StoreOutages
 from ..state.store import HistoryGoneError, Store, StoreUnavailableError
-from ..state.store_view import Beliefs
+from ..state.store_view import StoreView
 from ..timing import Timing
 from .deltas import fetch_delta
-from .follow_role import Relay
+from .follow_role import FollowRole
 
 WATCH_S = 2.0
 """How long a watch waits, in seconds; one that died silently is noticed then."""
 
-GATHER_S = 0.3
+BATCH_PAUSE_S = 0.3
 """Pause after a change, in seconds, so that the next watch brings what follows in one call."""
 
 _FIRST_GATHER_S = 0.5
-"""Pause after the listing at the start, when all machines register."""
+"""Pause after the listing at the start, when all VMs register."""
 
 _LOOK_S = 0.1
 _ASK_S = 0.3
-"""How often it is looked whether a neighbour knows more, in seconds."""
+"""How often it is looked whether a peer knows more, in seconds."""
 
 _STORE_FIRST_S = 0.5
-"""How long a machine that starts waits for the store before it starts from a neighbour, in
+"""How long a VM that starts waits for the store before it starts from a peer, in
 seconds."""
 
 _SPACING_S = 0.1
 """Pause after a delta, in seconds, so that the next one brings what follows."""
 
 _FORGIVE_S = 10.0
-"""How long a machine that lost the store is no watcher, in seconds, unless the store answers."""
+"""How long a VM that lost the store is no store follower, in seconds, unless the store answers."""
 
 _MOST_BACKOFF_S = 1.0
 _MOST_BACKOFF_BESIDE_S = 3.0
-"""Longest pause between calls of a machine that watchers will tell of the store's return."""
+"""Longest pause between calls of a VM that store followers will tell of the store's return."""
 
 
 class StoreFollower:
-    """Lists the store once, then follows its changes while nobody else does it for this machine.
+    """Lists the store once, then follows its changes while nobody else does it for this VM.
 
     Args:
-        beliefs: What this machine believes.
+        store_view: What this VM holds of the store.
         store: The store.
-        relay: Tells whether to follow the store.
+        follow_role: Tells whether to follow the store.
         outages: Told when the store is out of reach and when it is back.
-        journal: Told of lost and regained touch.
+        events: Told of lost and regained touch.
         timing: Sources of time and randomness.
         tell: Called when the store has told something new.
     """
 
     def __init__(
         self,
-        beliefs: Beliefs,
+        store_view: StoreView,
         store: Store,
-        relay: Relay,
+        follow_role: FollowRole,
         outages: StoreOutages,
-        journal: Journal,
+        events: DecisionLog,
         timing: Timing,
         tell: Callable[[], None] = lambda: None,
     ) -> None:
-        self.beliefs = beliefs
+        self.store_view = store_view
         self.store = store
-        self.relay = relay
+        self.follow_role = follow_role
         self.outages = outages
-        self.journal = journal
+        self.events = events
         self.timing = timing
         self.tell = tell
         self.up = False
@@ -89,19 +89,19 @@
 
     def _is_needed(self) -> bool:
         now = self.timing.monotonic()
-        needed = not self.beliefs.known or self.relay.follows_store(now)
+        needed = not self.store_view.has_configuration or self.follow_role.follows_store(now)
         if needed != self.follows:
             self.follows = needed
             source = "store" if needed else "neighbours"
-            self.journal.state("follows", source=source, at=self.beliefs.replica.at)
+            self.events.state("follows", source=source, at=self.store_view.replica.at)
         return needed
 
     def _rest(self) -> None:
-        """Let watchers follow the store; their news proves that it is there."""
+        """Let store followers follow the store; their news proves that it is there."""
         now = self.timing.monotonic()
         self.outages.regained(now)
         if now - self._failed_at > _FORGIVE_S:
-            self.relay.gossip.linked = True
+            self.follow_role.gossip.linked = True
 
     async def _try_step(self) -> None:
         try:
@@ -110,10 +110,10 @@
             self._is_up(True, "")
         except HistoryGoneError:
             self._list_first = True
-            self.journal.state("store-history-gone", after=self.beliefs.replica.at)
+            self.events.state("store-history-gone", after=self.store_view.replica.at)
         except StoreUnavailableError as error:
             self._failed(str(error))
-            soon = self._list_first or self.relay.first_in_line(self.timing.monotonic())
+            soon = self._list_first or self.follow_role.is_first_in_line(self.timing.monotonic())
             most_s = _MOST_BACKOFF_S if soon else _MOST_BACKOFF_BESIDE_S
             wait_s = backoff_s(self._failures, self.timing.rng, base_s=0.1, most_s=most_s)
             await asyncio.sleep(0.05 + wait_s)
@@ -130,49 +130,49 @@
             if first:
                 delta = await self.store.listing()
             else:
-                delta = await self.store.watch(self.beliefs.replica.at, WATCH_S)
+                delta = await self.store.watch(self.store_view.replica.at, WATCH_S)
         except StoreUnavailableError:
             self._list_first = first
             raise
         now = self.timing.monotonic()
         self.outages.regained(now)
-        self.beliefs.told_by_store_at = now
-        self.beliefs.apply(delta, now)
+        self.store_view.store_answered_at = now
+        self.store_view.apply(delta, now)
         if first:
             await asyncio.sleep(_FIRST_GATHER_S)
         elif delta.items or delta.removals:
             self.tell()
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_PAUSE_S)
 
     def _is_up(self, up: bool, problem: str) -> None:
-        self.relay.gossip.linked = up
+        self.follow_role.gossip.linked = up
         if up != self.up:
             self.up = up
-            self.journal.state("store", up=up, problem=problem, at=self.beliefs.replica.at)
+            self.events.state("store", up=up, problem=problem, at=self.store_view.replica.at)
 
 
-class NeighbourFollower:
-    """Takes over from neighbours what the store has not told here.
+class PeerFollower:
+    """Takes over from peers what the store has not told here.
 
     Args:
-        beliefs: What this machine believes.
+        store_view: What this VM holds of the store.
         gossip: Who is there and knows how much.
-        relay: Told of what became of it.
-        heartbeats: Tells when a watcher has told of something that is not known here.
+        follow_role: Told of what became of it.
+        heartbeats: Tells when a store follower has told of something that is not known here.
         timing: Sources of time and randomness.
     """
 
     def __init__(
         self,
-        beliefs: Beliefs,
+        store_view: StoreView,
         gossip: Gossip,
-        relay: Relay,
+        follow_role: FollowRole,
         heartbeats: Heartbeats,
         timing: Timing,
     ) -> None:
-        self.beliefs = beliefs
+        self.store_view = store_view
         self.gossip = gossip
-        self.relay = relay
+        self.follow_role = follow_role
         self.heartbeats = heartbeats
         self.timing = timing
         self.taken = 0
@@ -184,26 +184,26 @@
         while True:
             try:
                 async with asyncio.timeout(_ASK_S):
-                    await self.heartbeats.known_less.wait()
+                    await self.heartbeats.behind.wait()
             except TimeoutError:
                 pass
-            self.heartbeats.known_less.clear()
+            self.heartbeats.behind.clear()
             await self.step()
 
     async def step(self) -> None:
-        """Ask a neighbour that knows more than is known here.
+        """Ask a peer that knows more than is known here.
 
-        A watcher's news is followed at once. What heartbeats tell is followed at the second look,
-        as a watcher's news is probably on its way.
+        A progress notice is followed at once. A newer revision in a heartbeat is followed at the
+        second look, as a notice is probably on its way.
         """
-        if not self.beliefs.known:
+        if not self.store_view.has_configuration:
             await self._begin()
             return
         now = self.timing.monotonic()
-        told_by = self.relay.ahead_of_us
-        known = self.gossip.ahead(self.beliefs.replica.at, now)
-        known = [name for name in known if name in self.beliefs.members]
-        if told_by in self.beliefs.members:
+        told_by = self.follow_role.peer_ahead
+        known = self.gossip.ahead(self.store_view.replica.at, now)
+        known = [name for name in known if name in self.store_view.members]
+        if told_by in self.store_view.members:
             await self._ask(told_by)
         elif not known:
             self._behind = False
@@ -213,30 +213,30 @@
             await self._ask(self.timing.rng.choice(known))
 
     async def _begin(self) -> None:
-        """Start from a neighbour when the store has not answered yet.
+        """Start from a peer when the store has not answered yet.
 
-        A machine that comes back is still registered, so that others send it heartbeats.
+        A VM that comes back is still registered, so that others send it heartbeats.
         """
-        address = self.heartbeats.heard_from
+        address = self.heartbeats.last_peer_address
         if address is None or not self._begins_late():
             return
         delta = await fetch_delta(address, 0)
-        if delta is not None and not self.beliefs.known:
+        if delta is not None and not self.store_view.has_configuration:
             self.taken += 1
-            self.beliefs.apply(delta, self.timing.monotonic())
+            self.store_view.apply(delta, self.timing.monotonic())
 
     def _begins_late(self) -> bool:
         """Tell whether the store has had its time to answer."""
         return self.timing.monotonic() - self._started_at >= _STORE_FIRST_S
 
     async def _ask(self, name: str) -> None:
-        member = self.beliefs.members[name]
-        delta = await fetch_delta(member.peer_address, self.beliefs.replica.at)
+        member = self.store_view.members[name]
+        delta = await fetch_delta(member.peer_address, self.store_view.replica.at)
         now = self.timing.monotonic()
         if delta is None:
-            self.relay.doubt(now)
+            self.follow_role.distrust_peers(now)
             return
         self.taken += 1
-        self.beliefs.apply(delta, now)
-        self.relay.look_whether_caught_up()
+        self.store_view.apply(delta, now)
+        self.follow_role.check_caught_up()
         await asyncio.sleep(_SPACING_S)
--- a/sprucewinch/gateway/header_names.py
+++ b/sprucewinch/gateway/header_names.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class Names(NamedTuple):
+class HeaderNames(NamedTuple):
     """Names of headers and cookies on the wire; lower case.
 
     Args:
--- a/sprucewinch/gateway/internal_apps.py
+++ b/sprucewinch/gateway/internal_apps.py
@@ -1,4 +1,4 @@
-"""Small ASGI applications: readiness, neighbours and metrics."""
+"""Small ASGI applications: readiness, peers and metrics."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -6,7 +6,7 @@
 
 from ..net.asgi import Receive, Send
 from .following.deltas import DELTA_PATH, encode_delta
-from .state.store_view import Beliefs
+from .state.store_view import StoreView
 
 
 async def send_bytes(send: Send, status: int, body: bytes, kind: str = "text/plain") -> None:
@@ -19,15 +19,15 @@
     await send({"type": "http.response.body", "body": body})
 
 
-class PeerApp:
-    """Hands on to neighbours what this machine knows.
+class DeltaApp:
+    """Hands on to peers what this VM knows.
 
     Args:
-        beliefs: What this machine believes.
+        store_view: What this VM holds of the store.
     """
 
-    def __init__(self, beliefs: Beliefs) -> None:
-        self.beliefs = beliefs
+    def __init__(self, store_view: StoreView) -> None:
+        self.store_view = store_view
 
     async def __call__(self, scope: dict[str, Any], _receive: Receive, send: Send) -> None:
         """Serve one request."""
@@ -35,7 +35,7 @@
         if scope["path"] != DELTA_PATH or not after.isdigit():
             await send_bytes(send, 404, b"")
             return
-        delta = self.beliefs.replica.since(int(after))
+        delta = self.store_view.replica.since(int(after))
         await send_bytes(send, 200, encode_delta(delta), "application/msgpack")
 
 
--- a/sprucewinch/gateway/listeners.py
+++ b/sprucewinch/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""The HTTP listeners of one machine, with limits that follow the configuration."""
+"""The HTTP listeners of one VM, with limits that follow the configuration."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 _LOOK_S = 0.005
 
 
-class Listening:
+class Listeners:
     """Starts listeners and keeps their limits.
 
     Args:
@@ -48,7 +48,7 @@
         while not server.started:
             await asyncio.sleep(_LOOK_S)
 
-    def accept_no_more(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuse new connections and end those that rest; requests in flight go on."""
         for server in self.servers:
             server.should_exit = True
--- a/sprucewinch/gateway/membership/directory.py
+++ b/sprucewinch/gateway/membership/directory.py
@@ -2,16 +2,16 @@
 
 from typing import NamedTuple
 
-from ..state.store_view import Beliefs
+from ..state.store_view import StoreView
 from .gossip import Gossip
 
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 LOOKUP_TTL_S = 1.0
-"""How long callers may keep an answer, in seconds: short, so that they soon leave a machine that
+"""How long callers may keep an answer, in seconds: short, so that they soon leave a VM that
 stops, and an answer costs little."""
 
 
-class Found(NamedTuple):
+class DirectoryAnswer(NamedTuple):
     """The answer to a look-up.
 
     Args:
@@ -27,13 +27,13 @@
     """Answers look-ups from what is believed, without asking anybody.
 
     Args:
-        beliefs: Registered machines.
+        store_view: Registered VMs.
         gossip: Who of them is there.
         ttl_s: Longest time that an answer may be kept, in seconds.
     """
 
-    def __init__(self, beliefs: Beliefs, gossip: Gossip, ttl_s: float) -> None:
-        self.beliefs = beliefs
+    def __init__(self, store_view: StoreView, gossip: Gossip, ttl_s: float) -> None:
+        self.store_view = store_view
         self.gossip = gossip
         self.limit(ttl_s)
 
@@ -41,7 +41,7 @@
         """Change the longest time that an answer may be kept, in seconds."""
         self.ttl_s = min(ttl_s, LOOKUP_TTL_S)
 
-    def find(self, region: str, now: float) -> Found:
+    def find(self, region: str, now: float) -> DirectoryAnswer:
         """Return the entry VMs for callers of a region: its own, else all others.
 
         Args:
@@ -50,9 +50,9 @@
         """
         members = [
             member
-            for member in self.beliefs.members.values()
-            if self.gossip.takes_callers(member.name, now)
+            for member in self.store_view.members.values()
+            if self.gossip.accepts_callers(member.name, now)
         ]
         near = [member for member in members if member.region == region]
         chosen = sorted(member.caller_address for member in near or members)
-        return Found(tuple(chosen[:MOST_ADDRESSES]), self.ttl_s)
+        return DirectoryAnswer(tuple(chosen[:MAX_ADDRESSES]), self.ttl_s)
--- a/sprucewinch/gateway/membership/heartbeats.py
+++ b/sprucewinch/gateway/membership/heartbeats.py
@@ -10,16 +10,16 @@
 import msgspec
 
 from ...net.address import parse_address
-from ..following.follow_role import NEWS_S, News, Relay
-from ..regions.region_reports import MEASURE_S, MeasureBoard, Measured
-from ..servers.backend_registry import ServerBook
-from ..servers.outliers import Outliers
-from ..state.store_view import Beliefs
-from .gossip import BEAT_S, Beat, Gossip
+from ..following.follow_role import NOTICE_S, FollowRole, ProgressNotice
+from ..regions.region_reports import REPORT_S, RegionReport, RegionReports
+from ..servers.backend_registry import BackendRegistry
+from ..servers.outliers import OutlierDetector
+from ..state.store_view import StoreView
+from .gossip import HEARTBEAT_S, Gossip, Heartbeat
 
 
-class Crowded(msgspec.Struct, array_like=True, frozen=True, tag="crowded"):
-    """A backend server's word that requests wait at it, passed on by the machine that heard it.
+class OverloadReport(msgspec.Struct, array_like=True, frozen=True, tag="crowded"):
+    """A backend server's word that requests wait at it, passed on by the VM that heard it.
 
     Args:
         server: Id of the server.
@@ -32,7 +32,7 @@
     waiting: int
 
 
-class BadSample(msgspec.Struct, array_like=True, frozen=True, tag="bad"):
+class FailureReport(msgspec.Struct, array_like=True, frozen=True, tag="bad"):
     """A request that failed at a backend server, or took far longer than usual.
 
     Args:
@@ -42,20 +42,20 @@
     server: str
 
 
-Message = Union[Beat, News, Crowded, BadSample, Measured]
+Message = Union[Heartbeat, ProgressNotice, OverloadReport, FailureReport, RegionReport]
 
 
 class Heartbeats(asyncio.DatagramProtocol):
-    """Sends this machine's heartbeats and learns from those of others.
+    """Sends this VM's heartbeats and learns from those of others.
 
     Args:
         gossip: Who is there.
-        beliefs: Registered machines.
-        relay: This machine's part in passing on what the store says.
-        book: Backend servers; told of those that are crowded.
+        store_view: Registered VMs.
+        follow_role: This VM's part in passing on what the store says.
+        registry: Backend servers; told of those that are crowded.
         outliers: Told of bad samples.
-        board: Told of the load of other regions.
-        ready: Tells whether this machine takes callers.
+        region_reports: Told of the load of other regions.
+        ready: Tells whether this VM takes callers.
         monotonic: Source of time.
         rng: Source of randomness.
     """
@@ -63,29 +63,29 @@
     def __init__(  # noqa: PLR0913  each part that hears of a datagram is handed in by name
         self,
         gossip: Gossip,
-        beliefs: Beliefs,
-        relay: Relay,
-        book: ServerBook,
-        outliers: Outliers,
-        board: MeasureBoard,
+        store_view: StoreView,
+        follow_role: FollowRole,
+        registry: BackendRegistry,
+        outliers: OutlierDetector,
+        region_reports: RegionReports,
         *,
         ready: Callable[[], bool],
         monotonic: Callable[[], float],
         rng: random.Random,
     ) -> None:
         self.gossip = gossip
-        self.beliefs = beliefs
-        self.relay = relay
-        self.book = book
+        self.store_view = store_view
+        self.follow_role = follow_role
+        self.registry = registry
         self.outliers = outliers
-        self.board = board
-        self.own_measures: Callable[[float], Optional[Measured]] = lambda _now: None
+        self.region_reports = region_reports
+        self.own_report: Callable[[float], Optional[RegionReport]] = lambda _now: None
         self.ready = ready
         self.monotonic = monotonic
         self.rng = rng
         self.transport: Optional[asyncio.DatagramTransport] = None
-        self.known_less = asyncio.Event()
-        self.heard_from: Optional[str] = None
+        self.behind = asyncio.Event()
+        self.last_peer_address: Optional[str] = None
 
     async def listen(self, address: str) -> None:
         """Receive at an address.
@@ -102,65 +102,67 @@
     async def run(self) -> None:
         """Send to a few others, again and again."""
         while True:
-            self.send(self.gossip.partners(self.beliefs.members))
-            await asyncio.sleep(BEAT_S * self.rng.uniform(0.9, 1.1))
+            self.send(self.gossip.partners(self.store_view.members))
+            await asyncio.sleep(HEARTBEAT_S * self.rng.uniform(0.9, 1.1))
 
-    async def run_news(self) -> None:
-        """Tell others what the store says while this machine follows it, again and again."""
+    async def run_notices(self) -> None:
+        """Tell others what the store says while this VM follows it, again and again."""
         while True:
-            await asyncio.sleep(NEWS_S * self.rng.uniform(0.9, 1.1))
-            if self.relay.follows_store(self.monotonic()):
-                self.tell_news(changed=False)
+            await asyncio.sleep(NOTICE_S * self.rng.uniform(0.9, 1.1))
+            if self.follow_role.follows_store(self.monotonic()):
+                self.send_notice(changed=False)
 
-    async def run_measures(self) -> None:
-        """Tell others of this region's load while this machine is its watcher, again and again."""
+    async def run_reports(self) -> None:
+        """Send reports of this region's load while this VM is one of its store followers."""
         while True:
-            await asyncio.sleep(MEASURE_S * self.rng.uniform(0.9, 1.1))
+            await asyncio.sleep(REPORT_S * self.rng.uniform(0.9, 1.1))
             now = self.monotonic()
-            measured = self.own_measures(now) if self.relay.chosen(now) else None
-            if measured is None:
+            service_reads_measures = (
+                self.own_report(now) if self.follow_role.is_elected(now) else None
+            )
+            if service_reads_measures is None:
                 continue
-            self.board.take(measured, now)
-            data = msgspec.msgpack.encode(measured)
-            for member in self.relay.audience(changed=True):
+            self.region_reports.take(service_reads_measures, now)
+            data = msgspec.msgpack.encode(service_reads_measures)
+            for member in self.follow_role.recipients(changed=True):
                 self._send(data, member.peer_address)
 
-    def tell_news(self, *, changed: bool) -> None:
+    def send_notice(self, *, changed: bool) -> None:
         """Tell others what the store says.
 
         Args:
-            changed: True when this machine has just learnt something.
+            changed: True when this VM has just learnt something.
         """
-        news = self.relay.news(self.monotonic())
-        if news is None:
+        notice = self.follow_role.notice(self.monotonic())
+        if notice is None:
             return
-        data = msgspec.msgpack.encode(news)
-        for member in self.relay.audience(changed):
+        data = msgspec.msgpack.encode(notice)
+        for member in self.follow_role.recipients(changed):
             self._send(data, member.peer_address)
 
-    def tell_crowded(self, server_id: str, running: int, waiting: int) -> None:
-        """Tell other machines that requests wait at a backend server.
+    def report_overload(self, server_id: str, running: int, waiting: int) -> None:
+        """Tell other VMs that requests wait at a backend server.
 
-        A machine of a large fleet sends each server so few requests that it would not hear of it.
+        A VM of a large fleet sends each server so few requests that it would not hear of it.
         """
-        self._tell_some(Crowded(server_id, running, waiting))
+        self._tell_some(OverloadReport(server_id, running, waiting))
 
-    def tell_bad_sample(self, server_id: str) -> None:
-        """Tell other machines of a request that failed at a backend server or took long."""
-        self._tell_some(BadSample(server_id))
+    def report_failure(self, server_id: str) -> None:
+        """Tell other VMs of a request that failed at a backend server or took long."""
+        self._tell_some(FailureReport(server_id))
 
     def _tell_some(self, message: Message) -> None:
         data = msgspec.msgpack.encode(message)
-        for member in self.relay.audience(changed=False):
+        for member in self.follow_role.recipients(changed=False):
             self._send(data, member.peer_address)
 
     def send(self, names: Iterable[str]) -> None:
-        """Send one heartbeat to some machines."""
+        """Send one heartbeat to some VMs."""
         self.gossip.open = self.ready()
-        beat = self.gossip.tick(self.monotonic(), self.beliefs.known_to)
+        beat = self.gossip.tick(self.monotonic(), self.store_view.complete_revision)
         data = msgspec.msgpack.encode(beat)
         for name in names:
-            member = self.beliefs.members.get(name)
+            member = self.store_view.members.get(name)
             if member is not None:
                 self._send(data, member.peer_address)
 
@@ -172,20 +174,22 @@
         """Learn from a message; what is none is dropped."""
         with contextlib.suppress(msgspec.MsgspecError):
             message = msgspec.msgpack.decode(data, type=Message)
-            self.heard_from = f"{addr[0]}:{addr[1]}"
+            self.last_peer_address = f"{addr[0]}:{addr[1]}"
             self._take(message, self.monotonic())
 
     def _take(self, message: Message, now: float) -> None:
-        if isinstance(message, Beat):
+        if isinstance(message, Heartbeat):
             self.gossip.take(message, now)
-        elif isinstance(message, Crowded):
-            self.book.heard_crowded(message.server, message.running, message.waiting, now)
-        elif isinstance(message, BadSample):
+        elif isinstance(message, OverloadReport):
+            self.registry.record_overload_report(
+                message.server, message.running, message.waiting, now
+            )
+        elif isinstance(message, FailureReport):
             self.outliers.heard(message.server, now)
-        elif isinstance(message, Measured):
-            self.board.take(message, now)
-        elif self.relay.take(message, now):
-            self.known_less.set()
+        elif isinstance(message, RegionReport):
+            self.region_reports.take(message, now)
+        elif self.follow_role.take(message, now):
+            self.behind.set()
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore a machine that is not there."""
+        """Ignore a VM that is not there."""
--- a/sprucewinch/gateway/regions/policies.py
+++ b/sprucewinch/gateway/regions/policies.py
@@ -5,7 +5,7 @@
 from ...errors import PolicyError, SettingsError
 from ...steering.policy import Policy, ProgramPolicy, shipped_policies
 from ..resources import PolicyChoice, PolicyProgram
-from ..state.store_view import Beliefs, Change
+from ..state.store_view import Change, StoreView
 
 DEFAULT_POLICY = "capacity"
 _MEASURED = ("in_use", "headroom", "latency_ms", "demand_per_s")
@@ -15,14 +15,14 @@
 """Name that a choice carries when it is for every service without one of its own."""
 
 
-class PolicyBook:
+class PolicyTable:
     """Programs by name and choices by service.
 
     A program that cannot be used is reported; the last good one of its name stays in force.
 
     Args:
-        beliefs: What this machine believes.
-        trouble: Told of a program that cannot be used, with the cause.
+        store_view: What this VM holds of the store.
+        on_unreadable: Told of a program that cannot be used, with the cause.
         default: Shipped policy of services without a choice.
 
     Raises:
@@ -31,8 +31,8 @@
 
     def __init__(
         self,
-        beliefs: Beliefs,
-        trouble: Callable[[str, str], None] = lambda _key, _cause: None,
+        store_view: StoreView,
+        on_unreadable: Callable[[str, str], None] = lambda _key, _cause: None,
         *,
         default: str = DEFAULT_POLICY,
     ) -> None:
@@ -41,11 +41,11 @@
             raise SettingsError(
                 f"no policy {default!r} is shipped", f"name one of {', '.join(shipped)}"
             )
-        self.trouble = trouble
+        self.on_unreadable = on_unreadable
         self.default = default
         self.programs: dict[str, Policy] = {n: ProgramPolicy(n, s) for n, s in shipped.items()}
         self.choices: dict[str, str] = {}
-        beliefs.listeners.append(self._learn)
+        store_view.listeners.append(self._learn)
 
     def name_for(self, service: str) -> str:
         """Return the name of the policy in force for a service."""
@@ -57,13 +57,13 @@
         return self.programs[self.name_for(service)]
 
     @property
-    def steers_by_measures(self) -> bool:
+    def reads_measures_anywhere(self) -> bool:
         """Tell whether a policy that may be in force reads measures of load or latency."""
         names = {self.default, *self.choices.values()}
         programs = (self.programs[name] for name in names if name in self.programs)
         return any(reads_measures(program) for program in programs)
 
-    def measured(self, service: str) -> bool:
+    def service_reads_measures(self, service: str) -> bool:
         """Tell whether the policy in force for a service reads measures."""
         return reads_measures(self.policy_for(service))
 
@@ -79,7 +79,7 @@
         try:
             self.programs[program.name] = ProgramPolicy(program.name, program.source)
         except PolicyError as error:
-            self.trouble(key, str(error))
+            self.on_unreadable(key, str(error))
 
 
 def reads_measures(policy: Policy) -> bool:
--- a/sprucewinch/gateway/regions/region_reports.py
+++ b/sprucewinch/gateway/regions/region_reports.py
@@ -1,8 +1,8 @@
 """What regions tell each other of their load and latency, for policies that steer by them.
 
-One machine of each region, a watcher, tells all others what it has seen of its region's backend
+One VM of each region, a store follower, tells all others what it has seen of its region's backend
 servers. Everybody steers by the same figures, so that an object has the same region at every
-machine of a region. Nothing is told while no policy reads them (`PolicyBook.steers_by_measures`).
+VM of a region. Nothing is told while no policy reads them (`PolicyTable.steers_by_measures`).
 """
 
 from collections.abc import Callable, Iterable
@@ -11,13 +11,13 @@
 import msgspec
 
 from ...steering.measures import RegionMeasures
-from ..servers.backend_registry import ServerBook
-from ..servers.backend_server import Server
+from ..servers.backend_registry import BackendRegistry
+from ..servers.backend_server import BackendServer
 
-MEASURE_S = 1.0
+REPORT_S = 1.0
 """How often a region's figures are told, in seconds."""
 
-KEPT_S = 10.0
+REPORT_MAX_AGE_S = 10.0
 """How long figures are kept, in seconds; the guard treats old ones as missing long before."""
 
 _SEEN_S = 5.0
@@ -26,7 +26,7 @@
 _MS = 1000.0
 
 
-class ServiceMeasure(msgspec.Struct, array_like=True, frozen=True):
+class ServiceReport(msgspec.Struct, array_like=True, frozen=True):
     """One service in one region.
 
     Args:
@@ -42,45 +42,45 @@
     demand_per_s: float
 
 
-class Measured(msgspec.Struct, array_like=True, frozen=True, tag="measured"):
-    """What a watcher has seen of its own region.
+class RegionReport(msgspec.Struct, array_like=True, frozen=True, tag="measured"):
+    """What a store follower has seen of its own region.
 
     Args:
-        sender: Name of the watcher.
+        sender: Name of the store follower.
         region: Its region.
         services: Its services.
     """
 
     sender: str
     region: str
-    services: tuple[ServiceMeasure, ...]
+    services: tuple[ServiceReport, ...]
 
 
-class Held(NamedTuple):
+class HeldReport(NamedTuple):
     """A measure and when it was heard, as monotonic time in seconds."""
 
-    measure: ServiceMeasure
+    measure: ServiceReport
     at: float
 
 
-class MeasureBoard:
+class RegionReports:
     """The newest figures of all regions.
 
     Args:
-        book: Backend servers, as this machine sees them.
-        name: Name of this machine.
+        registry: Backend servers, as this VM sees them.
+        name: Name of this VM.
         region: Its region.
     """
 
-    def __init__(self, book: ServerBook, name: str, region: str) -> None:
-        self.book = book
+    def __init__(self, registry: BackendRegistry, name: str, region: str) -> None:
+        self.registry = registry
         self.name = name
         self.region = region
-        self.held: dict[tuple[str, str], Held] = {}
+        self.held: dict[tuple[str, str], HeldReport] = {}
         self.heard = 0
 
-    def measure(self, demand_per_s: Callable[[str], float], now: float) -> Measured:
-        """Return what this machine has seen of its own region.
+    def measure(self, demand_per_s: Callable[[str], float], now: float) -> RegionReport:
+        """Return what this VM has seen of its own region.
 
         Args:
             demand_per_s: Returns the requests a second of the region's callers for a service.
@@ -88,15 +88,15 @@
         """
         services = tuple(
             _measure(service, self._near(servers), demand_per_s(service), now)
-            for service, servers in sorted(self.book.by_service.items())
+            for service, servers in sorted(self.registry.by_service.items())
         )
-        return Measured(self.name, self.region, services)
+        return RegionReport(self.name, self.region, services)
 
-    def take(self, measured: Measured, now: float) -> None:
-        """Take over what a region's watcher says."""
+    def take(self, service_reads_measures: RegionReport, now: float) -> None:
+        """Take over what a region's store follower says."""
         self.heard += 1
-        for measure in measured.services:
-            self.held[measured.region, measure.service] = Held(measure, now)
+        for measure in service_reads_measures.services:
+            self.held[service_reads_measures.region, measure.service] = HeldReport(measure, now)
 
     def changes(self, now: float) -> tuple[int, int]:
         """Return something that differs whenever policies may see other figures than before.
@@ -104,7 +104,9 @@
         Figures grow old without anything being heard, so while any are held it differs every
         second.
         """
-        self.held = {key: held for key, held in self.held.items() if now - held.at <= KEPT_S}
+        self.held = {
+            key: held for key, held in self.held.items() if now - held.at <= REPORT_MAX_AGE_S
+        }
         return self.heard, int(now) if self.held else 0
 
     def region_measures(
@@ -112,7 +114,7 @@
     ) -> Optional[RegionMeasures]:
         """Return what a policy is told of a region; None where nothing was heard lately."""
         held = self.held.get((region, service))
-        if held is None or now - held.at > KEPT_S:
+        if held is None or now - held.at > REPORT_MAX_AGE_S:
             return None
         latency_ms = held.measure.latency_ms
         return RegionMeasures(
@@ -125,20 +127,20 @@
     def demand_per_s(self, service: str, now: float) -> float:
         """Return the requests a second of this region's callers; 0 where nothing was heard."""
         held = self.held.get((self.region, service))
-        fresh = held is not None and now - held.at <= KEPT_S
+        fresh = held is not None and now - held.at <= REPORT_MAX_AGE_S
         return held.measure.demand_per_s if held is not None and fresh else 0.0
 
-    def _near(self, servers: Iterable[Server]) -> list[Server]:
-        regions = self.book.regions
-        return [s for s in servers if regions.get(s.backend.zone) == self.region]
+    def _near(self, servers: Iterable[BackendServer]) -> list[BackendServer]:
+        regions = self.registry.regions
+        return [s for s in servers if regions.get(s.backend.hall) == self.region]
 
 
 def _measure(
-    service: str, servers: list[Server], demand_per_s: float, now: float
-) -> ServiceMeasure:
+    service: str, servers: list[BackendServer], demand_per_s: float, now: float
+) -> ServiceReport:
     in_use = sum(server.load(now) for server in servers)
     latency_ms = _mean_ms(servers, now)
-    return ServiceMeasure(
+    return ServiceReport(
         service,
         round(in_use, 1),
         -1.0 if latency_ms is None else latency_ms,
@@ -146,7 +148,7 @@
     )
 
 
-def _mean_ms(servers: list[Server], now: float) -> Optional[float]:
+def _mean_ms(servers: list[BackendServer], now: float) -> Optional[float]:
     seen = [
         server.latency_s
         for server in servers
--- a/sprucewinch/gateway/regions/shares.py
+++ b/sprucewinch/gateway/regions/shares.py
@@ -1,13 +1,13 @@
-"""Shares of regions in force at this machine: policy, guard, then the shift cap."""
+"""Shares of regions in force at this VM: policy, guard, then the shift cap."""
 
 from ...steering.guard import GuardLimits, grant
 from ...steering.measures import RegionMeasures, Snapshot
 from ...steering.placement import Shares, make_shares
 from ...steering.policy import PolicyFault
 from ...steering.shift import ShiftCap, ShiftLimiter
-from ..servers.backend_registry import ServerBook
-from .policies import PolicyBook
-from .region_reports import MeasureBoard
+from ..servers.backend_registry import BackendRegistry
+from .policies import PolicyTable
+from .region_reports import RegionReports
 
 SHIFT_WINDOW_S = 2.0
 _CAP_SAFETY = 0.8
@@ -16,30 +16,30 @@
 
 
 class RegionShares:
-    """Shares of the callers of this machine's region, by service.
+    """Shares of the callers of this VM's region, by service.
 
     Args:
-        book: Backend servers.
+        registry: Backend servers.
         policies: Policies in force.
-        board: Load and latency of the regions, as far as they were told.
+        region_reports: Load and latency of the regions, as far as they were told.
         regions: Region of each data hall.
-        home: Region of this machine's callers.
+        home: Region of this VM's callers.
         shift_cap: Most callers that may move within a window.
     """
 
     def __init__(
         self,
-        book: ServerBook,
-        policies: PolicyBook,
-        board: MeasureBoard,
+        registry: BackendRegistry,
+        policies: PolicyTable,
+        region_reports: RegionReports,
         *,
         regions: dict[str, str],
         home: str,
         shift_cap: float,
     ) -> None:
-        self.book = book
+        self.registry = registry
         self.policies = policies
-        self.board = board
+        self.region_reports = region_reports
         self.regions = regions
         self.home = home
         self.order = tuple(dict.fromkeys(regions.values()))
@@ -60,8 +60,8 @@
 
     def tick(self, now: float) -> None:
         """Follow what has changed, then move all shares towards their targets."""
-        told = self.board.changes(now)
-        facts = (self.book.beliefs.generation, self.book.generation, told)
+        told = self.region_reports.changes(now)
+        facts = (self.registry.store_view.generation, self.registry.generation, told)
         if self._planned_for != facts:
             self._planned_for = facts
             for service in list(self.limiters):
@@ -92,8 +92,8 @@
 
     def _snapshot(self, service: str, now: float) -> Snapshot:
         capacity = dict.fromkeys(self.order, 0.0)
-        for server in self.book.usable(service):
-            region = self.regions.get(server.backend.zone)
+        for server in self.registry.usable(service):
+            region = self.regions.get(server.backend.hall)
             if region is not None:
                 capacity[region] += server.backend.capacity
         return Snapshot(
@@ -101,7 +101,7 @@
             client_region=self.home,
             regions={r: self._measures(service, r, slots, now) for r, slots in capacity.items()},
             distance_ms={r: _HOME_MS if r == self.home else _AWAY_MS for r in self.order},
-            demand_per_s=self.board.demand_per_s(service, now),
+            demand_per_s=self.region_reports.demand_per_s(service, now),
         )
 
     def _measures(self, service: str, region: str, slots: float, now: float) -> RegionMeasures:
@@ -110,7 +110,9 @@
         A policy that reads measures gets none where none were told, so that the guard lets the
         region gain nobody; for any other policy the slots are all there is to know.
         """
-        told = self.board.region_measures(region, service, slots, now)
+        told = self.region_reports.region_measures(region, service, slots, now)
         if told is not None:
             return told
-        return RegionMeasures(slots, age_s=None if self.policies.measured(service) else 0.0)
+        return RegionMeasures(
+            slots, age_s=None if self.policies.service_reads_measures(service) else 0.0
+        )
--- a/sprucewinch/gateway/requests/client_request.py
+++ b/sprucewinch/gateway/requests/client_request.py
@@ -6,11 +6,11 @@
 
 from ...net.connection import Answer
 from ..resources import Route
-from ..servers.backend_server import Server
+from ..servers.backend_server import BackendServer
 
 
 @dataclass(slots=True)
-class Call:
+class ClientRequest:
     """One attempt of a caller, read whole.
 
     Args:
@@ -22,9 +22,9 @@
         headers: Headers that are passed on, names in lower case.
         body: The whole body.
         arrived_at: Monotonic time of arrival, in seconds.
-        leaves_at: Monotonic time until which the caller waits, in seconds.
+        deadline: Monotonic time until which the caller waits, in seconds.
         key: Names the object that it is about; empty when it names none.
-        sends: What was sent so far.
+        attempts: What was sent so far.
         blocked: Why it was not sent at the last look, if it was not.
         at_server: True while a backend server may be at work on it.
     """
@@ -37,19 +37,19 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
     arrived_at: float
-    leaves_at: float
+    deadline: float
     key: str = ""
-    sends: list["Send"] = field(default_factory=list)
+    attempts: list["Attempt"] = field(default_factory=list)
     blocked: Optional["Blocked"] = None
     at_server: bool = False
 
-    def tried(self) -> set[str]:
+    def tried_servers(self) -> set[str]:
         """Return the backend servers that were tried."""
-        return {send.server_id for send in self.sends}
+        return {send.server_id for send in self.attempts}
 
-    def runs(self) -> int:
+    def possible_runs(self) -> int:
         """Return on how many backend servers it may have run."""
-        return sum(send.verdict is not Verdict.NOT_RUN for send in self.sends)
+        return sum(send.verdict is not Verdict.NOT_RUN for send in self.attempts)
 
 
 class Blocked(NamedTuple):
@@ -57,9 +57,9 @@
 
     Args:
         server_id: The server; empty when none can be used.
-        in_flight: This machine's requests there.
+        in_flight: This VM's requests there.
         window: Most that it may have there.
-        load: Requests that the server probably holds, of all machines.
+        load: Requests that the server probably holds, of all VMs.
         told_s: Age of the server's own word on its load, in seconds.
     """
 
@@ -81,7 +81,7 @@
     """It may have run."""
 
 
-class Send(NamedTuple):
+class Attempt(NamedTuple):
     """One send to a backend server.
 
     Args:
@@ -101,7 +101,7 @@
     seconds: float = 0.0
 
 
-class Refused(enum.Enum):
+class RefusalReason(enum.Enum):
     """Why the system gives an answer of its own."""
 
     NO_CONFIGURATION = "no-configuration"
@@ -120,20 +120,20 @@
 
     Args:
         answer: A backend server's answer, passed on.
-        refused: Why there is none.
+        refusal: Why there is none.
         status: HTTP status.
         retry_after_s: When to come back, in seconds; None when that was not said.
         route: Route it took, if any.
     """
 
     answer: Optional[Answer]
-    refused: Optional[Refused]
+    refusal: Optional[RefusalReason]
     status: int
     retry_after_s: Optional[float] = None
     route: Optional[Route] = None
 
 
-class Chosen(NamedTuple):
+class Selection(NamedTuple):
     """Where a request is sent next.
 
     Args:
@@ -142,6 +142,6 @@
         second: True when it is not the object's first choice.
     """
 
-    server: Server
+    server: BackendServer
     service: str
     second: bool
--- a/sprucewinch/gateway/requests/retry_budget.py
+++ b/sprucewinch/gateway/requests/retry_budget.py
@@ -1,8 +1,8 @@
-"""The fleet's limit on repeats, kept by each machine from its own counts alone.
+"""The fleet's limit on repeats, kept by each VM from its own counts alone.
 
-A machine spends at most the ratio of its own requests and its part of the slack. The sum over all
-machines then stays under the fleet's limit, whatever they know of each other; only the number of
-machines enters, and it is taken too high rather than too low.
+A VM spends at most the ratio of its own requests and its part of the slack. The sum over all
+VMs then stays under the fleet's limit, whatever they know of each other; only the number of
+VMs enters, and it is taken too high rather than too low.
 """
 
 from ..settings import Bounds
@@ -12,8 +12,8 @@
 """Part of the limit that is used: counts of callers and of backend servers differ at the edges."""
 
 
-class RepeatBudget:
-    """Repeats of one service at this machine.
+class WindowRetryBudget:
+    """Repeats of one service at this VM.
 
     Args:
         bounds: The fleet's figures.
@@ -34,17 +34,17 @@
         """Return the requests a second of callers, over the window of the budget."""
         return self.requests.count(now) / self.requests.window_s
 
-    def take(self, now: float, machines: int) -> bool:
+    def take(self, now: float, vm_count: int) -> bool:
         """Take one repeat.
 
         Args:
             now: Monotonic time, in seconds.
-            machines: How many machines share the slack.
+            vm_count: How many VMs share the slack.
 
         Returns:
             False when none is left.
         """
-        slack = self.bounds.retry_slack / max(1, machines)
+        slack = self.bounds.retry_slack / max(1, vm_count)
         allowed = _SAFETY * (self.bounds.retry_ratio * self.requests.count(now) + slack)
         if self.repeats.count(now) + 1 > allowed:
             return False
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable
 
 from ...net.connection import Answer, ConnectFailedError, ExchangeFailedError
-from ..header_names import Names
-from ..servers.backend_registry import ServerBook
-from ..servers.backend_server import Server
-from ..servers.outliers import Outliers
-from ..servers.pool import Pool
-from .client_request import Call, Chosen, Send, Verdict
-from .verdict import judge, load_of
+from ..header_names import HeaderNames
+from ..servers.backend_registry import BackendRegistry
+from ..servers.backend_server import BackendServer
+from ..servers.outliers import OutlierDetector
+from ..servers.pool import ConnectionPool
+from .client_request import Attempt, ClientRequest, Selection, Verdict
+from .verdict import judge_answer, load_report
 
 _SHED_PAUSE_S = 0.05
 _MISDIRECTED_PAUSE_S = 60.0
@@ -23,7 +23,7 @@
     """Sends requests over kept connections.
 
     Args:
-        book: Backend servers.
+        registry: Backend servers.
         outliers: Told of the fate of every request.
         pool: Connections.
         names: Names of headers.
@@ -33,81 +33,87 @@
 
     def __init__(
         self,
-        book: ServerBook,
-        outliers: Outliers,
-        pool: Pool,
-        names: Names,
+        registry: BackendRegistry,
+        outliers: OutlierDetector,
+        pool: ConnectionPool,
+        names: HeaderNames,
         monotonic: Callable[[], float],
         tell: Callable[..., None] = lambda _event, **_inputs: None,
     ) -> None:
-        self.book = book
+        self.registry = registry
         self.outliers = outliers
         self.pool = pool
         self.names = names
         self.monotonic = monotonic
         self.tell = tell
 
-    async def send(self, call: Call, chosen: Chosen, until: float, *, fresh: bool = False) -> Send:
+    async def send(
+        self, request: ClientRequest, selection: Selection, until: float, *, fresh: bool = False
+    ) -> Attempt:
         """Send a request to the chosen server.
 
         Args:
-            call: The request.
-            chosen: Where to.
+            request: The request.
+            selection: Where to.
             until: Monotonic time at which it is given up, in seconds.
             fresh: Open a new connection for it.
         """
-        server = chosen.server
+        server = selection.server
         started = self.monotonic()
-        self.book.take(server, started)
+        self.registry.take(server, started)
         try:
             async with asyncio.timeout(until - started):
-                send = await self._exchange(call, server, until, fresh)
+                send = await self._exchange(request, server, until, fresh)
         except TimeoutError:
-            send = Send(server.backend.id, Verdict.UNKNOWN, True, "timeout")
+            send = Attempt(server.backend.id, Verdict.UNKNOWN, True, "timeout")
         finally:
-            self.book.release(server, started)
-        call.at_server = False
+            self.registry.release(server, started)
+        request.at_server = False
         now = self.monotonic()
         send = send._replace(seconds=now - started)
-        self._learn(server, send, started, now, call.id)
+        self._learn(server, send, started, now, request.id)
         if server.cold(started):
             self._note_cold(server, send)
         else:
-            self._sample(server, send, call.key, now)
+            self._sample(server, send, request.key, now)
         return send
 
-    async def _exchange(self, call: Call, server: Server, until: float, fresh: bool) -> Send:
+    async def _exchange(
+        self, request: ClientRequest, server: BackendServer, until: float, fresh: bool
+    ) -> Attempt:
         backend = server.backend
         try:
             connection = await self.pool.take(backend.address, fresh=fresh)
         except ConnectFailedError:
-            return Send(backend.id, Verdict.NOT_RUN, False, "unreachable")
+            return Attempt(backend.id, Verdict.NOT_RUN, False, "unreachable")
         left_ms = max(_LEAST_DEADLINE_MS, int((until - self.monotonic()) * 1000))
-        data = self._encode(call, backend.id, backend.address, left_ms)
-        call.at_server = True
+        data = self._encode(request, backend.id, backend.address, left_ms)
+        request.at_server = True
         try:
-            answer = await connection.exchange(data, request_id=call.id, body_length=len(call.body))
+            answer = await connection.exchange(
+                data, request_id=request.id, body_length=len(request.body)
+            )
         except ExchangeFailedError as error:
-            return Send(backend.id, Verdict.UNKNOWN, True, str(error))
+            return Attempt(backend.id, Verdict.UNKNOWN, True, str(error))
         self.pool.give_back(backend.address, connection, _keep_alive_s(answer))
-        judged = judge(answer, self.names, call.id)
-        return Send(backend.id, judged.verdict, True, judged.why, answer)
+        judged = judge_answer(answer, self.names, request.id)
+        return Attempt(backend.id, judged.verdict, True, judged.why, answer)
 
-    def _encode(self, call: Call, server_id: str, address: str, left_ms: int) -> bytes:
-        lines = [f"{call.method} {call.target} HTTP/1.1", f"host: {call.host or address}"]
-        lines += [f"{name}: {value}" for name, value in call.headers]
+    def _encode(self, request: ClientRequest, server_id: str, address: str, left_ms: int) -> bytes:
+        lines = [f"{request.method} {request.target} HTTP/1.1", f"host: {request.host or address}"]
+        lines += [f"{name}: {value}" for name, value in request.headers]
         lines.append(f"{self.names.expected}: {server_id}")
         lines.append(f"{self.names.deadline_ms}: {left_ms}")
-        if call.body or call.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
-            lines.append(f"content-length: {len(call.body)}")
-        return "\r\n".join([*lines, "", ""]).encode("latin-1") + call.body
+        if request.body or request.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
+            lines.append(f"content-length: {len(request.body)}")
+        return "\r\n".join([*lines, "", ""]).encode("latin-1") + request.body
 
-    def _note_cold(self, server: Server, send: Send) -> None:
+    def _note_cold(self, server: BackendServer, send: Attempt) -> None:
         """Note what became of a send to a cold server; it says nothing of the server itself."""
         if send.verdict is Verdict.ANSWERED or send.why == "timeout":
-            self.book.tried_cold(server, send.verdict is Verdict.ANSWERED)
+            self.registry.record_cold_attempt(server, send.verdict is Verdict.ANSWERED)
 
-    def _sample(self, server: Server, send: Send, key: str, now: float) -> None:
+    def _sample(self, server: BackendServer, send: Attempt, key: str, now: float) -> None:
         """Note what a send says of its server beside the others of its service."""
         if send.verdict is Verdict.UNKNOWN:
             self.outliers.failed(server, now, late=send.why == "timeout")
@@ -115,19 +121,19 @@
             if send.answer.status >= _FAILURE:
                 self.outliers.failed(server, now)
                 return
-            load = load_of(send.answer, self.names)
+            load = load_report(send.answer, self.names)
             held = load.running + load.waiting if load else 0
             self.outliers.answered(server, key, send.seconds, held, now)
 
     def _learn(
-        self, server: Server, send: Send, started: float, now: float, request_id: str
+        self, server: BackendServer, send: Attempt, started: float, now: float, request_id: str
     ) -> None:
         if send.answer is not None:
-            load = load_of(send.answer, self.names)
+            load = load_report(send.answer, self.names)
             if load is not None:
-                self.book.told_load(server, load.running, load.waiting, now)
+                self.registry.record_load(server, load.running, load.waiting, now)
         if send.verdict is Verdict.ANSWERED:
-            self.book.answered(server, send.seconds, now)
+            self.registry.answered(server, send.seconds, now)
         elif send.why == "misdirected":
             server.pause(now + _MISDIRECTED_PAUSE_S)
         elif send.why.startswith("shed"):
--- a/sprucewinch/gateway/requests/server_selection.py
+++ b/sprucewinch/gateway/requests/server_selection.py
@@ -9,11 +9,11 @@
 from typing import Union
 
 from ..resources import Route
-from ..servers.backend_registry import ServerBook
-from ..servers.backend_server import Server
-from ..servers.outliers import Outliers
-from .client_request import Blocked, Call, Chosen, Refused
-from .server_order import Placement
+from ..servers.backend_registry import BackendRegistry
+from ..servers.backend_server import BackendServer
+from ..servers.outliers import OutlierDetector
+from .client_request import Blocked, ClientRequest, RefusalReason, Selection
+from .server_order import Ranking
 
 _FREE_PART = 0.5
 """Part of its slots below which a server has some to spare for another of its region."""
@@ -22,87 +22,93 @@
 """Part of its slots below which it helps a server of another region that has no room at all."""
 
 
-class Admission:
+class ServerSelector:
     """Bounds what is sent to each backend server, without asking anybody.
 
     Args:
-        book: Backend servers.
+        registry: Backend servers.
         outliers: Servers that are slow or fail while others are not.
     """
 
-    def __init__(self, book: ServerBook, outliers: Outliers) -> None:
-        self.book = book
+    def __init__(self, registry: BackendRegistry, outliers: OutlierDetector) -> None:
+        self.registry = registry
         self.outliers = outliers
 
     def choose(
-        self, call: Call, placement: Placement, service: str, now: float, route: Route
-    ) -> Union[Chosen, Refused]:
+        self, request: ClientRequest, ranking: Ranking, service: str, now: float, route: Route
+    ) -> Union[Selection, RefusalReason]:
         """Choose the server of a request: the first of its object that can be used.
 
         Args:
-            call: The request.
-            placement: Its servers.
+            request: The request.
+            ranking: Its servers.
             service: Its service.
             now: Monotonic time, in seconds.
             route: Its route.
         """
-        server = self.candidate(call, placement, now)
+        server = self.candidate(request, ranking, now)
         if server is None:
-            call.blocked = Blocked("")
-            return Refused.NO_SERVER
+            request.blocked = Blocked("")
+            return RefusalReason.NO_SERVER
         room = not server.more_urgent_waits(route.priority) and self._has_room(server, now, route)
         if not room or server.load(now) >= server.backend.capacity:
-            helper = self._helper(call, placement, server, now)
-            if helper is not None and (not room or self._is_near(helper, placement)):
-                return Chosen(helper, service, True)
+            helper = self._helper(request, ranking, server, now)
+            if helper is not None and (not room or self._is_near(helper, ranking)):
+                return Selection(helper, service, True)
         if not room:
-            call.blocked = _blocked(server, now)
-            return Refused.NO_ROOM
-        return Chosen(server, service, server is not placement.servers[0])
+            request.blocked = _blocked(server, now)
+            return RefusalReason.NO_ROOM
+        return Selection(server, service, server is not ranking.servers[0])
 
-    def candidate(self, call: Call, placement: Placement, now: float) -> Server | None:
+    def candidate(
+        self, request: ClientRequest, ranking: Ranking, now: float
+    ) -> BackendServer | None:
         """Return the server that a request belongs to now; None when it has been everywhere."""
-        tried = call.tried()
-        untried = [s for s in placement.servers if s.backend.id not in tried]
+        tried_servers = request.tried_servers()
+        untried = [s for s in ranking.servers if s.backend.id not in tried_servers]
         for server in untried:
             if self._reachable(server, now):
                 return server
         resting = [server for server in untried if not server.cold(now)]
         return resting[0] if resting else None
 
-    def _helper(self, call: Call, placement: Placement, full: Server, now: float) -> Server | None:
+    def _helper(
+        self, request: ClientRequest, ranking: Ranking, full: BackendServer, now: float
+    ) -> BackendServer | None:
         """Return the server after a full one in its object's order, if it has slots to spare.
 
         It is always the same one, so that it soon keeps the object warm too.
         """
-        at = placement.servers.index(full) + 1
-        if at >= len(placement.servers):
+        at = ranking.servers.index(full) + 1
+        if at >= len(ranking.servers):
             return None
-        server = placement.servers[at]
-        if server.backend.id in call.tried() or not self._reachable(server, now):
+        server = ranking.servers[at]
+        if server.backend.id in request.tried_servers() or not self._reachable(server, now):
             return None
-        part = _FREE_PART if at < placement.near else _IDLE_PART
+        part = _FREE_PART if at < ranking.near else _IDLE_PART
         return server if server.load(now) < server.backend.capacity * part else None
 
-    def _is_near(self, server: Server, placement: Placement) -> bool:
-        return server in placement.servers[: placement.near]
+    def _is_near(self, server: BackendServer, ranking: Ranking) -> bool:
+        return server in ranking.servers[: ranking.near]
 
-    def _reachable(self, server: Server, now: float) -> bool:
+    def _reachable(self, server: BackendServer, now: float) -> bool:
         if server.paused_until > now or server.silent(now) or self.outliers.ejected(server, now):
             return False
-        return not server.cold(now) or server.cold_allowed(now, self.book.cold_allowance(server))
+        return not server.cold(now) or server.cold_allowed(
+            now, self.registry.cold_allowance(server)
+        )
 
-    def _has_room(self, server: Server, now: float, route: Route) -> bool:
-        if server.in_flight >= int(server.window):
+    def _has_room(self, server: BackendServer, now: float, route: Route) -> bool:
+        if server.in_flight >= int(server.concurrency_limit):
             return False
-        return server.load(now) < self.book.most_load(server, route.timeout_s)
+        return server.load(now) < self.registry.load_limit(server, route.timeout_s)
 
 
-def _blocked(server: Server, now: float) -> Blocked:
+def _blocked(server: BackendServer, now: float) -> Blocked:
     return Blocked(
         server.backend.id,
         server.in_flight,
-        round(server.window, 1),
+        round(server.concurrency_limit, 1),
         round(server.load(now), 1),
-        round(min(server.told_age_s(now), 1e6), 3),
+        round(min(server.load_age_s(now), 1e6), 3),
     )
--- a/sprucewinch/gateway/requests/verdict.py
+++ b/sprucewinch/gateway/requests/verdict.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple, Optional
 
 from ...net.connection import Answer
-from ..header_names import Names
+from ..header_names import HeaderNames
 from .client_request import Verdict
 
 _BAD_REQUEST = 400
@@ -11,7 +11,7 @@
 _OK = range(200, 300)
 
 
-class Judged(NamedTuple):
+class AnswerJudgement(NamedTuple):
     """The verdict on an answer.
 
     Args:
@@ -23,7 +23,7 @@
     why: str
 
 
-class Load(NamedTuple):
+class LoadReport(NamedTuple):
     """A backend server's word on its load."""
 
     running: int
@@ -31,7 +31,7 @@
     slots: int
 
 
-def judge(answer: Answer, names: Names, request_id: str) -> Judged:
+def judge_answer(answer: Answer, names: HeaderNames, request_id: str) -> AnswerJudgement:
     """Tell what an answer proves about a request.
 
     Args:
@@ -40,24 +40,24 @@
         request_id: The request's id.
     """
     if answer.header(names.not_run) is not None and answer.status == _BAD_REQUEST:
-        return Judged(Verdict.ANSWERED, "malformed")
+        return AnswerJudgement(Verdict.ANSWERED, "malformed")
     if answer.header(names.not_run) is not None:
-        return Judged(Verdict.NOT_RUN, f"shed-{answer.status}")
+        return AnswerJudgement(Verdict.NOT_RUN, f"shed-{answer.status}")
     if answer.status == _MISDIRECTED:
-        return Judged(Verdict.NOT_RUN, "misdirected")
+        return AnswerJudgement(Verdict.NOT_RUN, "misdirected")
     if request_id and answer.header(names.request_id) != request_id:
-        return Judged(Verdict.UNKNOWN, "answer-to-another")
+        return AnswerJudgement(Verdict.UNKNOWN, "answer-to-another")
     if answer.status in _OK and not answer.header(names.signature):
-        return Judged(Verdict.UNKNOWN, "unsigned")
-    return Judged(Verdict.ANSWERED, "answered")
+        return AnswerJudgement(Verdict.UNKNOWN, "unsigned")
+    return AnswerJudgement(Verdict.ANSWERED, "answered")
 
 
-def load_of(answer: Answer, names: Names) -> Optional[Load]:
+def load_report(answer: Answer, names: HeaderNames) -> Optional[LoadReport]:
     """Return the load that an answer tells; None when it tells none."""
     text = answer.header(names.load)
     if text is None:
         return None
     words = text.split(",")
-    if len(words) != len(Load._fields) or not all(word.strip().isdigit() for word in words):
+    if len(words) != len(LoadReport._fields) or not all(word.strip().isdigit() for word in words):
         return None
-    return Load(*(int(word) for word in words))
+    return LoadReport(*(int(word) for word in words))
--- a/sprucewinch/gateway/resources.py
+++ b/sprucewinch/gateway/resources.py
@@ -29,8 +29,9 @@
         parts: Services that share its requests; one for a plain route.
         repeatable: True when a request may run more than once.
         timeout_s: Longest time to hold a request, in seconds; None when unlimited.
-        aim_s: Time within which an answer earns full credit, in seconds; None when not stated.
-        attempts: Most backend servers that may run one request.
+        latency_target_s: Time within which an answer is in time, in seconds; None when not
+            stated.
+        max_attempts: Most backend servers that may run one request.
         priority: Rank, 0 the highest.
         regions: Regions that may run it; empty for all.
         affinity: True when a backend server that has lately seen the object is faster.
@@ -42,8 +43,8 @@
     parts: tuple[Part, ...]
     repeatable: bool
     timeout_s: Optional[float] = None
-    aim_s: Optional[float] = None
-    attempts: int = 1
+    latency_target_s: Optional[float] = None
+    max_attempts: int = 1
     priority: int = 0
     regions: tuple[str, ...] = ()
     affinity: bool = False
@@ -55,7 +56,7 @@
     Args:
         name: Its name.
         health_path: Path on which its backend servers say how they are; empty for none.
-        connections: Connections that one backend server accepts from all machines together.
+        connections: Connections that one backend server accepts from all VMs together.
         warmup_s: How long a backend server stays cold after its start, in seconds.
         cold_per_s: Requests a second that a cold backend server bears.
     """
@@ -99,26 +100,26 @@
     limits: CallerLimits = CallerLimits()
 
 
-class Backend(NamedTuple):
+class BackendEntry(NamedTuple):
     """One incarnation of a backend server, as the store lists it.
 
     Args:
         id: Name of this incarnation; never used again.
         service: Service that it runs.
         address: `IP:PORT`.
-        zone: Data hall.
+        hall: Data hall.
         capacity: Requests that it works on at once.
         draining: True when it is about to leave.
-        warm_in_s: How much longer it is cold, in seconds.
+        cold_for_s: How much longer it is cold, in seconds.
     """
 
     id: str
     service: str
     address: str
-    zone: str
+    hall: str
     capacity: int
     draining: bool = False
-    warm_in_s: float = 0.0
+    cold_for_s: float = 0.0
 
 
 class Member(NamedTuple):
@@ -126,14 +127,14 @@
 
     Args:
         name: Its name.
-        zone: Data hall.
+        hall: Data hall.
         region: Region.
         caller_address: `IP:PORT` for callers.
         peer_address: `IP:PORT` for other entry VMs, TCP and UDP.
     """
 
     name: str
-    zone: str
+    hall: str
     region: str
     caller_address: str
     peer_address: str
@@ -166,7 +167,7 @@
 class Evacuation(NamedTuple):
     """The operators' order to send nothing to the backend servers of a data hall."""
 
-    zone: str
+    hall: str
 
 
-Fact = Union[RouteConfiguration, Evacuation, Backend, Member, PolicyProgram, PolicyChoice]
+Resource = Union[RouteConfiguration, Evacuation, BackendEntry, Member, PolicyProgram, PolicyChoice]
--- a/sprucewinch/gateway/servers/backend_registry.py
+++ b/sprucewinch/gateway/servers/backend_registry.py
@@ -1,15 +1,15 @@
-"""All backend servers that this machine knows, and how much it may send there."""
+"""All backend servers that this VM knows, and how much it may send there."""
 
 import math
 from collections.abc import Callable, Iterable
 from typing import Optional
 
 from ..._hash import hash64
-from ..resources import Backend, Evacuation, RouteConfiguration
+from ..resources import BackendEntry, Evacuation, RouteConfiguration
 from ..settings import Bounds
-from ..state.outages import RETURN_S, StoreOutages
-from ..state.store_view import Beliefs, Change
-from .backend_server import Server
+from ..state.outages import LAPSED_ENTRY_GRACE_S, StoreOutages
+from ..state.store_view import Change, StoreView
+from .backend_server import BackendServer
 from .service_times import ServiceTimes
 
 COLD_MARGIN_S = 0.5
@@ -21,105 +21,107 @@
 """Part of the requests to a service's cold servers that have to be answered for more to be sent."""
 
 _COLD_TRIALS = 2
-"""Requests a second, all machines together, that try a cold server whose like answer too late."""
+"""Requests a second, all VMs together, that try a cold server whose like answer too late."""
 
 _COLD_KEPT = 64
 """Most times of requests that are kept for a server's cold allowance; a guess, never measured."""
 
 _TELL_CROWDED_S = 0.2
-"""Pause between telling other machines that the same server is crowded, in seconds."""
+"""Pause between telling other VMs that the same server is crowded, in seconds."""
 
 
-class ServerBook:
+class BackendRegistry:
     """All backend servers, kept in step with what is believed.
 
     Args:
-        beliefs: What this machine believes.
+        store_view: What this VM holds of the store.
         bounds: The fleet's figures.
-        name: Name of this machine.
+        name: Name of this VM.
         regions: Region of each data hall.
         outages: When the store was out of reach.
     """
 
     def __init__(
         self,
-        beliefs: Beliefs,
+        store_view: StoreView,
         bounds: Bounds,
         name: str,
         regions: dict[str, str],
         outages: StoreOutages,
     ) -> None:
-        self.beliefs = beliefs
+        self.store_view = store_view
         self.bounds = bounds
         self.name = name
         self.regions = regions
         self.outages = outages
         self.generation = 0
         self.times = ServiceTimes()
-        self.cold_answered: dict[str, float] = {}
-        self.tell_crowded: Callable[[str, int, int], None] = lambda _id, _running, _waiting: None
+        self.cold_success: dict[str, float] = {}
+        self.report_overload: Callable[[str, int, int], None] = lambda _id, _running, _waiting: None
         self.now = 0.0
         self.settled = False
-        self.unsure: list[Server] = []
-        self.servers: dict[str, Server] = {}
-        self.by_service: dict[str, tuple[Server, ...]] = {}
-        beliefs.listeners.append(self._learn)
+        self.to_probe: list[BackendServer] = []
+        self.servers: dict[str, BackendServer] = {}
+        self.by_service: dict[str, tuple[BackendServer, ...]] = {}
+        store_view.listeners.append(self._learn)
 
-    def usable(self, service: str) -> tuple[Server, ...]:
+    def usable(self, service: str) -> tuple[BackendServer, ...]:
         """Return the servers of a service that may get new requests, paused ones included."""
         return self.by_service.get(service, ())
 
-    def machines(self) -> int:
-        """Return how many machines may share the fleet's limits, rather too many than too few."""
-        return max(1, len(self.beliefs.members))
+    def vm_count(self) -> int:
+        """Return how many VMs may share the fleet's limits, rather too many than too few."""
+        return max(1, len(self.store_view.members))
 
-    def cold_allowance(self, server: Server) -> int:
-        """Return how many requests this machine may send a cold server in a second."""
-        configuration = self.beliefs.configuration
+    def cold_allowance(self, server: BackendServer) -> int:
+        """Return how many requests this VM may send a cold server in a second."""
+        configuration = self.store_view.configuration
         rule = configuration.services.get(server.backend.service) if configuration else None
         if rule is None or rule.cold_per_s <= 0:
             return server.backend.capacity
         bound = rule.cold_per_s * self.bounds.cold_over + self.bounds.cold_slack
         fleet = math.floor(_COLD_SAFETY * bound)
-        if self.cold_answered.get(server.backend.service, 1.0) < _COLD_WORTH:
+        if self.cold_success.get(server.backend.service, 1.0) < _COLD_WORTH:
             fleet = min(fleet, _COLD_TRIALS)
-        every, left_over = divmod(fleet, self.machines())
+        every, left_over = divmod(fleet, self.vm_count())
         return every + (self._rank(server.backend) < left_over)
 
-    def comes_first(self, server: Server) -> bool:
-        """Tell whether this machine is the one that tries a server before the others do."""
+    def tries_first(self, server: BackendServer) -> bool:
+        """Tell whether this VM is the one that tries a server before the others do."""
         return self._rank(server.backend) == 0
 
-    def answered(self, server: Server, seconds: float, now: float) -> None:
+    def answered(self, server: BackendServer, seconds: float, now: float) -> None:
         """Note an answer of a server's own and the time it took, in seconds."""
         server.succeeded(seconds, now)
         self.times.answered(server.backend.service, seconds)
 
-    def tried_cold(self, server: Server, answered: bool) -> None:
+    def record_cold_attempt(self, server: BackendServer, answered: bool) -> None:
         """Note whether a request that was sent to a cold server was answered in time.
 
         Where a cold server works longer on a new object than routes hold their requests, whatever
         is sent there is lost: then a few requests try, and the others go elsewhere.
         """
         service = server.backend.service
-        held = self.cold_answered.get(service, 1.0)
-        self.cold_answered[service] = held + _COLD_WEIGHT * (float(answered) - held)
+        held = self.cold_success.get(service, 1.0)
+        self.cold_success[service] = held + _COLD_WEIGHT * (float(answered) - held)
 
-    def told_load(self, server: Server, running: int, waiting: int, now: float) -> None:
+    def record_load(self, server: BackendServer, running: int, waiting: int, now: float) -> None:
         """Take over what a server says of its load; others are told when it is crowded."""
-        part = self.times.crowded_part(server.backend.service)
-        crowded = server.told_load(running, waiting, now, part)
-        if crowded and now - server.told_others_at >= _TELL_CROWDED_S:
-            server.told_others_at = now
-            self.tell_crowded(server.backend.id, running, waiting)
-
-    def heard_crowded(self, server_id: str, running: int, waiting: int, now: float) -> None:
-        """Take over what a server told another machine of its load."""
+        part = self.times.overload_queue_ratio(server.backend.service)
+        crowded = server.record_load(running, waiting, now, part)
+        if crowded and now - server.overload_reported_at >= _TELL_CROWDED_S:
+            server.overload_reported_at = now
+            self.report_overload(server.backend.id, running, waiting)
+
+    def record_overload_report(
+        self, server_id: str, running: int, waiting: int, now: float
+    ) -> None:
+        """Take over what a server told another VM of its load."""
         server = self.servers.get(server_id)
         if server is not None:
-            server.heard_load(running, waiting, now)
+            server.record_reported_load(running, waiting, now)
 
-    def most_load(self, server: Server, timeout_s: Optional[float]) -> float:
+    def load_limit(self, server: BackendServer, timeout_s: Optional[float]) -> float:
         """Return the load up to which a server takes another request of a route.
 
         Args:
@@ -127,28 +129,30 @@
             timeout_s: Longest time that the route holds a request, in seconds; None for no limit.
         """
         service = server.backend.service
-        return server.backend.capacity * self.times.turns(service, server.latency_s, timeout_s)
+        return server.backend.capacity * self.times.queue_turns(
+            service, server.latency_s, timeout_s
+        )
 
-    def take(self, server: Server, now: float) -> None:
+    def take(self, server: BackendServer, now: float) -> None:
         """Count a request that is about to be sent."""
         server.in_flight += 1
         server.started.append(now)
-        server.cold_sent.append(now)
-        if len(server.cold_sent) > _COLD_KEPT:
-            server.cold_sent.popleft()
+        server.cold_sent_at.append(now)
+        if len(server.cold_sent_at) > _COLD_KEPT:
+            server.cold_sent_at.popleft()
 
-    def release(self, server: Server, started: float) -> None:
+    def release(self, server: BackendServer, started: float) -> None:
         """Note that a request that was sent at some time is over."""
         server.in_flight -= 1
         server.started.remove(started)
-        server.call_next()
+        server.wake_next()
 
-    def _rank(self, backend: Backend) -> int:
-        """Return how many machines come before this one at a cold server: its region's first."""
-        region = self.regions.get(backend.zone, "")
+    def _rank(self, backend: BackendEntry) -> int:
+        """Return how many VMs come before this one at a cold server: its region's first."""
+        region = self.regions.get(backend.hall, "")
         draws = {
             member.name: (member.region != region, hash64(f"{backend.id}|{member.name}"))
-            for member in self.beliefs.members.values()
+            for member in self.store_view.members.values()
         }
         own = draws.get(self.name)
         if own is None:
@@ -157,69 +161,69 @@
 
     def _learn(self, change: Change) -> None:
         if isinstance(change.after, RouteConfiguration):
-            self.times.learn_aims(change.after)
+            self.times.set_latency_targets(change.after)
             return
         if isinstance(change.before, Evacuation) and change.after is None:
-            self._chill(change.before.zone)
-        if isinstance(change.after, Backend):
+            self._chill(change.before.hall)
+        if isinstance(change.after, BackendEntry):
             self._update(change.after)
-        elif isinstance(change.before, Backend) and change.after is None:
+        elif isinstance(change.before, BackendEntry) and change.after is None:
             self._lose(change.before)
         self._rebuild()
 
-    def _lose(self, backend: Backend) -> None:
+    def _lose(self, backend: BackendEntry) -> None:
         """Drop a server whose entry is gone, or keep it while its entry may only have lapsed."""
         server = self.servers.get(backend.id)
         if server is None:
             return
         if not backend.draining and self.outages.entries_may_have_lapsed(self.now):
-            server.missing_until = self.now + RETURN_S
+            server.gone_at = self.now + LAPSED_ENTRY_GRACE_S
         else:
             del self.servers[backend.id]
 
-    def drop_missing(self, now: float) -> None:
+    def drop_lapsed(self, now: float) -> None:
         """Drop servers whose entries have not come back in time after an outage of the store."""
         overdue = [
             server.backend.id
             for server in self.servers.values()
-            if server.missing_until is not None and server.missing_until <= now
+            if server.gone_at is not None and server.gone_at <= now
         ]
         for server_id in overdue:
             del self.servers[server_id]
         if overdue:
             self._rebuild()
 
-    def _update(self, backend: Backend) -> None:
+    def _update(self, backend: BackendEntry) -> None:
         server = self.servers.get(backend.id)
         new = server is None
         if server is None:
-            server = self.servers[backend.id] = Server(backend)
+            server = self.servers[backend.id] = BackendServer(backend)
         server.backend = backend
-        server.missing_until = None
-        left = backend.warm_in_s
+        server.gone_at = None
+        left = backend.cold_for_s
         if new and self.settled:
             left = max(left, self._warmup_s(backend.service))
             if self.outages.entries_may_have_lapsed(self.now):
-                self.unsure.append(server)
+                self.to_probe.append(server)
         if left > 0:
             server.cold_until = max(server.cold_until, self.now + left + COLD_MARGIN_S)
 
-    def _chill(self, zone: str) -> None:
+    def _chill(self, hall: str) -> None:
         """Count a data hall's servers as cold: it is taken back after an evacuation."""
         for server in self.servers.values():
-            if server.backend.zone == zone:
+            if server.backend.hall == hall:
                 left = self._warmup_s(server.backend.service)
                 server.cold_until = max(server.cold_until, self.now + left + COLD_MARGIN_S)
-                self.unsure.append(server)
+                self.to_probe.append(server)
 
     def health_path(self, service: str) -> str:
         """Return the path on which a service's servers say how they are; empty for none."""
-        configuration = self.beliefs.configuration
+        configuration = self.store_view.configuration
         rule = configuration.services.get(service) if configuration else None
         return rule.health_path if rule else ""
 
     def _warmup_s(self, service: str) -> float:
-        configuration = self.beliefs.configuration
+        configuration = self.store_view.configuration
         rule = configuration.services.get(service) if configuration else None
         return rule.warmup_s if rule else 3.0
 
@@ -230,12 +234,13 @@
             self.by_service[service] = tuple(
                 server
                 for server in servers
-                if not server.backend.draining and server.backend.zone not in self.beliefs.evacuated
+                if not server.backend.draining
+                and server.backend.hall not in self.store_view.evacuated
             )
 
 
-def _grouped(servers: Iterable[Server]) -> dict[str, list[Server]]:
-    groups: dict[str, list[Server]] = {}
+def _grouped(servers: Iterable[BackendServer]) -> dict[str, list[BackendServer]]:
+    groups: dict[str, list[BackendServer]] = {}
     for server in servers:
         groups.setdefault(server.backend.service, []).append(server)
     return groups
--- a/sprucewinch/gateway/servers/backend_server.py
+++ b/sprucewinch/gateway/servers/backend_server.py
@@ -1,4 +1,4 @@
-"""What this machine knows of one backend server."""
+"""What this VM knows of one backend server."""
 
 import asyncio
 import bisect
@@ -6,11 +6,11 @@
 from typing import NamedTuple, Optional
 
 from ..._hash import hash64
-from ..resources import Backend
-from .service_times import CROWDED_PART
+from ..resources import BackendEntry
+from .service_times import OVERLOAD_QUEUE_RATIO
 
 _COLD_WINDOW_S = 1.15
-"""Window of the cold limit at one machine: a second, and what differs between send and arrival."""
+"""Window of the cold limit at one VM: a second, and what differs between send and arrival."""
 
 _LOAD_HALF_LIFE_S = 0.6
 _SHRINK = 0.7
@@ -41,8 +41,8 @@
         return self.rank
 
 
-class Server:
-    """One incarnation of a backend server, as this machine sees it.
+class BackendServer:
+    """One incarnation of a backend server, as this VM sees it.
 
     Args:
         backend: The store's entry.
@@ -53,37 +53,37 @@
         "_others_at",
         "answered_at",
         "backend",
-        "cold_sent",
+        "cold_sent_at",
         "cold_until",
         "failures",
         "in_flight",
         "latency_s",
-        "missing_until",
+        "gone_at",
         "paused_until",
         "seed",
         "shrunk_at",
         "started",
-        "told_others_at",
+        "overload_reported_at",
         "waiters",
-        "window",
+        "concurrency_limit",
     )
 
-    def __init__(self, backend: Backend) -> None:
+    def __init__(self, backend: BackendEntry) -> None:
         self.backend = backend
         self.seed = hash64(backend.id) & 0xFFFFFFFF
         self.in_flight = 0
         self.cold_until = float("-inf")
-        self.cold_sent: deque[float] = deque()
+        self.cold_sent_at: deque[float] = deque()
         self.paused_until = float("-inf")
         self.failures = 0
         self.latency_s: Optional[float] = None
         self.answered_at = float("-inf")
         self.started: list[float] = []
         self.waiters: list[Waiter] = []
-        self.window = float(backend.capacity)
+        self.concurrency_limit = float(backend.capacity)
         self.shrunk_at = float("-inf")
-        self.missing_until: Optional[float] = None
-        self.told_others_at = float("-inf")
+        self.gone_at: Optional[float] = None
+        self.overload_reported_at = float("-inf")
         self._others = 0.0
         self._others_at = float("-inf")
 
@@ -99,16 +99,20 @@
         return now < self.cold_until
 
     def load(self, now: float) -> float:
-        """Return the requests that it probably holds now, those of other machines included."""
-        age = max(0.0, self.told_age_s(now))
+        """Return the requests that it probably holds now, those of other VMs included."""
+        age = max(0.0, self.load_age_s(now))
         return self.in_flight + self._others * 0.5 ** (age / _LOAD_HALF_LIFE_S)
 
-    def told_age_s(self, now: float) -> float:
+    def load_age_s(self, now: float) -> float:
         """Return the age of its own word on its load, in seconds."""
         return now - self._others_at
 
-    def told_load(
-        self, running: int, waiting: int, now: float, crowded_part: float = CROWDED_PART
+    def record_load(
+        self,
+        running: int,
+        waiting: int,
+        now: float,
+        overload_queue_ratio: float = OVERLOAD_QUEUE_RATIO,
     ) -> bool:
         """Take over what it says of its load.
 
@@ -116,30 +120,30 @@
             running: Requests that it runs.
             waiting: Requests that wait there.
             now: Monotonic time, in seconds.
-            crowded_part: Waiting requests for each slot beyond which it is crowded.
+            overload_queue_ratio: Waiting requests for each slot beyond which it is crowded.
 
         Returns:
             True when it is crowded.
         """
-        self.heard_load(running, waiting, now)
-        crowded = waiting > crowded_part * self.backend.capacity
+        self.record_reported_load(running, waiting, now)
+        crowded = waiting > overload_queue_ratio * self.backend.capacity
         if crowded:
             self.crowded(now)
         else:
-            grown = self.window + _GROWTH / self.window
-            self.window = min(float(self.backend.capacity), grown)
+            grown = self.concurrency_limit + _GROWTH / self.concurrency_limit
+            self.concurrency_limit = min(float(self.backend.capacity), grown)
         return crowded
 
-    def heard_load(self, running: int, waiting: int, now: float) -> None:
-        """Take over what it said of its load, here or to another machine."""
+    def record_reported_load(self, running: int, waiting: int, now: float) -> None:
+        """Take over what it said of its load, here or to another VM."""
         self._others = max(0.0, running + waiting - self.in_flight)
         self._others_at = now
 
     def crowded(self, now: float) -> None:
-        """Send it less at a time: too many of its requests wait, those of all machines together."""
+        """Send it less at a time: too many of its requests wait, those of all VMs together."""
         if now - self.shrunk_at >= _SHRINK_PAUSE_S:
             self.shrunk_at = now
-            self.window = max(1.0, self.window * _SHRINK)
+            self.concurrency_limit = max(1.0, self.concurrency_limit * _SHRINK)
 
     def succeeded(self, seconds: float, now: float) -> None:
         """Note an answer of its own and the time it took."""
@@ -193,7 +197,7 @@
             last.turn.set_result(False)
         return True
 
-    def call_next(self) -> None:
+    def wake_next(self) -> None:
         """Let the most urgent waiting request look for room."""
         while self.waiters:
             turn = self.waiters.pop(0).turn
@@ -207,6 +211,6 @@
 
     def cold_allowed(self, now: float, allowance: int) -> bool:
         """Tell whether one more request may be sent while it is cold."""
-        while self.cold_sent and self.cold_sent[0] <= now - _COLD_WINDOW_S:
-            self.cold_sent.popleft()
-        return len(self.cold_sent) < allowance
+        while self.cold_sent_at and self.cold_sent_at[0] <= now - _COLD_WINDOW_S:
+            self.cold_sent_at.popleft()
+        return len(self.cold_sent_at) < allowance
--- a/sprucewinch/gateway/servers/outliers.py
+++ b/sprucewinch/gateway/servers/outliers.py
@@ -1,8 +1,8 @@
 """Outlier ejection: backend servers that are slow or fail while others of their service are not.
 
 A sample is bad when its request failed, or took several times what the service usually takes
-although this machine had sent the server the same object shortly before: an object that is new to a
-server takes longer anywhere. Machines tell each other of bad samples, as one alone sees too few. An
+although this VM had sent the server the same object shortly before: an object that is new to a
+server takes longer anywhere. VMs tell each other of bad samples, as one alone sees too few. An
 ejected server's objects go to the next in their order; after a while it is tried again. Never more
 than a part of a service is ejected, as the others have to bear its load.
 """
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from .backend_registry import ServerBook
-from .backend_server import Server
+from .backend_registry import BackendRegistry
+from .backend_server import BackendServer
 
 _WINDOW_S = 2.5
 """How long samples count, in seconds."""
@@ -44,7 +44,7 @@
 """The same within a region: ejections move objects to other servers there, not to other regions."""
 
 _TRIAL_S = 1.0
-"""How long one machine alone tries a server after its ejection, in seconds."""
+"""How long one VM alone tries a server after its ejection, in seconds."""
 
 _TELL_S = 0.1
 
@@ -56,7 +56,7 @@
     bad: bool
 
 
-class Record:
+class ServerHistory:
     """What speaks for and against one server."""
 
     __slots__ = ("ejected_until", "ejections", "samples", "told_at")
@@ -93,30 +93,32 @@
         self.samples.clear()
 
 
-class Outliers:
+class OutlierDetector:
     """Judges the servers of a book.
 
     Args:
-        book: Backend servers.
-        tell: Tells other machines of a bad sample at a server.
+        registry: Backend servers.
+        tell: Tells other VMs of a bad sample at a server.
         note: Told of an ejection, for the log.
     """
 
     def __init__(
         self,
-        book: ServerBook,
+        registry: BackendRegistry,
         tell: Callable[[str], None] = lambda _server_id: None,
         note: Callable[..., None] = lambda _event, **_inputs: None,
     ) -> None:
-        self.book = book
+        self.registry = registry
         self.tell = tell
         self.note = note
-        self.records: dict[str, Record] = {}
-        self.usual_s: dict[str, float] = {}
+        self.records: dict[str, ServerHistory] = {}
+        self.typical_s: dict[str, float] = {}
         self.counts: dict[str, int] = {}
         self._sent: OrderedDict[tuple[str, str], float] = OrderedDict()
 
-    def answered(self, server: Server, key: str, seconds: float, held: int, now: float) -> None:
+    def answered(
+        self, server: BackendServer, key: str, seconds: float, held: int, now: float
+    ) -> None:
         """Note an answer of a server's own.
 
         Args:
@@ -132,7 +134,7 @@
         work_s = seconds * slots / max(slots, held)
         self._sample(server, self._is_slow(server.backend.service, work_s), now)
 
-    def failed(self, server: Server, now: float, *, late: bool = False) -> None:
+    def failed(self, server: BackendServer, now: float, *, late: bool = False) -> None:
         """Note a request that failed at a server.
 
         Args:
@@ -144,23 +146,23 @@
             self._sample(server, True, now)
 
     def heard(self, server_id: str, now: float) -> None:
-        """Take over a bad sample of another machine."""
-        server = self.book.servers.get(server_id)
+        """Take over a bad sample of another VM."""
+        server = self.registry.servers.get(server_id)
         if server is not None:
             self._add(server, Sample(now, True))
 
-    def ejected(self, server: Server, now: float) -> bool:
+    def ejected(self, server: BackendServer, now: float) -> bool:
         """Tell whether a server is to get nothing for now."""
         record = self.records.get(server.backend.id)
         if record is None:
             return False
         if record.on_trial(now):
-            return not self.book.comes_first(server)
+            return not self.registry.tries_first(server)
         return now < record.ejected_until
 
     def forget(self) -> None:
         """Drop what is known of servers that are gone."""
-        servers = self.book.servers
+        servers = self.registry.servers
         self.records = {name: r for name, r in self.records.items() if name in servers}
 
     def _kept_warm(self, server_id: str, key: str, now: float) -> bool:
@@ -172,20 +174,20 @@
         return now - before <= _WARM_S
 
     def _is_slow(self, service: str, work_s: float) -> bool:
-        usual_s = self.usual_s.get(service, work_s)
+        typical_s = self.typical_s.get(service, work_s)
         count = self.counts.get(service, 0)
         self.counts[service] = count + 1
-        self.usual_s[service] = usual_s * (1 + _STEP if work_s > usual_s else 1 - _STEP)
-        return count >= _LEAST_SAMPLES and work_s > _SLOW_TIMES * usual_s
+        self.typical_s[service] = typical_s * (1 + _STEP if work_s > typical_s else 1 - _STEP)
+        return count >= _LEAST_SAMPLES and work_s > _SLOW_TIMES * typical_s
 
-    def _sample(self, server: Server, bad: bool, now: float) -> None:
+    def _sample(self, server: BackendServer, bad: bool, now: float) -> None:
         record = self._add(server, Sample(now, bad))
         if bad and now - record.told_at >= _TELL_S:
             record.told_at = now
             self.tell(server.backend.id)
 
-    def _add(self, server: Server, sample: Sample) -> Record:
-        record = self.records.setdefault(server.backend.id, Record())
+    def _add(self, server: BackendServer, sample: Sample) -> ServerHistory:
+        record = self.records.setdefault(server.backend.id, ServerHistory())
         if sample.at < record.ejected_until:
             return record
         record.add(sample)
@@ -196,18 +198,18 @@
                 "server-ejected",
                 server=server.backend.id,
                 for_s=round(record.ejected_until - sample.at, 1),
-                usual_ms=round(1000 * self.usual_s.get(server.backend.service, 0.0), 1),
+                usual_ms=round(1000 * self.typical_s.get(server.backend.service, 0.0), 1),
             )
         return record
 
-    def _may_eject(self, server: Server, now: float) -> bool:
-        regions = self.book.regions
-        region = regions.get(server.backend.zone)
-        servers = self.book.usable(server.backend.service)
-        near = [each for each in servers if regions.get(each.backend.zone) == region]
+    def _may_eject(self, server: BackendServer, now: float) -> bool:
+        regions = self.registry.regions
+        region = regions.get(server.backend.hall)
+        servers = self.registry.usable(server.backend.service)
+        near = [each for each in servers if regions.get(each.backend.hall) == region]
         return self._fits(servers, _MOST_PART, now) and self._fits(near, _MOST_PART_OF_REGION, now)
 
-    def _fits(self, servers: Sequence[Server], part: float, now: float) -> bool:
+    def _fits(self, servers: Sequence[BackendServer], part: float, now: float) -> bool:
         """Tell whether one more of some servers may be ejected."""
         out = sum(self.ejected(server, now) for server in servers)
         return out + 1 <= part * len(servers)
--- a/sprucewinch/gateway/servers/pool.py
+++ b/sprucewinch/gateway/servers/pool.py
@@ -6,7 +6,7 @@
 
 from ...net.connection import Connection, connect
 
-CONNECT_S = 0.35
+CONNECT_TIMEOUT_S = 0.35
 """Longest wait for a new connection, in seconds."""
 
 _IDLE_S = 7.5
@@ -16,11 +16,11 @@
 _IDLE_SHARE = 0.5
 """Part of a server's connections that may rest; the others are for requests."""
 
-MOST_IDLE = 24
+MAX_IDLE = 24
 """Most resting connections to one server."""
 
 
-class Pool:
+class ConnectionPool:
     """Connections by address; the one that rested least is used first.
 
     Args:
@@ -32,7 +32,7 @@
         self.id_header = id_header
         self.monotonic = monotonic
         self.opened = 0
-        self.most_idle = MOST_IDLE
+        self.max_idle = MAX_IDLE
         self._idle: dict[str, deque[Connection]] = {}
 
     async def take(self, address: str, *, fresh: bool = False) -> Connection:
@@ -52,7 +52,7 @@
                 return connection
             connection.close()
         self.opened += 1
-        return await connect(address, CONNECT_S, id_header=self.id_header)
+        return await connect(address, CONNECT_TIMEOUT_S, id_header=self.id_header)
 
     def give_back(self, address: str, connection: Connection, keep_s: float = _IDLE_S) -> None:
         """Keep a connection whose answer was whole; close it when in doubt.
@@ -68,18 +68,18 @@
         connection.idle_until = self.monotonic() + min(_IDLE_S, keep_s * _IDLE_PART)
         idle = self._idle.setdefault(address, deque())
         idle.append(connection)
-        while len(idle) > self.most_idle:
+        while len(idle) > self.max_idle:
             idle.popleft().close()
 
-    def share(self, connections: int, machines: int) -> None:
-        """Divide the connections that servers accept among the machines.
+    def share(self, connections: int, vm_count: int) -> None:
+        """Divide the connections that servers accept among the VMs.
 
         Args:
-            connections: Connections that one server accepts from all machines together.
-            machines: How many machines there are.
+            connections: Connections that one server accepts from all VMs together.
+            vm_count: How many VMs there are.
         """
-        part = int(connections * _IDLE_SHARE / max(1, machines))
-        self.most_idle = max(1, min(MOST_IDLE, part))
+        part = int(connections * _IDLE_SHARE / max(1, vm_count))
+        self.max_idle = max(1, min(MAX_IDLE, part))
 
     def sweep(self) -> None:
         """Close what has rested too long."""
--- a/sprucewinch/gateway/servers/probe.py
+++ b/sprucewinch/gateway/servers/probe.py
@@ -10,10 +10,10 @@
 from typing import Optional
 
 from ...net.connection import Answer, get
-from ..decision_log import Journal
-from ..header_names import Names
-from .backend_registry import COLD_MARGIN_S, ServerBook
-from .backend_server import Server
+from ..decision_log import DecisionLog
+from ..header_names import HeaderNames
+from .backend_registry import COLD_MARGIN_S, BackendRegistry
+from .backend_server import BackendServer
 
 _LOOK_S = 0.05
 _TIMEOUT_S = 0.5
@@ -24,42 +24,46 @@
     """Asks the servers that the book wants asked.
 
     Args:
-        book: Backend servers.
+        registry: Backend servers.
         names: Names of headers.
-        journal: Told of each answer.
+        events: Told of each answer.
         monotonic: Source of time.
     """
 
     def __init__(
-        self, book: ServerBook, names: Names, journal: Journal, monotonic: Callable[[], float]
+        self,
+        registry: BackendRegistry,
+        names: HeaderNames,
+        events: DecisionLog,
+        monotonic: Callable[[], float],
     ) -> None:
-        self.book = book
+        self.registry = registry
         self.names = names
-        self.journal = journal
+        self.events = events
         self.monotonic = monotonic
 
     async def run(self) -> None:
         """Ask until cancelled."""
         while True:
             await asyncio.sleep(_LOOK_S)
-            asked, self.book.unsure = self.book.unsure, []
+            asked, self.registry.to_probe = self.registry.to_probe, []
             if asked:
                 await asyncio.gather(*(self.ask(server) for server in asked))
 
-    async def ask(self, server: Server) -> None:
+    async def ask(self, server: BackendServer) -> None:
         """Ask one server how long it stays cold; without a clear answer it counts as cold."""
-        path = self.book.health_path(server.backend.service)
+        path = self.registry.health_path(server.backend.service)
         if not path:
             return
-        self.journal.counters["probes"] += 1
+        self.events.counters["probes"] += 1
         answer = await get(server.backend.address, path, _TIMEOUT_S)
         left_s = None if answer is None else self._cold_left_s(answer, server)
         if left_s is not None:
             server.cold_until = self.monotonic() + left_s + COLD_MARGIN_S if left_s else 0.0
         status = 0 if answer is None else answer.status
-        self.journal.state("probe", server=server.backend.id, status=status, cold_s=left_s)
+        self.events.state("probe", server=server.backend.id, status=status, cold_s=left_s)
 
-    def _cold_left_s(self, answer: Answer, server: Server) -> Optional[float]:
+    def _cold_left_s(self, answer: Answer, server: BackendServer) -> Optional[float]:
         """Return how long a server says that it stays cold; None when it does not say."""
         left_ms = answer.header(self.names.cold_ms)
         same = answer.header(self.names.instance) == server.backend.id
--- a/sprucewinch/gateway/settings.py
+++ b/sprucewinch/gateway/settings.py
@@ -13,9 +13,9 @@
         grace_s: Time from the order to stop until the process is killed, in seconds.
         lookup_ttl_s: Longest time that callers keep a look-up answer, in seconds.
         shift_cap: Most callers of a region that may change region from one window to the next.
-        retry_ratio: Repeats allowed for each request, over all machines.
+        retry_ratio: Repeats allowed for each request, over all VMs.
         retry_window_s: Window of the retry limit, in seconds.
-        retry_slack: Repeats allowed beyond the ratio in a window, over all machines.
+        retry_slack: Repeats allowed beyond the ratio in a window, over all VMs.
         cold_over: Factor on a cold backend server's rate that is still borne.
         cold_slack: Requests beyond that factor in one second.
     """
@@ -35,7 +35,7 @@
 
     Args:
         name: Its name.
-        zone: Its data hall.
+        hall: Its data hall.
         region: Its region.
         regions: Region of each data hall.
         caller_address: `IP:PORT` for requests.
@@ -47,13 +47,13 @@
         server_heartbeat_s: How often backend servers renew their entries there, in seconds.
         max_files: Descriptors that the process may open.
         memory_bytes: Memory that the process may use.
-        link_mbps: Width of the machine's link.
+        link_mbps: Width of the VM's link.
         policy: Shipped policy of services for which operators have chosen none.
         bounds: Figures that the fleet keeps together.
     """
 
     name: str
-    zone: str
+    hall: str
     region: str
     regions: dict[str, str]
     caller_address: str
--- a/sprucewinch/gateway/state/outages.py
+++ b/sprucewinch/gateway/state/outages.py
@@ -1,4 +1,4 @@
-"""Outages of the store as this machine sees them, and what may have lapsed meanwhile.
+"""Outages of the store as this VM sees them, and what may have lapsed meanwhile.
 
 Backend servers keep their entries alive by heartbeats to the store. While the store is away those
 entries may run out although the servers live; after its return they are written again. So an
@@ -7,7 +7,7 @@
 
 from typing import Optional
 
-RETURN_S = 2.0
+LAPSED_ENTRY_GRACE_S = 2.0
 """How long after an outage entries of living servers may still be missing, in seconds."""
 
 
@@ -34,13 +34,13 @@
     def regained(self, now: float) -> None:
         """Note a call that was answered."""
         if self._long(now):
-            self._over_until = now + RETURN_S
+            self._over_until = now + LAPSED_ENTRY_GRACE_S
         self._lost_at = None
 
-    def answered_others(self, at: float, now: float) -> None:
-        """Note that the store answered another machine.
+    def answered_peer(self, at: float, now: float) -> None:
+        """Note that the store answered another VM.
 
-        Then it is this machine alone that does not reach it: backend servers do, and an entry that
+        Then it is this VM alone that does not reach it: backend servers do, and an entry that
         goes belongs to a server that has left.
 
         Args:
--- a/sprucewinch/gateway/state/own_items.py
+++ b/sprucewinch/gateway/state/own_items.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from ..resources import Fact, Member, PolicyChoice, PolicyProgram
+from ..resources import Member, PolicyChoice, PolicyProgram, Resource
 from .replica import Item
 from .store_view import MalformedItemError
 
@@ -20,34 +20,37 @@
     CHOICE_PREFIX: PolicyChoice,
 }
 
+_STORED_NAMES = {"hall": "zone"}
+"""Names of fields in stored values where they differ from the field's own; kept for older VMs."""
+
 _INDEX = re.compile(r"\$\[(\d+)\]")
 
 T = TypeVar("T")
 
 
-class Stored(NamedTuple):
+class StoredItem(NamedTuple):
     """A key and the value that it holds."""
 
     key: str
     value: bytes
 
 
-def member_item(member: Member) -> Stored:
+def member_item(member: Member) -> StoredItem:
     """Return what registers a member."""
     return _stored(MEMBER_PREFIX + member.name, member)
 
 
-def program_item(program: PolicyProgram) -> Stored:
+def program_item(program: PolicyProgram) -> StoredItem:
     """Return what loads a policy."""
     return _stored(POLICY_PREFIX + program.name, program)
 
 
-def choice_item(choice: PolicyChoice) -> Stored:
+def choice_item(choice: PolicyChoice) -> StoredItem:
     """Return what puts a policy in force for a service."""
     return _stored(CHOICE_PREFIX + choice.service, choice)
 
 
-def decode_own(item: Item) -> Optional[Fact]:
+def decode_own(item: Item) -> Optional[Resource]:
     """Return what an item of the product's own says; None for other keys.
 
     Raises:
@@ -59,12 +62,17 @@
     return None
 
 
-def _stored(key: str, fact: Any) -> Stored:
-    return Stored(key, msgspec.json.encode(fact._asdict()))
+def _stored(key: str, resource: Any) -> StoredItem:
+    names = map(_stored_name, resource._fields)
+    return StoredItem(key, msgspec.json.encode(dict(zip(names, resource, strict=True))))
+
+
+def _stored_name(field: str) -> str:
+    return _STORED_NAMES.get(field, field)
 
 
 def _decode(value: bytes, kind: type[T]) -> T:
-    names: tuple[str, ...] = kind._fields  # type: ignore[attr-defined]
+    names = tuple(map(_stored_name, kind._fields))  # type: ignore[attr-defined]
     try:
         fields = msgspec.json.decode(value, type=dict[str, object])
         return msgspec.convert(list(map(fields.get, names)), kind)
--- a/sprucewinch/gateway/state/replica.py
+++ b/sprucewinch/gateway/state/replica.py
@@ -1,6 +1,6 @@
 """A replica of the store's keys in memory: newest revision of each key, and what was removed.
 
-Items arrive from watches, listings and neighbours, in any order and more than once. A key never
+Items arrive from watches, listings and peers, in any order and more than once. A key never
 goes back to an older revision, and a removed key stays removed until a newer write.
 """
 
@@ -65,7 +65,7 @@
         """Take over what is newer.
 
         Args:
-            delta: Changes from the store or from a neighbour.
+            delta: Changes from the store or from a peer.
 
         Returns:
             The keys whose value or presence changed.
--- a/sprucewinch/gateway/state/store_view.py
+++ b/sprucewinch/gateway/state/store_view.py
@@ -1,14 +1,14 @@
-"""What this machine believes: the replica's items, decoded, each with the time it was learnt."""
+"""What this VM believes: the replica's items, decoded, each with the time it was learnt."""
 
 import abc
 from collections.abc import Callable, Iterable
 from typing import NamedTuple, Optional
 
 from ..resources import (
-    Backend,
+    BackendEntry,
     Evacuation,
-    Fact,
     Member,
+    Resource,
     RouteConfiguration,
 )
 from .replica import Delta, Item, Replica
@@ -22,7 +22,7 @@
     """Reads the store's items."""
 
     @abc.abstractmethod
-    def decode(self, item: Item) -> Optional[Fact]:
+    def decode(self, item: Item) -> Optional[Resource]:
         """Return what an item says; None when it says nothing that matters here.
 
         Raises:
@@ -41,51 +41,53 @@
     """
 
     key: str
-    before: Optional[Fact]
-    after: Optional[Fact]
+    before: Optional[Resource]
+    after: Optional[Resource]
     revision: int
 
 
 Listener = Callable[[Change], None]
 
 
-class Beliefs:
+class StoreView:
     """Decoded facts, never older than what was believed before.
 
     Args:
         decoder: Reads items.
-        trouble: Told of an item that cannot be read, with the cause.
+        on_unreadable: Told of an item that cannot be read, with the cause.
     """
 
     def __init__(
-        self, decoder: Decoder, trouble: Callable[[str, str], None] = lambda _key, _cause: None
+        self,
+        decoder: Decoder,
+        on_unreadable: Callable[[str, str], None] = lambda _key, _cause: None,
     ) -> None:
         self.replica = Replica()
         self.decoder = decoder
-        self.trouble = trouble
-        self.facts: dict[str, Fact] = {}
+        self.on_unreadable = on_unreadable
+        self.facts: dict[str, Resource] = {}
         self.configuration: Optional[RouteConfiguration] = None
-        self.backends: dict[str, Backend] = {}
+        self.backends: dict[str, BackendEntry] = {}
         self.members: dict[str, Member] = {}
         self.evacuated: frozenset[str] = frozenset()
         self.generation = 0
         self.confirmed_at = float("-inf")
-        self.told_by_store_at = float("-inf")
+        self.store_answered_at = float("-inf")
         self.revision = 0
         self.listeners: list[Listener] = []
 
     @property
-    def known(self) -> bool:
+    def has_configuration(self) -> bool:
         """Tell whether a configuration is known."""
         return self.configuration is not None
 
     @property
-    def known_to(self) -> int:
+    def complete_revision(self) -> int:
         """Return the newest revision of a fact up to which nothing is missing here."""
         return min(self.revision, self.replica.at)
 
     def apply(self, delta: Delta, now: float) -> None:
-        """Take over what a store or a neighbour says.
+        """Take over what a store or a peer says.
 
         Args:
             delta: The changes.
@@ -97,7 +99,7 @@
         if not changes:
             return
         self.generation += 1
-        self.evacuated = frozenset(e.zone for e in self._of(Evacuation))
+        self.evacuated = frozenset(e.hall for e in self._of(Evacuation))
         for change in changes:
             for listener in self.listeners:
                 listener(change)
@@ -115,29 +117,31 @@
         try:
             after = self.decoder.decode(item)
         except MalformedItemError as error:
-            self.trouble(key, str(error))
+            self.on_unreadable(key, str(error))
             return []
         if after is None or after == before:
             return []
         return self._keep(key, before, after, revision)
 
-    def _drop(self, key: str, before: Optional[Fact], revision: int) -> list[Change]:
+    def _drop(self, key: str, before: Optional[Resource], revision: int) -> list[Change]:
         if before is None or isinstance(before, RouteConfiguration):
             return []
         del self.facts[key]
-        if isinstance(before, Backend):
+        if isinstance(before, BackendEntry):
             self.backends.pop(before.id, None)
         elif isinstance(before, Member):
             self.members.pop(before.name, None)
         return [Change(key, before, None, revision)]
 
-    def _keep(self, key: str, before: Optional[Fact], after: Fact, revision: int) -> list[Change]:
+    def _keep(
+        self, key: str, before: Optional[Resource], after: Resource, revision: int
+    ) -> list[Change]:
         if isinstance(after, RouteConfiguration):
             held = self.configuration
             if held is not None and after.version <= held.version:
                 return []
             self.configuration = after
-        elif isinstance(after, Backend):
+        elif isinstance(after, BackendEntry):
             self.backends[after.id] = after
         elif isinstance(after, Member):
             self.members[after.name] = after
--- a/sprucewinch/gateway/vm_state.py
+++ b/sprucewinch/gateway/vm_state.py
@@ -1,6 +1,6 @@
-"""What a machine says of itself to operators: its beliefs with age and revision, and its shares."""
+"""What a VM says of itself to operators: its beliefs with age and revision, and its shares."""
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import msgspec
 
@@ -8,12 +8,16 @@
     from .daemon import Gateway
 
 
+_SHOWN_NAMES = {"hall": "zone"}
+"""Names of fields in `/state` where they differ from the field's own; operators read them."""
+
+
 class BackendState(NamedTuple):
-    """One backend server as this machine sees it."""
+    """One backend server as this VM sees it."""
 
     id: str
     service: str
-    zone: str
+    hall: str
     in_flight: int
     load: float
     cold: bool
@@ -21,9 +25,13 @@
     paused: bool
     latency_ms: float
 
+    def shown(self) -> dict[str, Any]:
+        """Return its row of `/state`, where the data hall is called `zone`."""
+        return {_SHOWN_NAMES.get(name, name): value for name, value in self._asdict().items()}
+
 
 class ServiceState(NamedTuple):
-    """One service's steering at this machine."""
+    """One service's steering at this VM."""
 
     service: str
     policy: str
@@ -31,8 +39,8 @@
     limits: tuple[str, ...]
 
 
-class MachineState(NamedTuple):
-    """Everything that an operator asks of one machine."""
+class VmState(NamedTuple):
+    """Everything that an operator asks of one VM."""
 
     name: str
     region: str
@@ -50,25 +58,25 @@
         table = {
             **self._asdict(),
             "services": [service._asdict() for service in self.services],
-            "backend_servers": [server._asdict() for server in self.backend_servers],
+            "backend_servers": [server.shown() for server in self.backend_servers],
         }
         return msgspec.json.encode(table).decode()
 
 
-def machine_state(gateway: "Gateway") -> MachineState:
-    """Return the state of a machine."""
+def vm_state(gateway: "Gateway") -> VmState:
+    """Return the state of a VM."""
     now = gateway.clock.monotonic()
-    beliefs = gateway.beliefs
-    configuration = beliefs.configuration
-    return MachineState(
+    store_view = gateway.store_view
+    configuration = store_view.configuration
+    return VmState(
         name=gateway.settings.name,
         region=gateway.settings.region,
         ready=gateway.ready(),
         configuration_version=configuration.version if configuration else 0,
-        store_revision=beliefs.replica.at,
-        store_age_s=round(min(now - beliefs.confirmed_at, 1e9), 3),
-        evacuated=tuple(sorted(beliefs.evacuated)),
-        members={n: gateway.gossip.takes_callers(n, now) for n in sorted(beliefs.members)},
+        store_revision=store_view.replica.at,
+        store_age_s=round(min(now - store_view.confirmed_at, 1e9), 3),
+        evacuated=tuple(sorted(store_view.evacuated)),
+        members={n: gateway.gossip.accepts_callers(n, now) for n in sorted(store_view.members)},
         services=_services(gateway),
         backend_servers=_backend_servers(gateway, now),
     )
@@ -92,7 +100,7 @@
         BackendState(
             id=server.backend.id,
             service=server.backend.service,
-            zone=server.backend.zone,
+            hall=server.backend.hall,
             in_flight=server.in_flight,
             load=round(server.load(now), 2),
             cold=server.cold(now),
@@ -100,5 +108,5 @@
             paused=server.paused_until > now or server.silent(now),
             latency_ms=round((server.latency_s or 0.0) * 1000, 1),
         )
-        for _, server in sorted(gateway.book.servers.items())
+        for _, server in sorted(gateway.registry.servers.items())
     )
--- a/sprucewinch/hall/planning/links.py
+++ b/sprucewinch/hall/planning/links.py
@@ -7,7 +7,7 @@
     """One entry VM's part of a link's limit: a token bucket over a divided rate.
 
     The limit is divided by the largest number of entry VMs seen within `hold_s`, so that a VM
-    that sees a new neighbour late, or drops one early, does not spend the neighbour's part.
+    that sees a new peer late, or drops one early, does not spend the peer's part.
 
     Args:
         hold_s: How long a larger number of entry VMs is remembered, in seconds.
--- a/sprucewinch/hall/requests/again.py
+++ b/sprucewinch/hall/requests/again.py
@@ -2,7 +2,7 @@
 
 from ...net.outcome import Outcome, Reason
 from ...net.request import Request
-from ...retry import RetryBudget
+from ...retry import TokenRetryBudget
 from ..node import Node
 from .backend import Attempt
 
@@ -19,7 +19,7 @@
 
     def __init__(self, node: Node) -> None:
         self.node = node
-        self.budgets: dict[str, RetryBudget] = {}
+        self.budgets: dict[str, TokenRetryBudget] = {}
 
     def allowed(self, attempt: Attempt, request: Request) -> bool:
         """Tell whether a request may be sent again after an attempt."""
@@ -38,5 +38,5 @@
         topology = self.node.topology
         return topology is not None and topology.services[request.service].repeatable
 
-    def _budget(self, service: str) -> RetryBudget:
-        return self.budgets.setdefault(service, RetryBudget())
+    def _budget(self, service: str) -> TokenRetryBudget:
+        return self.budgets.setdefault(service, TokenRetryBudget())
--- a/sprucewinch/operators/client.py
+++ b/sprucewinch/operators/client.py
@@ -118,7 +118,7 @@
 
 
 def read_state(address: str) -> Any:
-    """Return the state of a machine of the routed request path.
+    """Return the state of a VM of the routed request path.
 
     Args:
         address: `IP:PORT` of its metrics listener.
--- a/sprucewinch/operators/story.py
+++ b/sprucewinch/operators/story.py
@@ -1,7 +1,7 @@
-"""Tells what became of one request, from the structured lines of the machines' logs alone.
+"""Tells what became of one request, from the structured lines of the VMs' logs alone.
 
 Pipes and filters over lines: parse, find the request, gather what happened around it on the same
-machine and to the servers that it touched, and tell it in order of time.
+VM and to the servers that it touched, and tell it in order of time.
 """
 
 from collections.abc import Iterable, Iterator
@@ -36,8 +36,8 @@
     """One structured line.
 
     Args:
-        machine: What stood before it, such as the name of the machine; empty when nothing did.
-        time: Time of day at the machine, in seconds.
+        VM: What stood before it, such as the name of the VM; empty when nothing did.
+        time: Time of day at the VM, in seconds.
         event: What it tells of.
         fields: All its fields.
     """
@@ -66,7 +66,7 @@
     """Return the structured lines among others; what is none is passed over.
 
     Args:
-        lines: Lines of one or more logs, each with or without a prefix such as the machine's name.
+        lines: Lines of one or more logs, each with or without a prefix such as the VM's name.
     """
     for text in lines:
         prefix, brace, rest = text.partition("{")
--- a/sprucewinch/retry.py
+++ b/sprucewinch/retry.py
@@ -5,7 +5,7 @@
 _MAX_TOKENS = 10.0
 
 
-class RetryBudget:
+class TokenRetryBudget:
     """Keeps retries under a part of the recent successes.
 
     Args:
