--- a/tests/test_gateway_outliers.py
+++ b/tests/test_gateway_outliers.py
@@ -5,9 +5,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.requests.client_request import Chosen
-from sprucewinch.gateway.resources import Backend
-from sprucewinch.gateway.servers.outliers import Outliers
+from sprucewinch.gateway.requests.client_request import Selection
+from sprucewinch.gateway.resources import BackendEntry
+from sprucewinch.gateway.servers.outliers import OutlierDetector
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
@@ -25,7 +25,7 @@
     before = {name: len(server.runs) for name, server in path.servers.items()}
     for number in range(int(seconds * 60)):
         key = f"lane-{number % _OBJECTS}"
-        path.loop.create_task(path.pipeline.run(path.call(f"q{start + number}", key=key)))
+        path.loop.create_task(path.pipeline.run(path.request(f"q{start + number}", key=key)))
         await pass_time(1 / 60)
     return {name: len(server.runs) - before[name] for name, server in path.servers.items()}
 
@@ -59,7 +59,7 @@
         async def main(loop: VirtualLoop) -> None:
             path = _path(loop)
             await _serve(path, 2.0)
-            one = path.world.book.servers["s0"]
+            one = path.world.registry.servers["s0"]
             for number in range(50):
                 path.outliers.answered(one, f"new-{number}", 5 * _USUAL_S, 1, loop.time())
             self.assertFalse(path.outliers.ejected(one, loop.time()))
@@ -70,7 +70,7 @@
         async def main(loop: VirtualLoop) -> None:
             path = _path(loop)
             await _serve(path, 2.0)
-            one = path.world.book.servers["s0"]
+            one = path.world.registry.servers["s0"]
             for _ in range(50):
                 path.outliers.answered(one, "lane-1", 4 * _USUAL_S, 24, loop.time())
             self.assertFalse(path.outliers.ejected(one, loop.time()))
@@ -84,13 +84,13 @@
             path = _path(loop)
             path.world.configure(route(timeout_s=0.8), version=2)
             await _serve(path, 2.0)
-            path.world.book.settled = True
-            path.world.book.now = loop.time()
+            path.world.registry.settled = True
+            path.world.registry.now = loop.time()
             cold = path.add("cold", "10.0.1.1:80")
             cold.work_s = 0.96
             await _serve(path, 3.0, 1000)
             self.assertGreater(len(cold.runs), 0)
-            server = path.world.book.servers["cold"]
+            server = path.world.registry.servers["cold"]
             self.assertFalse(path.outliers.ejected(server, loop.time()))
 
         run_virtual(main)
@@ -98,25 +98,25 @@
     def test_where_cold_servers_answer_too_late_only_a_few_requests_try_them(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = _path(loop)
-            path.world.book.settled = True
-            path.world.book.now = loop.time()
+            path.world.registry.settled = True
+            path.world.registry.now = loop.time()
             cold = path.add("cold", "10.0.1.1:80")
-            book = path.world.book
-            server = book.servers["cold"]
-            before = book.cold_allowance(server)
+            registry = path.world.registry
+            server = registry.servers["cold"]
+            before = registry.cold_allowance(server)
             path.world.configure(route(timeout_s=0.8), version=2)
             cold.work_s = 0.96
             for number in range(4):
-                chosen = Chosen(server, "rates", False)
+                chosen = Selection(server, "rates", False)
                 until = loop.time() + 0.8
-                await path.sender.send(path.call(f"q{number}"), chosen, until)
-            self.assertEqual(book.cold_allowance(server), 2)
+                await path.sender.send(path.request(f"q{number}"), chosen, until)
+            self.assertEqual(registry.cold_allowance(server), 2)
             cold.work_s = 0.1
             for number in range(4):
                 await path.sender.send(
-                    path.call(f"r{number}"), Chosen(server, "rates", False), loop.time() + 0.8
+                    path.request(f"r{number}"), Selection(server, "rates", False), loop.time() + 0.8
                 )
-            self.assertEqual(book.cold_allowance(server), before)
+            self.assertEqual(registry.cold_allowance(server), before)
             self.assertGreater(before, 2)
 
         run_virtual(main)
@@ -128,30 +128,30 @@
             path = Path(loop, servers=12, zones=("east-a", "west-a"))
             path.world.configure(route())
             now = loop.time()
-            placement = path.placer.place("rates", "lane-1", (), now)
-            for server in placement.servers[: placement.near]:
-                server.told_load(9, 9, now)
+            ranking = path.ranker.place("rates", "lane-1", (), now)
+            for server in ranking.servers[: ranking.near]:
+                server.record_load(9, 9, now)
                 server.in_flight = 6
             for _ in range(4):
-                path.outliers.heard(placement.servers[placement.near - 1].backend.id, now)
-            reply = await path.pipeline.run(path.call("q"))
+                path.outliers.heard(ranking.servers[ranking.near - 1].backend.id, now)
+            reply = await path.pipeline.run(path.request("q"))
             self.assertEqual((reply.status, path.runs("q")), (503, 0))
 
         run_virtual(main)
 
 
 class FailingServers(unittest.TestCase):
-    def _world(self, servers: int = _SERVERS) -> tuple[World, Outliers]:
+    def _world(self, servers: int = _SERVERS) -> tuple[World, OutlierDetector]:
         world = World()
         world.configure(route())
         for number in range(servers):
-            backend = Backend(f"s{number}", "rates", f"10.0.0.{number}:80", "east-a", 6)
+            backend = BackendEntry(f"s{number}", "rates", f"10.0.0.{number}:80", "east-a", 6)
             world.say(f"servers/s{number}", backend)
-        return world, Outliers(world.book)
+        return world, OutlierDetector(world.registry)
 
     def test_a_server_that_fails_two_in_five_is_ejected_by_the_fleets_samples(self) -> None:
         world, outliers = self._world()
-        server = world.book.servers["s3"]
+        server = world.registry.servers["s3"]
         outliers.answered(server, "k", 0.1, 1, 10.0)
         outliers.answered(server, "k", 0.1, 1, 10.1)
         for number in range(8):
@@ -160,7 +160,7 @@
 
     def test_a_server_that_fails_now_and_then_stays(self) -> None:
         world, outliers = self._world()
-        server = world.book.servers["s3"]
+        server = world.registry.servers["s3"]
         for number in range(200):
             now = 10.0 + number / 10
             outliers.answered(server, "k", 0.1, 1, now)
@@ -175,28 +175,28 @@
         world, outliers = self._world(servers)
         for step, number in enumerate(failing):
             now = 10.0 + step / 50
-            server = world.book.servers.get(f"s{number}")
+            server = world.registry.servers.get(f"s{number}")
             if server is not None:
                 outliers.failed(server, now)
-            out = sum(outliers.ejected(s, now) for s in world.book.servers.values())
+            out = sum(outliers.ejected(s, now) for s in world.registry.servers.values())
             self.assertLessEqual(out, 0.2 * servers)
 
     def test_a_region_with_few_servers_keeps_them(self) -> None:
         world = World()
         world.configure(route())
-        for number, zone in enumerate(("east-a", "east-b", *["west-a"] * 8)):
-            backend = Backend(f"s{number}", "rates", f"10.0.0.{number}:80", zone, 6)
+        for number, hall in enumerate(("east-a", "east-b", *["west-a"] * 8)):
+            backend = BackendEntry(f"s{number}", "rates", f"10.0.0.{number}:80", hall, 6)
             world.say(f"servers/s{number}", backend)
-        outliers = Outliers(world.book)
+        outliers = OutlierDetector(world.registry)
         for number in range(10):
             for _ in range(8):
-                outliers.failed(world.book.servers[f"s{number}"], 10.0)
-        out = [outliers.ejected(world.book.servers[f"s{number}"], 10.0) for number in range(10)]
+                outliers.failed(world.registry.servers[f"s{number}"], 10.0)
+        out = [outliers.ejected(world.registry.servers[f"s{number}"], 10.0) for number in range(10)]
         self.assertEqual((sum(out[:2]), sum(out[2:])), (0, 2))
 
     def test_each_ejection_lasts_longer_until_it_is_forgiven(self) -> None:
         world, outliers = self._world()
-        server = world.book.servers["s3"]
+        server = world.registry.servers["s3"]
         now, lasted = 10.0, []
         for _ in range(4):
             while not outliers.ejected(server, now):
@@ -214,12 +214,12 @@
             world = World(machines=4, name=f"vm{number}")
             world.configure(route())
             for each in range(_SERVERS):
-                backend = Backend(f"s{each}", "rates", f"10.0.0.{each}:80", "east-a", 6)
+                backend = BackendEntry(f"s{each}", "rates", f"10.0.0.{each}:80", "east-a", 6)
                 world.say(f"servers/s{each}", backend)
-            outliers = Outliers(world.book)
+            outliers = OutlierDetector(world.registry)
             for _ in range(4):
                 outliers.heard("s3", 10.0)
-            server = world.book.servers["s3"]
+            server = world.registry.servers["s3"]
             self.assertTrue(outliers.ejected(server, 11.9))
             self.assertFalse(outliers.ejected(server, 13.1))
             tries.append(not outliers.ejected(server, 12.5))
@@ -229,7 +229,7 @@
 
     def test_what_is_known_of_a_server_goes_with_it(self) -> None:
         world, outliers = self._world()
-        outliers.failed(world.book.servers["s3"], 10.0)
+        outliers.failed(world.registry.servers["s3"], 10.0)
         world.drop("servers/s3", 11.0)
         outliers.forget()
         self.assertEqual(outliers.records, {})
@@ -244,7 +244,7 @@
             store.put("servers/s1", entry + b'"State":"ready"}')
             fleet = VirtualFleet(loop, store, 6)
             await pass_time(6.0)
-            fleet.machines[0].heartbeats.tell_bad_sample("s1")
+            fleet.machines[0].heartbeats.report_failure("s1")
             await pass_time(0.1)
             known = [len(m.heartbeats.outliers.records) for m in fleet.machines[1:]]
             self.assertEqual(known, [1] * 5)
--- a/tests/test_gateway_pipeline.py
+++ b/tests/test_gateway_pipeline.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from sprucewinch.gateway.requests.client_request import Refused
+from sprucewinch.gateway.requests.client_request import RefusalReason
 from standins.scripted_server import Spoil
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
@@ -48,7 +48,7 @@
         for number in range(6):
             server.spoils = [spoil]
             server.answer_bytes = f"answer {number}".encode()
-            reply = await path.pipeline.run(path.call(f"q{number}"))
+            reply = await path.pipeline.run(path.request(f"q{number}"))
             self.assertEqual(reply.status, 200)
             assert reply.answer is not None
             self.assertEqual(reply.answer.body, f"answer {number}".encode())
@@ -60,7 +60,7 @@
     path = Path(loop)
     path.world.configure(route(repeatable=repeatable))
     path.first().spoils = [spoil]
-    reply = await path.pipeline.run(path.call("q"))
+    reply = await path.pipeline.run(path.request("q"))
     return reply.status, path.runs("q")
 
 
@@ -71,7 +71,7 @@
             path.world.configure(route(repeatable=False))
             for server in path.servers.values():
                 server.slots = 0
-            reply = await path.pipeline.run(path.call("q"))
+            reply = await path.pipeline.run(path.request("q"))
             self.assertEqual((reply.status, path.runs("q")), (503, 0))
             self.assertIsNotNone(reply.retry_after_s)
 
@@ -82,7 +82,7 @@
             path = Path(loop)
             path.world.configure(route(repeatable=False))
             path.stop(path.first())
-            reply = await path.pipeline.run(path.call("q"))
+            reply = await path.pipeline.run(path.request("q"))
             self.assertEqual((reply.status, path.runs("q")), (200, 1))
 
         run_virtual(main)
@@ -93,7 +93,7 @@
             path.world.configure(route(repeatable=False))
             path.silence(path.first())
             started = loop.time()
-            reply = await path.pipeline.run(path.call("q"))
+            reply = await path.pipeline.run(path.request("q"))
             self.assertEqual((reply.status, path.runs("q")), (200, 1))
             self.assertLess(loop.time() - started, 0.6)
 
@@ -105,7 +105,7 @@
             path.world.configure(route(repeatable=False))
             taken = path.first()
             taken.server_id = "somebody-else"
-            reply = await path.pipeline.run(path.call("q"))
+            reply = await path.pipeline.run(path.request("q"))
             self.assertEqual(reply.status, 200)
             self.assertEqual(taken.runs, [])
 
@@ -117,8 +117,8 @@
             path.world.configure(route(timeout_s=0.5))
             path.first().work_s = 9.0
             started = loop.time()
-            reply = await path.pipeline.run(path.call("q"))
-            self.assertEqual(reply.refused, Refused.TIMEOUT)
+            reply = await path.pipeline.run(path.request("q"))
+            self.assertEqual(reply.refusal, RefusalReason.TIMEOUT)
             self.assertAlmostEqual(loop.time() - started, 0.5, delta=0.01)
             given = int(path.first().runs[0].headers["x-request-deadline-ms"])
             self.assertLessEqual(given, 500)
@@ -132,7 +132,7 @@
             path = Path(loop)
             path.world.configure(route())
             path.first().work_s = 0.7
-            task = loop.create_task(path.pipeline.run(path.call("q")))
+            task = loop.create_task(path.pipeline.run(path.request("q")))
             await pass_time(0.1)
             task.cancel()
             await pass_time(0.01)
@@ -143,10 +143,10 @@
     def test_without_a_configuration_nothing_is_denied(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
-            reply = await path.pipeline.run(path.call("q"))
+            reply = await path.pipeline.run(path.request("q"))
             self.assertEqual(reply.status, 503)
             path.world.configure(route(prefix="/other/"))
-            reply = await path.pipeline.run(path.call("q"))
+            reply = await path.pipeline.run(path.request("q"))
             self.assertEqual(reply.status, 404)
 
         run_virtual(main)
@@ -156,7 +156,7 @@
             path = Path(loop)
             path.world.configure(route(), version=1)
             path.first().spoils = [Spoil.LOST]
-            task = loop.create_task(path.pipeline.run(path.call("q")))
+            task = loop.create_task(path.pipeline.run(path.request("q")))
             await pass_time(0.02)
             path.world.configure(route(prefix="/moved/"), version=2)
             reply = await task
@@ -178,7 +178,7 @@
                     server.spoils = [Spoil.LOST] * 4
                 began.append(loop.time())
                 before = sum(len(server.arrivals) for server in path.servers.values())
-                await path.pipeline.run(path.call(f"q{number}"))
+                await path.pipeline.run(path.request(f"q{number}"))
                 after = sum(len(server.arrivals) for server in path.servers.values())
                 repeated += [loop.time()] * (after - before - 1)
             self.assertGreater(len(repeated), 60)
@@ -192,10 +192,10 @@
     def test_no_request_runs_on_more_servers_than_its_route_allows(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=5)
-            path.world.configure(route(attempts=2))
+            path.world.configure(route(max_attempts=2))
             for server in path.servers.values():
                 server.spoils = [Spoil.LOST] * 9
-            reply = await path.pipeline.run(path.call("q"))
+            reply = await path.pipeline.run(path.request("q"))
             self.assertEqual((reply.status, path.runs("q")), (502, 2))
 
         run_virtual(main)
@@ -210,10 +210,10 @@
         async def main(loop: VirtualLoop) -> tuple[int, int]:
             path = Path(loop, servers=3)
             path.world.configure(route(**changes))
-            placement = path.placer.place("rates", "lane-1", (), loop.time())
-            for server in placement.servers[:failing]:
+            ranking = path.ranker.place("rates", "lane-1", (), loop.time())
+            for server in ranking.servers[:failing]:
                 path.servers[server.backend.id].spoils = [Spoil.FAILED]
-            reply = await path.pipeline.run(path.call("q"))
+            reply = await path.pipeline.run(path.request("q"))
             if reply.status == 500:
                 assert reply.answer is not None
                 self.assertIsNotNone(reply.answer.header("x-response-signature"))
@@ -236,7 +236,8 @@
             path.world.configure(route())
             path.first().spoils = [Spoil.FAILED] * 200
             statuses = [
-                (await path.pipeline.run(path.call(f"q{number}"))).status for number in range(200)
+                (await path.pipeline.run(path.request(f"q{number}"))).status
+                for number in range(200)
             ]
             self.assertEqual(set(statuses), {200, 500})
 
@@ -263,7 +264,7 @@
             path = Path(loop, servers=6, zones=("east-a", "west-a"))
             path.world.configure(route(regions=("west",)))
             for number in range(40):
-                await path.pipeline.run(path.call(f"q{number}", key=f"k{number}"))
+                await path.pipeline.run(path.request(f"q{number}", key=f"k{number}"))
             for number, server in enumerate(path.servers.values()):
                 if number % 2 == 0:
                     self.assertEqual(server.arrivals, [])
--- a/tests/test_gateway_policies.py
+++ b/tests/test_gateway_policies.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from sprucewinch.gateway.regions.policies import DEFAULT_POLICY, PolicyBook
-from sprucewinch.gateway.regions.region_reports import MeasureBoard
+from sprucewinch.gateway.regions.policies import DEFAULT_POLICY, PolicyTable
+from sprucewinch.gateway.regions.region_reports import RegionReports
 from sprucewinch.gateway.regions.shares import RegionShares
-from sprucewinch.gateway.resources import Backend, PolicyChoice, PolicyProgram
+from sprucewinch.gateway.resources import BackendEntry, PolicyChoice, PolicyProgram
 from sprucewinch.steering.placement import moved_part
 
 from .gateway_fakes import BOUNDS, REGIONS, World, route
@@ -20,15 +20,17 @@
         self.world = World()
         self.troubles: list[str] = []
         self.world.configure(route())
-        for number, zone in enumerate(("east-a", "east-b", *["west-a"] * 6)):
-            backend = Backend(f"s{number}", "rates", f"10.0.0.{number}:80", zone, 6)
+        for number, hall in enumerate(("east-a", "east-b", *["west-a"] * 6)):
+            backend = BackendEntry(f"s{number}", "rates", f"10.0.0.{number}:80", hall, 6)
             self.world.say(f"servers/s{number}", backend)
-        self.policies = PolicyBook(self.world.beliefs, lambda key, cause: self.troubles.append(key))
-        self.board = MeasureBoard(self.world.book, "vm0", home)
+        self.policies = PolicyTable(
+            self.world.store_view, lambda key, cause: self.troubles.append(key)
+        )
+        self.region_reports = RegionReports(self.world.registry, "vm0", home)
         self.shares = RegionShares(
-            self.world.book,
+            self.world.registry,
             self.policies,
-            self.board,
+            self.region_reports,
             regions=REGIONS,
             home=home,
             shift_cap=BOUNDS.shift_cap,
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from sprucewinch.gateway.servers.pool import MOST_IDLE, Pool
+from sprucewinch.gateway.servers.pool import MAX_IDLE, ConnectionPool
 from standins.scripted_server import ScriptedServer
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
@@ -10,10 +10,10 @@
 _REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\nx-request-id: q\r\n\r\n"
 
 
-def _started(loop: VirtualLoop) -> tuple[Pool, ScriptedServer]:
+def _started(loop: VirtualLoop) -> tuple[ConnectionPool, ScriptedServer]:
     server = ScriptedServer(loop, "s0")
     loop.listen(ADDRESS, server.accept)
-    return Pool("x-request-id", loop.time), server
+    return ConnectionPool("x-request-id", loop.time), server
 
 
 class Kept(unittest.TestCase):
@@ -46,11 +46,11 @@
     def test_machines_share_what_a_server_accepts(self) -> None:
         for machines in (12, 89, 2800):
             with self.subTest(machines=machines):
-                pool = Pool("x", lambda: 0.0)
+                pool = ConnectionPool("x", lambda: 0.0)
                 pool.share(1770, machines)
-                self.assertTrue(1 <= pool.most_idle <= MOST_IDLE)
+                self.assertTrue(1 <= pool.max_idle <= MAX_IDLE)
         pool.share(390, 89)
-        self.assertLessEqual(pool.most_idle * 89, 390 / 2)
+        self.assertLessEqual(pool.max_idle * 89, 390 / 2)
 
     def test_no_more_rest_than_allowed(self) -> None:
         async def main(loop: VirtualLoop) -> None:
--- a/tests/test_gateway_probe.py
+++ b/tests/test_gateway_probe.py
@@ -3,7 +3,7 @@
 import unittest
 from typing import Optional
 
-from sprucewinch.gateway.decision_log import Journal
+from sprucewinch.gateway.decision_log import DecisionLog
 from sprucewinch.gateway.resources import Evacuation
 from sprucewinch.gateway.servers.probe import Prober
 from standins.virtual import VirtualLoop, pass_time, run_virtual
@@ -17,8 +17,8 @@
     path.world.configure(route())
     for server in path.servers.values():
         server.cold_ms = cold_ms
-    journal = Journal(lambda line: None, monotonic=loop.time, wall=loop.time)
-    prober = Prober(path.world.book, NAMES, journal, loop.time)
+    events = DecisionLog(lambda line: None, monotonic=loop.time, wall=loop.time)
+    prober = Prober(path.world.registry, NAMES, events, loop.time)
     task = loop.create_task(prober.run())
     path.world.say("evacuate/east-a", Evacuation("east-a"), loop.time())
     await pass_time(1.0)
@@ -33,7 +33,7 @@
         async def main(loop: VirtualLoop) -> set[bool]:
             path = await _taken_back(loop, cold_ms)
             self.assertEqual([s.probes for s in path.servers.values()], [1, 1])
-            servers = path.world.book.servers.values()
+            servers = path.world.registry.servers.values()
             return {server.cold(loop.time() + after_s) for server in servers}
 
         return run_virtual(main)
@@ -51,10 +51,10 @@
             path.world.configure(route())
             path.servers["s0"].turn_cold(2.0)
             await pass_time(1.0)
-            server = path.world.book.servers["s0"]
+            server = path.world.registry.servers["s0"]
             server.cold_until = loop.time() + 3.0
-            journal = Journal(lambda line: None, monotonic=loop.time, wall=loop.time)
-            await Prober(path.world.book, NAMES, journal, loop.time).ask(server)
+            events = DecisionLog(lambda line: None, monotonic=loop.time, wall=loop.time)
+            await Prober(path.world.registry, NAMES, events, loop.time).ask(server)
             self.assertTrue(server.cold(loop.time() + 0.9))
             self.assertFalse(server.cold(loop.time() + 1.6))
 
@@ -69,10 +69,10 @@
             path.world.configure(route())
             path.servers["s0"].server_id = "another"
             path.servers["s0"].cold_ms = 0
-            server = path.world.book.servers["s0"]
+            server = path.world.registry.servers["s0"]
             server.cold_until = loop.time() + 3.0
-            journal = Journal(lambda line: None, monotonic=loop.time, wall=loop.time)
-            await Prober(path.world.book, NAMES, journal, loop.time).ask(server)
+            events = DecisionLog(lambda line: None, monotonic=loop.time, wall=loop.time)
+            await Prober(path.world.registry, NAMES, events, loop.time).ask(server)
             self.assertTrue(server.cold(loop.time() + 2.9))
 
         run_virtual(main)
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.following.follow_role import MOST_AGE_S, NEWS_SILENCE_S
+from sprucewinch.gateway.following.follow_role import NOTICE_MAX_AGE_S, NOTICE_SILENCE_S
 from standins.consortium_store import Fault
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
@@ -178,7 +178,7 @@
         again = fleet.start_again(killed)
         await pass_time(BOUND_S)
         self.assertEqual(again.version(), 3)
-        self.assertEqual(len(again.beliefs.members), 12)
+        self.assertEqual(len(again.store_view.members), 12)
         fleet.store.fault = Fault.NONE
         fleet.store.put("op/config", configuration(9))
         await pass_time(4.0)
@@ -203,7 +203,7 @@
             fleet.store.remove("servers/s0")
             self._silence(loop, others, False)
             await pass_time(BOUND_S)
-            self.assertEqual(turned_away.book.usable("rates"), ())
+            self.assertEqual(turned_away.registry.usable("rates"), ())
 
         run_virtual(main)
 
@@ -217,7 +217,7 @@
             watchers = fleet.watchers()
             for watcher in watchers:
                 fleet.store.faults_by_machine[watcher.name] = Fault.SILENT
-            await pass_time(MOST_AGE_S + NEWS_SILENCE_S + 3.5)
+            await pass_time(NOTICE_MAX_AGE_S + NOTICE_SILENCE_S + 3.5)
             now_watching = {machine.name for machine in fleet.watchers()}
             self.assertGreater(len(now_watching - {w.name for w in watchers}), 0)
             fleet.store.put("op/config", configuration(9))
--- a/tests/test_gateway_servers.py
+++ b/tests/test_gateway_servers.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.resources import Backend, Evacuation
+from sprucewinch.gateway.resources import BackendEntry, Evacuation
 
 from .gateway_fakes import BOUNDS, RULE, World, route
 
@@ -17,8 +17,8 @@
     worlds = [World(machines=registered, name=f"vm{n}") for n in range(count)]
     for world in worlds:
         world.configure(route())
-        world.book.settled = True
-        world.say("servers/new", Backend("new", "rates", "10.0.0.9:80", "east-a", 6), 100.0)
+        world.registry.settled = True
+        world.say("servers/new", BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6), 100.0)
     return worlds
 
 
@@ -33,61 +33,61 @@
         rng = random.Random(seed)
         sent: list[float] = []
         worlds = _fleet(machines, machines)
-        servers = [(world, world.book.servers["new"]) for world in worlds]
-        allowances = {w.book.name: w.book.cold_allowance(server) for w, server in servers}
+        servers = [(world, world.registry.servers["new"]) for world in worlds]
+        allowances = {w.registry.name: w.registry.cold_allowance(server) for w, server in servers}
         self.assertLessEqual(sum(allowances.values()), _LIMIT)
         now = 100.0
         while now < 102.5:
             now += 0.01
             for world in worlds:
-                server = world.book.servers["new"]
-                allowance = allowances[world.book.name]
+                server = world.registry.servers["new"]
+                allowance = allowances[world.registry.name]
                 if rng.random() < 0.5 and server.cold_allowed(now, allowance):
-                    world.book.take(server, now)
+                    world.registry.take(server, now)
                     sent.append(now + rng.random() * 0.05)
         self.assertLessEqual(_most_in_a_second(sent), _LIMIT)
         self.assertGreater(len(sent), 0)
 
     def test_a_machine_counts_its_own_sends_over_the_whole_window(self) -> None:
         world = _fleet(1, 12)[0]
-        server = world.book.servers["new"]
+        server = world.registry.servers["new"]
         self.assertTrue(server.cold_allowed(100.0, 1))
-        world.book.take(server, 100.0)
+        world.registry.take(server, 100.0)
         self.assertFalse(server.cold_allowed(101.0, 1))
         self.assertTrue(server.cold_allowed(101.2, 1))
 
 
 class WhatIsCold(unittest.TestCase):
     def test_a_new_server_is_cold_also_when_its_entry_says_nothing(self) -> None:
-        server = _fleet(1, 1)[0].book.servers["new"]
+        server = _fleet(1, 1)[0].registry.servers["new"]
         self.assertTrue(server.cold(103.0))
         self.assertFalse(server.cold(104.0))
 
     def test_servers_listed_at_the_start_are_as_warm_as_they_say(self) -> None:
         world = World()
         world.configure(route())
-        world.say("servers/a", Backend("a", "rates", "10.0.0.1:80", "east-a", 6), 100.0)
-        cold = Backend("b", "rates", "10.0.0.2:80", "east-a", 6, warm_in_s=2.0)
+        world.say("servers/a", BackendEntry("a", "rates", "10.0.0.1:80", "east-a", 6), 100.0)
+        cold = BackendEntry("b", "rates", "10.0.0.2:80", "east-a", 6, cold_for_s=2.0)
         world.say("servers/b", cold, 100.0)
-        self.assertFalse(world.book.servers["a"].cold(100.0))
-        self.assertTrue(world.book.servers["b"].cold(101.9))
+        self.assertFalse(world.registry.servers["a"].cold(100.0))
+        self.assertTrue(world.registry.servers["b"].cold(101.9))
 
     def test_a_server_that_turns_cold_again_is_cold(self) -> None:
         world = _fleet(1, 1)[0]
-        again = Backend("new", "rates", "10.0.0.9:80", "east-a", 6, warm_in_s=3.0)
+        again = BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6, cold_for_s=3.0)
         world.say("servers/new", again, 200.0)
-        self.assertTrue(world.book.servers["new"].cold(202.9))
+        self.assertTrue(world.registry.servers["new"].cold(202.9))
 
     def test_a_data_hall_taken_back_is_cold_and_gets_nothing_before(self) -> None:
         world = _fleet(1, 1)[0]
         world.say("evacuate/east-a", Evacuation("east-a"), 110.0)
-        self.assertEqual(world.book.usable("rates"), ())
+        self.assertEqual(world.registry.usable("rates"), ())
         world.drop("evacuate/east-a", 120.0)
-        self.assertEqual(len(world.book.usable("rates")), 1)
-        self.assertTrue(world.book.servers["new"].cold(122.9))
+        self.assertEqual(len(world.registry.usable("rates")), 1)
+        self.assertTrue(world.registry.servers["new"].cold(122.9))
 
     def test_a_draining_server_gets_nothing(self) -> None:
         world = _fleet(1, 1)[0]
-        leaving = Backend("new", "rates", "10.0.0.9:80", "east-a", 6, draining=True)
+        leaving = BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6, draining=True)
         world.say("servers/new", leaving, 110.0)
-        self.assertEqual(world.book.usable("rates"), ())
+        self.assertEqual(world.registry.usable("rates"), ())
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -3,14 +3,14 @@
 import random
 import unittest
 
-from sprucewinch.gateway.decision_log import Journal
-from sprucewinch.gateway.following.follow_role import Relay
+from sprucewinch.gateway.decision_log import DecisionLog
+from sprucewinch.gateway.following.follow_role import FollowRole
 from sprucewinch.gateway.following.followers import StoreFollower
 from sprucewinch.gateway.membership.gossip import Gossip
 from sprucewinch.gateway.membership.registrar import Registrar
 from sprucewinch.gateway.resources import Member
 from sprucewinch.gateway.state.outages import StoreOutages
-from sprucewinch.gateway.state.store_view import Beliefs
+from sprucewinch.gateway.state.store_view import StoreView
 from sprucewinch.gateway.timing import Timing
 from standins.consortium_store import LATE_S, Fault, StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
@@ -43,17 +43,17 @@
         rng = random.Random(1)
         self.loop = loop
         self.store = KvStore(ADDRESS, loop.time)
-        self.beliefs = Beliefs(StoreItems())
+        self.store_view = StoreView(StoreItems())
         self.outages = StoreOutages(heartbeat_s=1.5)
-        journal = Journal(lambda line: None, monotonic=loop.time, wall=loop.time)
+        events = DecisionLog(lambda line: None, monotonic=loop.time, wall=loop.time)
         timing = Timing(loop.time, rng)
         gossip = Gossip(name, 7, rng)
-        relay = Relay(name, "r", gossip, self.beliefs, self.outages, regions=1)
+        follow_role = FollowRole(name, "r", gossip, self.store_view, self.outages, regions=1)
         self.follower = StoreFollower(
-            self.beliefs, self.store, relay, self.outages, journal, timing
+            self.store_view, self.store, follow_role, self.outages, events, timing
         )
         own = Member(name, "z", "r", "10.0.0.1:1", "10.0.0.1:2")
-        self.registrar = Registrar(own, self.beliefs, gossip, self.store, timing)
+        self.registrar = Registrar(own, self.store_view, gossip, self.store, timing)
 
     def start(self) -> None:
         """Follow and register."""
@@ -62,7 +62,7 @@
 
     def version(self) -> int:
         """Return the configuration version that is believed; 0 for none."""
-        held = self.beliefs.configuration
+        held = self.store_view.configuration
         return held.version if held else 0
 
 
@@ -88,15 +88,15 @@
         async def main(loop: VirtualLoop) -> None:
             store, machine = await started(loop)
             self.assertEqual(machine.version(), 3)
-            self.assertIn("vm0", machine.beliefs.members)
+            self.assertIn("vm0", machine.store_view.members)
             store.put("op/config", configuration(5))
             store.put("op/evacuate/z", b"{}")
             await pass_time(0.5)
             self.assertEqual(machine.version(), 5)
-            self.assertEqual(machine.beliefs.evacuated, {"z"})
+            self.assertEqual(machine.store_view.evacuated, {"z"})
             store.remove("op/evacuate/z")
             await pass_time(0.5)
-            self.assertEqual(machine.beliefs.evacuated, set())
+            self.assertEqual(machine.store_view.evacuated, set())
 
         run_virtual(main)
 
@@ -139,7 +139,7 @@
             store.fault = Fault.NONE
             await pass_time(1.0)
             self.assertEqual(machine.version(), 9)
-            self.assertEqual(machine.beliefs.evacuated, set())
+            self.assertEqual(machine.store_view.evacuated, set())
 
         run_virtual(main)
 
@@ -151,7 +151,7 @@
             machine = Machine(loop)
             machine.start()
             await pass_time(1.0)
-            self.assertEqual(len(machine.beliefs.evacuated), 11)
+            self.assertEqual(len(machine.store_view.evacuated), 11)
 
         run_virtual(main)
 
@@ -174,7 +174,7 @@
                 store.put("servers/i-1", value)
             await pass_time(0.5)
             self.assertEqual(machine.version(), 3)
-            self.assertEqual(machine.beliefs.backends, {})
+            self.assertEqual(machine.store_view.backends, {})
 
         run_virtual(main)
 
@@ -188,10 +188,10 @@
             machine.start()
             await pass_time(1.0)
             store.fault = Fault.NONE
-            self.assertIn("vm0", machine.beliefs.members)
+            self.assertIn("vm0", machine.store_view.members)
             store.remove("sprucewinch/members/vm0")
             await pass_time(3.0)
-            self.assertIn("vm0", machine.beliefs.members)
+            self.assertIn("vm0", machine.store_view.members)
 
         run_virtual(main)
 
@@ -202,10 +202,10 @@
             machine = Machine(loop)
             machine.start()
             await pass_time(1.0)
-            self.assertEqual(machine.beliefs.members, {})
+            self.assertEqual(machine.store_view.members, {})
             store.fault = Fault.NONE
             await pass_time(LATE_S + 3.0)
-            self.assertEqual(list(machine.beliefs.members), ["vm0"])
+            self.assertEqual(list(machine.store_view.members), ["vm0"])
             before = store.revision
             await pass_time(30.0)
             self.assertEqual(store.revision, before)
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -7,7 +7,7 @@
 
 from sprucewinch.errors import SettingsError
 from sprucewinch.gateway.resources import (
-    Backend,
+    BackendEntry,
     Evacuation,
     Member,
     Part,
@@ -122,7 +122,7 @@
         first, second = found.routes
         self.assertEqual((first.host, first.prefix), ("one.example", "/a/"))
         self.assertEqual(first.parts, (Part("s1", 90), Part("s2", 10)))
-        self.assertEqual((first.timeout_s, first.aim_s), (0.8, 0.3))
+        self.assertEqual((first.timeout_s, first.latency_target_s), (0.8, 0.3))
         self.assertTrue(first.repeatable and first.affinity)
         self.assertEqual(first.regions, ("east",))
         self.assertFalse(second.repeatable)
@@ -133,7 +133,7 @@
     def test_a_backend_server_an_evacuation_and_a_member(self) -> None:
         self.assertEqual(
             _decode("servers/i-1", SERVER),
-            Backend("i-1", "s1", "10.128.0.9:8080", "a", 6, True, 1.5),
+            BackendEntry("i-1", "s1", "10.128.0.9:8080", "a", 6, True, 1.5),
         )
         self.assertEqual(_decode("op/evacuate/a", {}), Evacuation("a"))
         member = Member("vm", "a", "east", "10.0.0.1:1", "10.0.0.1:2")
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -2,12 +2,12 @@
 import unittest
 
 from sprucewinch.hall.planning.links import RateAllowance
-from sprucewinch.retry import ComeBack, RetryBudget, backoff_s
+from sprucewinch.retry import ComeBack, TokenRetryBudget, backoff_s
 
 
 class Budget(unittest.TestCase):
     def test_retries_stay_under_a_tenth(self) -> None:
-        budget, rng = RetryBudget(), random.Random(1)
+        budget, rng = TokenRetryBudget(), random.Random(1)
         successes = retries = 0
         for _ in range(10_000):
             if rng.random() < 0.5:
@@ -19,7 +19,7 @@
         self.assertGreater(retries, 0.09 * successes)
 
     def test_nothing_saved_up_for_a_storm(self) -> None:
-        budget = RetryBudget()
+        budget = TokenRetryBudget()
         for _ in range(100_000):
             budget.succeeded()
         self.assertLessEqual(sum(budget.take() for _ in range(1000)), 10)
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -5,7 +5,7 @@
 from sprucewinch._supervise import Step, forever
 from sprucewinch.gateway import daemon
 from sprucewinch.gateway.daemon import Gateway
-from sprucewinch.gateway.decision_log import Journal
+from sprucewinch.gateway.decision_log import DecisionLog
 from sprucewinch.hall import loops as _loops
 
 
@@ -64,10 +64,10 @@
         self.assertEqual(_loops.TICK_S, 0.5)
 
     def test_the_routed_path_counts_and_logs_the_loops_full_name(self) -> None:
-        gateway = mock.Mock(journal=mock.Mock(spec=Journal, counters={"loop_faults": 3}))
+        gateway = mock.Mock(events=mock.Mock(spec=DecisionLog, counters={"loop_faults": 3}))
         Gateway._loop_failed(gateway, Gateway._tick_loop, ValueError("x"))
-        self.assertEqual(gateway.journal.counters, {"loop_faults": 4})
-        gateway.journal.state.assert_called_once_with(
+        self.assertEqual(gateway.events.counters, {"loop_faults": 4})
+        gateway.events.state.assert_called_once_with(
             "fault", loop="Gateway._tick_loop", error="ValueError('x')"
         )
         self.assertEqual(daemon._TICK_S, 0.2)
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -5,20 +5,20 @@
 import re
 from typing import Any
 
-from sprucewinch.gateway.decision_log import Journal
+from sprucewinch.gateway.decision_log import DecisionLog
 from sprucewinch.gateway.following.deltas import encode_delta
-from sprucewinch.gateway.following.follow_role import Relay
-from sprucewinch.gateway.following.followers import NeighbourFollower, StoreFollower
+from sprucewinch.gateway.following.follow_role import FollowRole
+from sprucewinch.gateway.following.followers import PeerFollower, StoreFollower
 from sprucewinch.gateway.membership.gossip import Gossip
 from sprucewinch.gateway.membership.heartbeats import Heartbeats
 from sprucewinch.gateway.membership.registrar import Registrar
-from sprucewinch.gateway.regions.region_reports import MeasureBoard
+from sprucewinch.gateway.regions.region_reports import RegionReports
 from sprucewinch.gateway.resources import Member
-from sprucewinch.gateway.servers.backend_registry import ServerBook
-from sprucewinch.gateway.servers.outliers import Outliers
+from sprucewinch.gateway.servers.backend_registry import BackendRegistry
+from sprucewinch.gateway.servers.outliers import OutlierDetector
 from sprucewinch.gateway.state.outages import StoreOutages
 from sprucewinch.gateway.state.replica import Delta
-from sprucewinch.gateway.state.store_view import Beliefs
+from sprucewinch.gateway.state.store_view import StoreView
 from sprucewinch.gateway.timing import Timing
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop
@@ -52,52 +52,52 @@
         self.store_address = f"10.9.0.{number + 1}:80"
         rng = random.Random(fleet.seed * 1000 + number)
         timing = Timing(loop.time, rng)
-        self.beliefs = Beliefs(StoreItems())
+        self.store_view = StoreView(StoreItems())
         self.gossip = Gossip(self.name, incarnation, rng)
         outages = StoreOutages(1.5)
-        self.relay = Relay(
-            self.name, self.region, self.gossip, self.beliefs, outages, regions=len(REGIONS)
+        self.follow_role = FollowRole(
+            self.name, self.region, self.gossip, self.store_view, outages, regions=len(REGIONS)
         )
-        self.book = ServerBook(self.beliefs, BOUNDS, self.name, FLEET_ZONES, outages)
-        self.board = MeasureBoard(self.book, self.name, self.region)
-        self.book.tell_crowded = lambda *load: self.heartbeats.tell_crowded(*load)
+        self.registry = BackendRegistry(self.store_view, BOUNDS, self.name, FLEET_ZONES, outages)
+        self.region_reports = RegionReports(self.registry, self.name, self.region)
+        self.registry.report_overload = lambda *load: self.heartbeats.report_overload(*load)
         self.heartbeats = Heartbeats(
             self.gossip,
-            self.beliefs,
-            self.relay,
-            self.book,
-            Outliers(self.book),
-            self.board,
-            ready=lambda: self.beliefs.known,
+            self.store_view,
+            self.follow_role,
+            self.registry,
+            OutlierDetector(self.registry),
+            self.region_reports,
+            ready=lambda: self.store_view.has_configuration,
             monotonic=loop.time,
             rng=rng,
         )
         self.heartbeats.transport = _Datagrams(self)  # type: ignore[assignment]
         store = KvStore(self.store_address, loop.time)
         own = Member(self.name, "z", self.region, self.address, self.address)
-        journal = Journal(lambda line: None, monotonic=loop.time, wall=loop.time)
+        events = DecisionLog(lambda line: None, monotonic=loop.time, wall=loop.time)
         follower = StoreFollower(
-            self.beliefs,
+            self.store_view,
             store,
-            self.relay,
+            self.follow_role,
             outages,
-            journal,
+            events,
             timing,
-            tell=lambda: self.heartbeats.tell_news(changed=True),
+            tell=lambda: self.heartbeats.send_notice(changed=True),
         )
-        neighbours = NeighbourFollower(
-            self.beliefs, self.gossip, self.relay, self.heartbeats, timing
+        peer_follower = PeerFollower(
+            self.store_view, self.gossip, self.follow_role, self.heartbeats, timing
         )
-        registrar = Registrar(own, self.beliefs, self.gossip, store, timing)
+        registrar = Registrar(own, self.store_view, self.gossip, store, timing)
         loop.listen(self.store_address, lambda: fleet.store.accept(self.name))
         loop.listen(self.address, lambda: _Deltas(self))
         loops = (
             follower.run,
-            neighbours.run,
+            peer_follower.run,
             registrar.run,
             self.heartbeats.run,
-            self.heartbeats.run_news,
-            self.heartbeats.run_measures,
+            self.heartbeats.run_notices,
+            self.heartbeats.run_reports,
             self._tick,
         )
         self.tasks = [loop.create_task(run()) for run in loops]
@@ -105,9 +105,9 @@
     async def _tick(self) -> None:
         """Keep the book's time as the daemon does."""
         while True:
-            self.book.now = self.fleet.loop.time()
-            self.book.settled = self.beliefs.known
-            self.book.drop_missing(self.book.now)
+            self.registry.now = self.fleet.loop.time()
+            self.registry.settled = self.store_view.has_configuration
+            self.registry.drop_lapsed(self.registry.now)
             await asyncio.sleep(0.2)
 
     def peer(self) -> tuple[str, int]:
@@ -124,7 +124,7 @@
 
     def version(self) -> int:
         """Return the configuration version that is believed; 0 for none."""
-        held = self.beliefs.configuration
+        held = self.store_view.configuration
         return held.version if held else 0
 
 
@@ -176,7 +176,7 @@
         return [
             machine
             for machine in self.machines
-            if machine.name not in self.gone and machine.relay.follows_store(now)
+            if machine.name not in self.gone and machine.follow_role.follows_store(now)
         ]
 
     def versions(self) -> set[int]:
@@ -207,7 +207,7 @@
     def data_received(self, data: bytes) -> None:
         found = re.search(rb"after=(\d+)", data)
         assert found is not None
-        delta = self.machine.beliefs.replica.since(int(found[1]))
+        delta = self.machine.store_view.replica.since(int(found[1]))
         if self.machine.fleet.empty_deltas:
             delta = Delta((), (), 0)
         body = encode_delta(delta)
