--- /dev/null
+++ b/sprucewinch/gateway/composition.py
@@ -0,0 +1,291 @@
+"""The composition root of the gateway: every part, with what it gets in its constructor.
+
+Owns the order in which parts are made: state, membership and following, servers, regions, requests.
+Each function shows what its parts depend on. Relies on every folder of the gateway; nothing but
+`daemon` uses it.
+"""
+
+import random
+from collections.abc import Callable
+from typing import NamedTuple
+
+from ..clock import Clock
+from .datagrams import Datagrams
+from .decision_log import DecisionLog
+from .following.follow_role import FollowRole
+from .following.followers import PeerFollower, StoreFollower
+from .following.notices import ProgressNotices
+from .membership.directory import Directory
+from .membership.gossip import Gossip
+from .membership.heartbeats import Heartbeats
+from .membership.registrar import Registrar
+from .platform_adapter import PlatformAdapter
+from .regions.policies import PolicyTable
+from .regions.region_reporter import OwnRegion, RegionReporter
+from .regions.region_reports import RegionReports
+from .regions.shares import RegionShares
+from .requests.app import GatewayApp
+from .requests.pipeline import Pipeline
+from .requests.sender import Sender
+from .requests.server_order import ServerRanker
+from .resources import Member
+from .servers.backend_registry import BackendRegistry
+from .servers.outliers import OutlierDetector
+from .servers.peer_reports import FailureReport, OverloadReport, PeerReports
+from .servers.pool import ConnectionPool
+from .servers.probe import Prober
+from .settings import GatewaySettings
+from .state.outages import StoreOutages
+from .state.store import Store
+from .state.store_view import StoreView
+from .timing import Timing
+
+
+class Context(NamedTuple):
+    """What every part may need.
+
+    Args:
+        settings: Settings of this process.
+        adapter: The platform's translation.
+        clock: Source of time.
+        rng: Source of randomness.
+        events: Lines and counters.
+        ready: Returns whether callers may be sent here.
+    """
+
+    settings: GatewaySettings
+    adapter: PlatformAdapter
+    clock: Clock
+    rng: random.Random
+    events: DecisionLog
+    ready: Callable[[], bool]
+
+    @property
+    def monotonic(self) -> Callable[[], float]:
+        """Return the source of monotonic time, in seconds."""
+        return self.clock.monotonic
+
+    @property
+    def timing(self) -> Timing:
+        """Return the sources of time and randomness of a loop."""
+        return Timing(self.clock.monotonic, self.rng)
+
+
+class State(NamedTuple):
+    """What is held of the store."""
+
+    store: Store
+    view: StoreView
+    outages: StoreOutages
+
+
+class Fleet(NamedTuple):
+    """The other VMs: who is there, and who follows the store."""
+
+    datagrams: Datagrams
+    gossip: Gossip
+    heartbeats: Heartbeats
+    registrar: Registrar
+    directory: Directory
+    follow_role: FollowRole
+    notices: ProgressNotices
+    store_follower: StoreFollower
+    peer_follower: PeerFollower
+
+
+class Servers(NamedTuple):
+    """Backend servers."""
+
+    registry: BackendRegistry
+    outliers: OutlierDetector
+    pool: ConnectionPool
+    prober: Prober
+
+
+class Regions(NamedTuple):
+    """Steering between regions."""
+
+    policies: PolicyTable
+    reports: RegionReports
+    shares: RegionShares
+
+
+class Requests(NamedTuple):
+    """A request's way."""
+
+    pipeline: Pipeline
+    app: GatewayApp
+
+
+def make_state(context: Context, unreadable: Callable[[str, str], None]) -> State:
+    """Return the parts that hold the store's items.
+
+    Args:
+        context: What every part may need.
+        unreadable: Takes the key of an item that cannot be read, and the cause.
+    """
+    settings, adapter = context.settings, context.adapter
+    return State(
+        store=adapter.store(settings, context.monotonic),
+        view=StoreView(adapter.decoder, unreadable),
+        outages=StoreOutages(settings.server_heartbeat_s),
+    )
+
+
+def make_fleet(context: Context, state: State, incarnation: int) -> Fleet:
+    """Return the parts that deal with other VMs.
+
+    Args:
+        context: What every part may need.
+        state: What is held of the store.
+        incarnation: Number of this process, higher than that of any earlier one of this VM.
+    """
+    settings, timing = context.settings, context.timing
+    datagrams = Datagrams(context.monotonic, context.events)
+    gossip = Gossip(settings.name, incarnation, context.rng, link_mbps=settings.link_mbps)
+    role = _follow_role(settings, state, gossip)
+    notices = ProgressNotices(role, datagrams, timing)
+    return Fleet(
+        datagrams=datagrams,
+        gossip=gossip,
+        heartbeats=Heartbeats(gossip, state.view, datagrams, timing, ready=context.ready),
+        registrar=Registrar(own_member(settings), state.view, gossip, state.store, timing),
+        directory=Directory(state.view, gossip, settings.bounds.lookup_ttl_s),
+        follow_role=role,
+        notices=notices,
+        store_follower=StoreFollower(
+            state.view, state.store, role, state.outages, context.events, timing, notices
+        ),
+        peer_follower=PeerFollower(state.view, gossip, role, notices, datagrams, timing),
+    )
+
+
+def _follow_role(settings: GatewaySettings, state: State, gossip: Gossip) -> FollowRole:
+    regions = len(set(settings.regions.values()))
+    return FollowRole(
+        settings.name, settings.region, gossip, state.view, state.outages, regions=regions
+    )
+
+
+def own_member(settings: GatewaySettings) -> Member:
+    """Return what registers this VM in the store."""
+    return Member(
+        settings.name,
+        settings.hall,
+        settings.region,
+        settings.caller_address,
+        settings.peer_address,
+    )
+
+
+def make_servers(context: Context, state: State, fleet: Fleet) -> Servers:
+    """Return the parts that know backend servers, and let them hear other VMs' reports.
+
+    Args:
+        context: What every part may need.
+        state: What is held of the store.
+        fleet: The other VMs.
+    """
+    settings, names = context.settings, context.adapter.names
+    reports = PeerReports(fleet.datagrams, fleet.follow_role)
+    registry = BackendRegistry(
+        state.view, settings.bounds, settings.name, settings.regions, state.outages, reports
+    )
+    outliers = OutlierDetector(registry, reports, context.events)
+    fleet.datagrams.register(OverloadReport, registry.on_overload_report)
+    fleet.datagrams.register(FailureReport, outliers.on_failure_report)
+    return Servers(
+        registry=registry,
+        outliers=outliers,
+        pool=ConnectionPool(names.request_id, context.monotonic),
+        prober=Prober(registry, names, context.events, context.monotonic),
+    )
+
+
+def make_regions(
+    context: Context, state: State, servers: Servers, unreadable: Callable[[str, str], None]
+) -> Regions:
+    """Return the parts that steer between regions.
+
+    Args:
+        context: What every part may need.
+        state: What is held of the store.
+        servers: Backend servers.
+        unreadable: Takes the key of a policy that cannot be used, and the cause.
+
+    Raises:
+        SettingsError: When the settings name a policy that is not shipped.
+    """
+    settings = context.settings
+    policies = PolicyTable(state.view, unreadable, default=settings.policy)
+    reports = RegionReports(servers.registry, settings.name, settings.region)
+    shares = RegionShares(
+        servers.registry,
+        policies,
+        reports,
+        regions=settings.regions,
+        home=settings.region,
+        shift_cap=settings.bounds.shift_cap,
+    )
+    return Regions(policies, reports, shares)
+
+
+def make_requests(context: Context, state: State, servers: Servers, regions: Regions) -> Requests:
+    """Return the parts that a request passes.
+
+    Args:
+        context: What every part may need.
+        state: What is held of the store.
+        servers: Backend servers.
+        regions: Steering between regions.
+    """
+    settings, names = context.settings, context.adapter.names
+    sender = Sender(
+        servers.registry, servers.outliers, servers.pool, names, context.monotonic, context.events
+    )
+    pipeline = Pipeline(
+        state.view,
+        servers.registry,
+        ServerRanker(servers.registry, regions.shares, settings.regions),
+        sender,
+        bounds=settings.bounds,
+        monotonic=context.monotonic,
+        rng=context.rng,
+    )
+    app = GatewayApp(
+        state.view,
+        pipeline,
+        names=names,
+        events=context.events,
+        monotonic=context.monotonic,
+        memory_bytes=settings.memory_bytes,
+    )
+    return Requests(pipeline, app)
+
+
+def make_reporter(
+    context: Context, state: State, fleet: Fleet, regions: Regions, requests: Requests
+) -> RegionReporter:
+    """Return the part that reports this region's load to all VMs.
+
+    Args:
+        context: What every part may need.
+        state: What is held of the store.
+        fleet: The other VMs.
+        regions: Steering between regions.
+        requests: Counts the demand at this VM.
+    """
+    own = OwnRegion(
+        regions.policies,
+        regions.reports,
+        state.view,
+        fleet.gossip,
+        requests.pipeline.arrivals_per_s,
+    )
+    return RegionReporter(
+        regions.reports,
+        fleet.follow_role,
+        fleet.datagrams,
+        context.timing,
+        own_report=own.report,
+    )
--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -1,43 +1,34 @@
-"""One entry VM of the routed request path, put together."""
+"""One entry VM of the routed request path: start, loops, reload, stop.
+
+Owns the process's life: signals, listeners, supervised loops, settings that change, and the order
+of a stop. Relies on `composition` for the parts and on the adapter for what the platform decides.
+"""
 
 import asyncio
 import random
 import signal
 from collections.abc import Callable
-from typing import Optional, Protocol
+from typing import Optional
 
 from .. import log
 from .._supervise import Step, forever
 from ..clock import Clock, SystemClock
 from ..errors import SettingsError
 from ..net.http_server import AsgiApp
+from .composition import (
+    Context,
+    make_fleet,
+    make_regions,
+    make_reporter,
+    make_requests,
+    make_servers,
+    make_state,
+)
 from .decision_log import DecisionLog
-from .following.follow_role import FollowRole
-from .following.followers import PeerFollower, StoreFollower
-from .header_names import HeaderNames
 from .internal_apps import DeltaApp, TextApp
 from .listeners import Listeners
-from .membership.directory import Directory
-from .membership.gossip import Gossip
-from .membership.heartbeats import Heartbeats
-from .membership.registrar import Registrar
-from .regions.policies import PolicyTable
-from .regions.region_reports import RegionReport, RegionReports
-from .regions.shares import RegionShares
-from .requests.app import GatewayApp
-from .requests.pipeline import Pipeline
-from .requests.sender import Sender
-from .requests.server_order import ServerRanker
-from .resources import Member
-from .servers.backend_registry import BackendRegistry
-from .servers.outliers import OutlierDetector
-from .servers.pool import ConnectionPool
-from .servers.probe import Prober
+from .platform_adapter import PlatformAdapter
 from .settings import GatewaySettings
-from .state.outages import StoreOutages
-from .state.store import Store
-from .state.store_view import Decoder, StoreView
-from .timing import Timing
 from .vm_state import vm_state
 
 _TICK_S = 0.2
@@ -51,131 +42,54 @@
 """How long a stopping VM goes on serving callers that still hold its address, in seconds."""
 
 
-class PlatformAdapter(Protocol):
-    """What differs from platform to platform; an adapter provides it."""
-
-    names: HeaderNames
-    decoder: Decoder
-
-    def store(self, settings: GatewaySettings, monotonic: Callable[[], float]) -> Store:
-        """Return a client of the store."""
-        ...
-
-    def directory_app(self, directory: Directory, monotonic: Callable[[], float]) -> AsgiApp:
-        """Return the application that answers look-ups."""
-        ...
-
-    def ready_app(self, ready: Callable[[], bool]) -> AsgiApp:
-        """Return the application that answers readiness checks."""
-        ...
-
-
 class Gateway:
     """One entry VM.
 
     Args:
         settings: Its settings.
-        wire: The platform's translation.
+        adapter: The platform's translation.
         reread: Returns the settings as they are now, or None when they are unchanged.
         clock: Source of time.
         rng: Source of randomness.
+
+    Raises:
+        SettingsError: When the settings name a policy that is not shipped.
     """
 
     def __init__(
         self,
         settings: GatewaySettings,
-        wire: PlatformAdapter,
+        adapter: PlatformAdapter,
         *,
         reread: Callable[[], Optional[GatewaySettings]] = lambda: None,
         clock: Optional[Clock] = None,
         rng: Optional[random.Random] = None,
     ) -> None:
         self.settings = settings
-        self.wire = wire
+        self.adapter = adapter
         self.reread = reread
         self.clock = clock or SystemClock()
-        self.rng = rng or random.Random()
         self.stopping = asyncio.Event()
-        monotonic = self.clock.monotonic
-        incarnation = int(self.clock.wall() * 1000)
-        self.events = DecisionLog(log.line, monotonic=monotonic, wall=self.clock.wall)
-        self.store_view = StoreView(wire.decoder, self._unreadable)
-        self.incarnation = incarnation
-        self.gossip = Gossip(settings.name, incarnation, self.rng, link_mbps=settings.link_mbps)
-        self.outages = StoreOutages(settings.server_heartbeat_s)
-        self.registry = BackendRegistry(
-            self.store_view, settings.bounds, settings.name, settings.regions, self.outages
-        )
-        self.policies = PolicyTable(self.store_view, self._unreadable, default=settings.policy)
-        self.region_reports = RegionReports(self.registry, settings.name, settings.region)
-        self.shares = RegionShares(
-            self.registry,
-            self.policies,
-            self.region_reports,
-            regions=settings.regions,
-            home=settings.region,
-            shift_cap=settings.bounds.shift_cap,
-        )
-        self.pool = ConnectionPool(wire.names.request_id, monotonic)
-        self.outliers = OutlierDetector(self.registry, note=self.events.state)
-        self.pipeline = Pipeline(
-            self.store_view,
-            self.registry,
-            ServerRanker(self.registry, self.shares, settings.regions),
-            Sender(
-                self.registry, self.outliers, self.pool, wire.names, monotonic, self.events.state
-            ),
-            bounds=settings.bounds,
-            monotonic=monotonic,
-            rng=self.rng,
-        )
-        self.app = GatewayApp(
-            self.store_view,
-            self.pipeline,
-            names=wire.names,
-            events=self.events,
-            monotonic=monotonic,
-            memory_bytes=settings.memory_bytes,
-        )
-        self.directory = Directory(self.store_view, self.gossip, settings.bounds.lookup_ttl_s)
-        self.store = wire.store(settings, monotonic)
-        self.store_view.listeners.append(self.events.learned)
-        self.own = Member(
-            settings.name,
-            settings.hall,
-            settings.region,
-            settings.caller_address,
-            settings.peer_address,
+        self.incarnation = int(self.clock.wall() * 1000)
+        self.events = DecisionLog(log.line, monotonic=self.clock.monotonic, wall=self.clock.wall)
+        context = Context(
+            settings, adapter, self.clock, rng or random.Random(), self.events, self.ready
         )
+        self.context = context
+        self.state = make_state(context, self._unreadable)
+        self.fleet = make_fleet(context, self.state, self.incarnation)
+        self.servers = make_servers(context, self.state, self.fleet)
+        self.regions = make_regions(context, self.state, self.servers, self._unreadable)
+        self.requests = make_requests(context, self.state, self.servers, self.regions)
+        self.reporter = make_reporter(context, self.state, self.fleet, self.regions, self.requests)
         self.listeners = Listeners(settings.max_files)
-        self.store_view.listeners.append(self.listeners.learn)
-        self.follow_role = FollowRole(
-            settings.name,
-            settings.region,
-            self.gossip,
-            self.store_view,
-            self.outages,
-            regions=len(set(settings.regions.values())),
-        )
-        self.heartbeats = Heartbeats(
-            self.gossip,
-            self.store_view,
-            self.follow_role,
-            self.registry,
-            self.outliers,
-            self.region_reports,
-            ready=self.ready,
-            monotonic=monotonic,
-            rng=self.rng,
-        )
-        self.registry.report_overload = self.heartbeats.report_overload
-        self.outliers.tell = self.heartbeats.report_failure
-        self.heartbeats.own_report = self._own_measures
+        self.state.view.listeners.append(self.events.learned)
+        self.state.view.listeners.append(self.listeners.on_change)
         self._tasks: list[asyncio.Task] = []
 
     def ready(self) -> bool:
         """Tell whether callers may be sent here."""
-        return self.store_view.has_configuration and not self.stopping.is_set()
+        return self.state.view.has_configuration and not self.stopping.is_set()
 
     async def run(self) -> None:
         """Serve until told to stop, then stop without cutting a request off."""
@@ -188,7 +102,7 @@
         self._ignore_signals()
 
     def _unreadable(self, key: str, cause: str) -> None:
-        self.events.counters["items_unreadable"] += 1
+        self.events.count("items_unreadable")
         self.events.state("unreadable", key=key, cause=cause)
 
     def _take_signals(self) -> None:
@@ -229,51 +143,39 @@
     def _follow_settings(self, settings: GatewaySettings) -> None:
         """Put settings in force; listeners stay where they are until the next start."""
         self.settings = settings
-        self.registry.bounds = self.pipeline.bounds = settings.bounds
-        self.pipeline.budgets.clear()
-        self.directory.limit(settings.bounds.lookup_ttl_s)
-        self.store.move(settings.store_address)
+        self.context = self.context._replace(settings=settings)
+        self.servers.registry.set_bounds(settings.bounds)
+        self.requests.pipeline.set_bounds(settings.bounds)
+        self.fleet.directory.limit(settings.bounds.lookup_ttl_s)
+        self.state.store.move(settings.store_address)
 
     async def _listen(self) -> None:
         settings = self.settings
         monotonic = self.clock.monotonic
         apps: dict[str, AsgiApp] = {
-            settings.caller_address: self.app,
-            settings.ready_address: self.wire.ready_app(self.ready),
-            settings.peer_address: DeltaApp(self.store_view),
+            settings.caller_address: self.requests.app,
+            settings.ready_address: self.adapter.ready_app(self.ready),
+            settings.peer_address: DeltaApp(self.state.view),
             settings.metrics_address: TextApp({"/metrics": self._report, "/state": self._state}),
         }
         if settings.directory_address:
-            apps[settings.directory_address] = self.wire.directory_app(self.directory, monotonic)
+            apps[settings.directory_address] = self.adapter.directory_app(
+                self.fleet.directory, monotonic
+            )
         for address, app in apps.items():
             if address:
                 await self.listeners.serve(address, app)
-        await self.heartbeats.listen(settings.peer_address)
+        await self.fleet.datagrams.listen(settings.peer_address)
 
     def _start_loops(self) -> None:
-        timing = Timing(self.clock.monotonic, self.rng)
-        self.follower = StoreFollower(
-            self.store_view,
-            self.store,
-            self.follow_role,
-            self.outages,
-            self.events,
-            timing,
-            tell=lambda: self.heartbeats.send_notice(changed=True),
-        )
-        self.peer_follower = PeerFollower(
-            self.store_view, self.gossip, self.follow_role, self.heartbeats, timing
-        )
-        registrar = Registrar(self.own, self.store_view, self.gossip, self.store, timing)
-        prober = Prober(self.registry, self.wire.names, self.events, timing.monotonic)
         for loop in (
-            self.follower.run,
-            self.peer_follower.run,
-            registrar.run,
-            prober.run,
-            self.heartbeats.run,
-            self.heartbeats.run_notices,
-            self.heartbeats.run_reports,
+            self.fleet.store_follower.run,
+            self.fleet.peer_follower.run,
+            self.fleet.registrar.run,
+            self.servers.prober.run,
+            self.fleet.heartbeats.run,
+            self.fleet.notices.run,
+            self.reporter.run,
             self._tick_loop,
         ):
             supervised = forever(loop, self._loop_failed, pause_s=_TICK_S)
@@ -281,42 +183,34 @@
 
     def _loop_failed(self, loop: Step, error: Exception) -> None:
         """Count and log a failure of one part, which must not end the process."""
-        self.events.counters["loop_faults"] += 1
+        self.events.count("loop_faults")
         self.events.state("fault", loop=loop.__qualname__, error=repr(error))
 
-    def _own_measures(self, now: float) -> Optional[RegionReport]:
-        """Return what this VM has seen of its region; None while no policy asks for it."""
-        if not self.policies.reads_measures_anywhere:
-            return None
-        vm_count = sum(
-            member.region == self.settings.region and self.gossip.accepts_callers(member.name, now)
-            for member in self.store_view.members.values()
-        )
-        return self.region_reports.measure(
-            lambda service: vm_count * self.pipeline.arrivals_per_s(service, now), now
-        )
-
     async def _tick_loop(self) -> None:
         swept_at = self.clock.monotonic()
         while True:
             now = self.clock.monotonic()
-            self.registry.now = now
-            self.registry.settled = self.store_view.has_configuration
-            self.registry.drop_lapsed(now)
-            self.shares.tick(now)
+            if self.state.view.has_configuration:
+                self.servers.registry.settle()
+            self.servers.registry.drop_lapsed(now)
+            self.regions.shares.tick(now)
             if now - swept_at > _SWEEP_S:
                 swept_at = now
-                self.pool.sweep()
-                self.outliers.forget()
-                self._share_connections()
-                self._reload_if_changed()
+                self._sweep()
             await asyncio.sleep(_TICK_S)
 
+    def _sweep(self) -> None:
+        """Close old connections, forget servers that are gone, look at the settings."""
+        self.servers.pool.sweep()
+        self.servers.outliers.forget()
+        self._share_connections()
+        self._reload_if_changed()
+
     def _share_connections(self) -> None:
-        configuration = self.store_view.configuration
+        configuration = self.state.view.configuration
         if configuration is not None and configuration.services:
             least = min(rule.connections for rule in configuration.services.values())
-            self.pool.share(least, self.registry.vm_count())
+            self.servers.pool.share(least, self.servers.registry.vm_count())
 
     async def _leave(self) -> None:
         """Tell everybody, serve those who still come, and end before the process is killed.
@@ -325,17 +219,17 @@
         have most of it still to come when the request is over here.
         """
         now = self.clock.monotonic()
-        self.app.stopping = True
-        self.events.state("stopping", in_flight=self.app.in_flight)
-        self.heartbeats.send(self.store_view.members)
+        self.requests.app.stop()
+        self.events.state("stopping", in_flight=self.requests.app.in_flight)
+        self.fleet.heartbeats.send(self.state.view.members)
         end = now + self.settings.bounds.grace_s - _STOP_MARGIN_S
         await self._until(lambda: False, min(end, now + _LINGER_S))
         self.listeners.stop_accepting()
         await self._until(lambda: self.listeners.closed, end)
-        if self.app.in_flight:
-            self.app.give_up_all()
-            await self._until(lambda: self.app.in_flight == 0, end + _FINAL_ANSWERS_S)
-        self.events.state("stop", in_flight=self.app.in_flight)
+        if self.requests.app.in_flight:
+            self.requests.app.give_up_all()
+            await self._until(lambda: self.requests.app.in_flight == 0, end + _FINAL_ANSWERS_S)
+        self.events.state("stop", in_flight=self.requests.app.in_flight)
 
     async def _until(self, holds: Callable[[], bool], end: float) -> None:
         """Wait until something holds, at the longest until some monotonic time, in seconds."""
@@ -343,23 +237,22 @@
             await asyncio.sleep(_STOP_POLL_S)
 
     def _state(self) -> str:
-        return vm_state(self).to_json()
+        return vm_state(self.context, self.state, self.fleet, self.servers, self.regions).to_json()
 
     def _report(self) -> str:
         now = self.clock.monotonic()
+        view = self.state.view
         gauges = {
-            "in_flight": self.app.in_flight,
-            "body_bytes": self.app.buffered,
-            "backend_connections_opened": self.pool.opened,
-            "store_calls": self.store.calls,
-            "store_revision": self.store_view.replica.at,
-            "store_age_s": now - self.store_view.confirmed_at,
+            "in_flight": self.requests.app.in_flight,
+            "body_bytes": self.requests.app.buffered,
+            "backend_connections_opened": self.servers.pool.opened,
+            "store_calls": self.state.store.calls,
+            "store_revision": view.replica.at,
+            "store_age_s": now - view.confirmed_at,
             "configuration_version": self.events.configuration_version,
-            "members": len(self.store_view.members),
-            "members_open": sum(
-                self.gossip.accepts_callers(m, now) for m in self.store_view.members
-            ),
-            "backend_servers": len(self.store_view.backends),
-            "neighbour_deltas": self.peer_follower.taken,
+            "members": len(view.members),
+            "members_open": sum(self.fleet.gossip.accepts_callers(m, now) for m in view.members),
+            "backend_servers": len(view.backends),
+            "neighbour_deltas": self.fleet.peer_follower.taken,
         }
         return self.events.report(gauges)
--- a/sprucewinch/gateway/decision_log.py
+++ b/sprucewinch/gateway/decision_log.py
@@ -7,7 +7,9 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
+from .events import EventLog
 from .requests.client_request import ClientRequest, Reply
+from .requests.request_log import RequestLog
 from .resources import RouteConfiguration
 from .state.store_view import Change
 
@@ -16,7 +18,7 @@
 _HIGHEST_US = 600_000_000
 
 
-class DecisionLog:
+class DecisionLog(EventLog, RequestLog):
     """Writes lines and counts.
 
     Lines beyond the rate are dropped and counted; answers in full are dropped first.
@@ -47,6 +49,10 @@
         """Write a line for a change of what the process is or believes."""
         self._line(event, inputs, reserve=0.0)
 
+    def count(self, counter: str) -> None:
+        """Count one more of something."""
+        self.counters[counter] += 1
+
     def learned(self, change: Change) -> None:
         """Write a line for a fact that was learnt."""
         after = change.after
--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -115,7 +115,7 @@
                 self._behind_since = now
             return True
         self.check_caught_up()
-        self.store_view.confirmed_at = max(self.store_view.confirmed_at, now - age_s)
+        self.store_view.confirm(now - age_s)
         return False
 
     def check_caught_up(self) -> None:
@@ -136,7 +136,7 @@
 
     def is_elected(self, now: float) -> bool:
         """Tell whether this VM is one of its region's store followers."""
-        return self.gossip.linked and self._first(now, self.gossip.can_follow_store)
+        return self.gossip.store_reachable and self._first(now, self.gossip.can_follow_store)
 
     def is_first_in_line(self, now: float) -> bool:
         """Tell whether this VM would be a store follower if the store answered all alike."""
--- a/sprucewinch/gateway/following/followers.py
+++ b/sprucewinch/gateway/following/followers.py
@@ -1,18 +1,18 @@
 """Keeps beliefs in step with the store, directly or through peers that follow it."""
 
 import asyncio
-from collections.abc import Callable
 
 from ...retry import backoff_s
-from ..decision_log import DecisionLog
+from ..datagrams import Datagrams
+from ..events import EventLog
 from ..membership.gossip import Gossip
-from ..membership.heartbeats import Heartbeats
 from ..state.outages import StoreOutages
 from ..state.store import HistoryGoneError, Store, StoreUnavailableError
 from ..state.store_view import StoreView
 from ..timing import Timing
 from .deltas import fetch_delta
 from .follow_role import FollowRole
+from .notices import ProgressNotices
 
 WATCH_S = 2.0
 """How long a watch waits, in seconds; one that died silently is noticed then."""
@@ -52,7 +52,7 @@
         outages: Told when the store is out of reach and when it is back.
         events: Told of lost and regained touch.
         timing: Sources of time and randomness.
-        tell: Called when the store has told something new.
+        notices: Sent when the store has answered with a change.
     """
 
     def __init__(
@@ -61,9 +61,9 @@
         store: Store,
         follow_role: FollowRole,
         outages: StoreOutages,
-        events: DecisionLog,
+        events: EventLog,
         timing: Timing,
-        tell: Callable[[], None] = lambda: None,
+        notices: ProgressNotices,
     ) -> None:
         self.store_view = store_view
         self.store = store
@@ -71,7 +71,7 @@
         self.outages = outages
         self.events = events
         self.timing = timing
-        self.tell = tell
+        self.notices = notices
         self.up = False
         self.follows = True
         self._list_first = True
@@ -101,7 +101,7 @@
         now = self.timing.monotonic()
         self.outages.regained(now)
         if now - self._failed_at > _FORGIVE_S:
-            self.follow_role.gossip.linked = True
+            self.follow_role.gossip.set_store_reachable(True)
 
     async def _try_step(self) -> None:
         try:
@@ -136,16 +136,16 @@
             raise
         now = self.timing.monotonic()
         self.outages.regained(now)
-        self.store_view.store_answered_at = now
+        self.store_view.store_answered(now)
         self.store_view.apply(delta, now)
         if first:
             await asyncio.sleep(_FIRST_GATHER_S)
         elif delta.items or delta.removals:
-            self.tell()
+            self.notices.send(changed=True)
             await asyncio.sleep(BATCH_PAUSE_S)
 
     def _is_up(self, up: bool, problem: str) -> None:
-        self.follow_role.gossip.linked = up
+        self.follow_role.gossip.set_store_reachable(up)
         if up != self.up:
             self.up = up
             self.events.state("store", up=up, problem=problem, at=self.store_view.replica.at)
@@ -158,7 +158,8 @@
         store_view: What this VM holds of the store.
         gossip: Who is there and knows how much.
         follow_role: Told of what became of it.
-        heartbeats: Tells when a store follower has told of something that is not known here.
+        notices: Wake this VM when a store follower has a newer revision.
+        datagrams: Names the VM that was heard last.
         timing: Sources of time and randomness.
     """
 
@@ -167,13 +168,15 @@
         store_view: StoreView,
         gossip: Gossip,
         follow_role: FollowRole,
-        heartbeats: Heartbeats,
+        notices: ProgressNotices,
+        datagrams: Datagrams,
         timing: Timing,
     ) -> None:
         self.store_view = store_view
         self.gossip = gossip
         self.follow_role = follow_role
-        self.heartbeats = heartbeats
+        self.notices = notices
+        self.datagrams = datagrams
         self.timing = timing
         self.taken = 0
         self._behind = False
@@ -184,10 +187,10 @@
         while True:
             try:
                 async with asyncio.timeout(_ASK_S):
-                    await self.heartbeats.behind.wait()
+                    await self.notices.behind.wait()
             except TimeoutError:
                 pass
-            self.heartbeats.behind.clear()
+            self.notices.behind.clear()
             await self.step()
 
     async def step(self) -> None:
@@ -217,7 +220,7 @@
 
         A VM that comes back is still registered, so that others send it heartbeats.
         """
-        address = self.heartbeats.last_peer_address
+        address = self.datagrams.last_sender
         if address is None or not self._begins_late():
             return
         delta = await fetch_delta(address, 0)
--- a/sprucewinch/gateway/listeners.py
+++ b/sprucewinch/gateway/listeners.py
@@ -58,7 +58,7 @@
         """Tell whether every connection has ended, with all that was written to it read."""
         return all(task.done() for task in self.tasks)
 
-    def learn(self, change: Change) -> None:
+    def on_change(self, change: Change) -> None:
         """Follow the limits on callers; a connection rests a little longer than they are told."""
         if not isinstance(change.after, RouteConfiguration):
             return
--- a/sprucewinch/gateway/membership/gossip.py
+++ b/sprucewinch/gateway/membership/gossip.py
@@ -79,12 +79,20 @@
         self.rng = rng
         self.link_mbps = link_mbps
         self.counter = 0
-        self.open = False
-        self.linked = True
+        self.accepting = False
+        self.store_reachable = True
         self.heard: dict[str, LastHeartbeat] = {}
         self.revisions: dict[str, int] = {}
         self._ticked_at: Optional[float] = None
 
+    def set_accepting(self, accepting: bool) -> None:
+        """Say from the next heartbeat on whether this VM accepts callers."""
+        self.accepting = accepting
+
+    def set_store_reachable(self, reachable: bool) -> None:
+        """Say from the next heartbeat on whether the store answers this VM."""
+        self.store_reachable = reachable
+
     def tick(self, now: float, revision: int) -> Heartbeat:
         """Count the heartbeat up and return the message to send.
 
@@ -95,7 +103,12 @@
         self._excuse_own_pause(now)
         self.counter += 1
         own = HeartbeatRow(
-            self.name, self.incarnation, self.counter, self.open, self.linked, self.link_mbps
+            self.name,
+            self.incarnation,
+            self.counter,
+            self.accepting,
+            self.store_reachable,
+            self.link_mbps,
         )
         self.heard = {n: h for n, h in self.heard.items() if now - h.at < _FORGET_S}
         fresh = [h.row for h in self.heard.values() if now - h.at < SILENCE_S]
@@ -115,7 +128,7 @@
     def accepts_callers(self, name: str, now: float) -> bool:
         """Tell whether callers may be sent to a VM."""
         if name == self.name:
-            return self.open
+            return self.accepting
         heard = self.heard.get(name)
         return heard is not None and heard.row.open and now - heard.at < SILENCE_S
 
--- /dev/null
+++ b/sprucewinch/gateway/regions/region_reporter.py
@@ -0,0 +1,111 @@
+"""Sends reports of this VM's region to all VMs, while it is one of the region's store followers.
+
+Owns when a report is made and sent. Relies on `region_reports` for what it says and on
+`follow_role` for who sends. Nothing is sent while no policy in force reads measures.
+"""
+
+import asyncio
+from collections.abc import Callable
+from typing import Optional
+
+from ..datagrams import Datagrams
+from ..following.follow_role import FollowRole
+from ..membership.gossip import Gossip
+from ..state.store_view import StoreView
+from ..timing import Timing
+from .policies import PolicyTable
+from .region_reports import REPORT_S, RegionReport, RegionReports
+
+Demand = Callable[[str, float], float]
+"""Returns the requests a second that callers send this VM for a service, now (monotonic, s)."""
+
+
+class OwnRegion:
+    """Makes the report of this VM's own region.
+
+    Args:
+        policies: Policies in force.
+        region_reports: What is known of the region's backend servers.
+        store_view: Registered VMs.
+        gossip: Which of them accept callers.
+        demand: Demand for a service at this VM.
+    """
+
+    def __init__(
+        self,
+        policies: PolicyTable,
+        region_reports: RegionReports,
+        store_view: StoreView,
+        gossip: Gossip,
+        demand: Demand,
+    ) -> None:
+        self.policies = policies
+        self.region_reports = region_reports
+        self.store_view = store_view
+        self.gossip = gossip
+        self.demand = demand
+
+    def report(self, now: float) -> Optional[RegionReport]:
+        """Return what this VM sees of its region; None while no policy asks for it.
+
+        The region's demand is this VM's own times the number of VMs that accept callers there, as
+        callers spread evenly over them.
+
+        Args:
+            now: Monotonic time, in seconds.
+        """
+        if not self.policies.reads_measures_anywhere:
+            return None
+        vm_count = self._accepting(now)
+        return self.region_reports.measure(
+            lambda service: vm_count * self.demand(service, now), now
+        )
+
+    def _accepting(self, now: float) -> int:
+        return sum(
+            member.region == self.region_reports.region
+            and self.gossip.accepts_callers(member.name, now)
+            for member in self.store_view.members.values()
+        )
+
+
+class RegionReporter:
+    """Sends reports while this VM is elected to follow the store.
+
+    Args:
+        region_reports: Told of this VM's own reports too.
+        follow_role: Says whether this VM reports, and to whom.
+        datagrams: The endpoint between VMs.
+        timing: Sources of time and randomness.
+        own_report: Returns the report to send at a monotonic time; None for none.
+    """
+
+    def __init__(
+        self,
+        region_reports: RegionReports,
+        follow_role: FollowRole,
+        datagrams: Datagrams,
+        timing: Timing,
+        *,
+        own_report: Callable[[float], Optional[RegionReport]],
+    ) -> None:
+        self.region_reports = region_reports
+        self.follow_role = follow_role
+        self.datagrams = datagrams
+        self.timing = timing
+        self.own_report = own_report
+        datagrams.register(RegionReport, region_reports.take)
+
+    async def run(self) -> None:
+        """Send a report again and again."""
+        while True:
+            await asyncio.sleep(self.timing.jittered(REPORT_S))
+            now = self.timing.monotonic()
+            report = self.own_report(now) if self.follow_role.is_elected(now) else None
+            if report is not None:
+                self._send(report, now)
+
+    def _send(self, report: RegionReport, now: float) -> None:
+        self.region_reports.take(report, now)
+        recipients = self.follow_role.recipients(changed=True)
+        self.datagrams.send(report, [member.peer_address for member in recipients])
--- a/sprucewinch/gateway/regions/region_reports.py
+++ b/sprucewinch/gateway/regions/region_reports.py
@@ -92,11 +92,11 @@
         )
         return RegionReport(self.name, self.region, services)
 
-    def take(self, service_reads_measures: RegionReport, now: float) -> None:
+    def take(self, report: RegionReport, now: float) -> None:
         """Take over what a region's store follower says."""
         self.heard += 1
-        for measure in service_reads_measures.services:
-            self.held[service_reads_measures.region, measure.service] = HeldReport(measure, now)
+        for measure in report.services:
+            self.held[report.region, measure.service] = HeldReport(measure, now)
 
     def changes(self, now: float) -> tuple[int, int]:
         """Return something that differs whenever policies may see other figures than before.
--- a/sprucewinch/gateway/requests/app.py
+++ b/sprucewinch/gateway/requests/app.py
@@ -11,12 +11,12 @@
 from ...net.body import CallerLeftError
 from ...net.http_server import TARGET_KEY
 from ...net.request import end_to_end
-from ..decision_log import DecisionLog
 from ..header_names import HeaderNames
 from ..resources import CallerLimits
 from ..state.store_view import StoreView
 from .client_request import ClientRequest, RefusalReason, Reply
 from .pipeline import Pipeline
+from .request_log import RequestLog
 
 _DEFAULT_WAIT_S = 10.0
 _MOST_WAIT_S = 300.0
@@ -45,7 +45,7 @@
         pipeline: Pipeline,
         *,
         names: HeaderNames,
-        events: DecisionLog,
+        events: RequestLog,
         monotonic: Callable[[], float],
         memory_bytes: int,
     ) -> None:
@@ -61,6 +61,10 @@
         self.giving_up = False
         self._serving: set[asyncio.Task] = set()
 
+    def stop(self) -> None:
+        """End each connection with its next answer from now on."""
+        self.stopping = True
+
     def give_up_all(self) -> None:
         """Give every request that is still in flight its final answer now: the process ends."""
         self.giving_up = True
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -87,12 +87,16 @@
         self.table: Optional[RouteTable] = None
         store_view.listeners.append(self._learn)
 
+    def set_bounds(self, bounds: Bounds) -> None:
+        """Use other figures of the fleet from now on; retry budgets start anew with them."""
+        self.bounds = bounds
+        self.budgets.clear()
+
     async def run(self, request: ClientRequest) -> Reply:
         """Run a request and return its final answer."""
         service = ""
         while True:
             now = self.monotonic()
-            self.registry.now = now
             route = self._route(request)
             if isinstance(route, RefusalReason):
                 return self._reply(route)
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -2,8 +2,10 @@
 
 import asyncio
 from collections.abc import Callable
+from typing import Optional
 
 from ...net.connection import Answer, ConnectFailedError, ExchangeFailedError
+from ..events import EventLog, NoEvents
 from ..header_names import HeaderNames
 from ..servers.backend_registry import BackendRegistry
 from ..servers.backend_server import BackendServer
@@ -28,7 +30,7 @@
         pool: Connections.
         names: Names of headers.
         monotonic: Source of time.
-        tell: Told of changes of what is believed of a server.
+        events: Takes a line when a server is left alone for a while; None for none.
     """
 
     def __init__(
@@ -38,14 +40,14 @@
         pool: ConnectionPool,
         names: HeaderNames,
         monotonic: Callable[[], float],
-        tell: Callable[..., None] = lambda _event, **_inputs: None,
+        events: Optional[EventLog] = None,
     ) -> None:
         self.registry = registry
         self.outliers = outliers
         self.pool = pool
         self.names = names
         self.monotonic = monotonic
-        self.tell = tell
+        self.events = events or NoEvents()
 
     async def send(
         self, request: ClientRequest, selection: Selection, until: float, *, fresh: bool = False
@@ -141,7 +143,7 @@
             server.crowded(now)
         elif send.why != "timeout" or server.answered_at < started:
             server.failed(now)
-            self.tell("server-rests", server=server.backend.id, why=send.why, id=request_id)
+            self.events.state("server-rests", server=server.backend.id, why=send.why, id=request_id)
 
 
 def _keep_alive_s(answer: Answer) -> float:
--- a/sprucewinch/gateway/servers/backend_registry.py
+++ b/sprucewinch/gateway/servers/backend_registry.py
@@ -1,7 +1,7 @@
 """All backend servers that this VM knows, and how much it may send there."""
 
 import math
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from typing import Optional
 
 from ..._hash import hash64
@@ -10,6 +10,7 @@
 from ..state.outages import LAPSED_ENTRY_GRACE_S, StoreOutages
 from ..state.store_view import Change, StoreView
 from .backend_server import BackendServer
+from .peer_reports import NoReports, OverloadReport, ReportSender
 from .service_times import ServiceTimes
 
 COLD_MARGIN_S = 0.5
@@ -39,6 +40,7 @@
         name: Name of this VM.
         regions: Region of each data hall.
         outages: When the store was out of reach.
+        reports: Sends overload reports to other VMs; None to send none.
     """
 
     def __init__(
@@ -48,6 +50,7 @@
         name: str,
         regions: dict[str, str],
         outages: StoreOutages,
+        reports: Optional[ReportSender] = None,
     ) -> None:
         self.store_view = store_view
         self.bounds = bounds
@@ -57,14 +60,21 @@
         self.generation = 0
         self.times = ServiceTimes()
         self.cold_success: dict[str, float] = {}
-        self.report_overload: Callable[[str, int, int], None] = lambda _id, _running, _waiting: None
-        self.now = 0.0
+        self.reports = reports or NoReports()
         self.settled = False
         self.to_probe: list[BackendServer] = []
         self.servers: dict[str, BackendServer] = {}
         self.by_service: dict[str, tuple[BackendServer, ...]] = {}
         store_view.listeners.append(self._learn)
 
+    def set_bounds(self, bounds: Bounds) -> None:
+        """Use other figures of the fleet from now on."""
+        self.bounds = bounds
+
+    def settle(self) -> None:
+        """Count servers that appear from now on as cold: those of the start are not new."""
+        self.settled = True
+
     def usable(self, service: str) -> tuple[BackendServer, ...]:
         """Return the servers of a service that may get new requests, paused ones included."""
         return self.by_service.get(service, ())
@@ -111,15 +121,18 @@
         crowded = server.record_load(running, waiting, now, part)
         if crowded and now - server.overload_reported_at >= _TELL_CROWDED_S:
             server.overload_reported_at = now
-            self.report_overload(server.backend.id, running, waiting)
+            self.reports.send_overload(OverloadReport(server.backend.id, running, waiting))
 
-    def record_overload_report(
-        self, server_id: str, running: int, waiting: int, now: float
-    ) -> None:
-        """Take over what a server told another VM of its load."""
-        server = self.servers.get(server_id)
+    def on_overload_report(self, report: OverloadReport, now: float) -> None:
+        """Use a server's load figure that another VM passes on.
+
+        Args:
+            report: The other VM's report.
+            now: Monotonic time, in seconds.
+        """
+        server = self.servers.get(report.server)
         if server is not None:
-            server.record_reported_load(running, waiting, now)
+            server.record_reported_load(report.running, report.waiting, now)
 
     def load_limit(self, server: BackendServer, timeout_s: Optional[float]) -> float:
         """Return the load up to which a server takes another request of a route.
@@ -164,20 +177,20 @@
             self.times.set_latency_targets(change.after)
             return
         if isinstance(change.before, Evacuation) and change.after is None:
-            self._chill(change.before.hall)
+            self._chill(change.before.hall, change.at)
         if isinstance(change.after, BackendEntry):
-            self._update(change.after)
+            self._update(change.after, change.at)
         elif isinstance(change.before, BackendEntry) and change.after is None:
-            self._lose(change.before)
+            self._lose(change.before, change.at)
         self._rebuild()
 
-    def _lose(self, backend: BackendEntry) -> None:
+    def _lose(self, backend: BackendEntry, now: float) -> None:
         """Drop a server whose entry is gone, or keep it while its entry may only have lapsed."""
         server = self.servers.get(backend.id)
         if server is None:
             return
-        if not backend.draining and self.outages.entries_may_have_lapsed(self.now):
-            server.gone_at = self.now + LAPSED_ENTRY_GRACE_S
+        if not backend.draining and self.outages.entries_may_have_lapsed(now):
+            server.gone_at = now + LAPSED_ENTRY_GRACE_S
         else:
             del self.servers[backend.id]
 
@@ -193,7 +206,7 @@
         if overdue:
             self._rebuild()
 
-    def _update(self, backend: BackendEntry) -> None:
+    def _update(self, backend: BackendEntry, now: float) -> None:
         server = self.servers.get(backend.id)
         new = server is None
         if server is None:
@@ -203,17 +216,17 @@
         left = backend.cold_for_s
         if new and self.settled:
             left = max(left, self._warmup_s(backend.service))
-            if self.outages.entries_may_have_lapsed(self.now):
+            if self.outages.entries_may_have_lapsed(now):
                 self.to_probe.append(server)
         if left > 0:
-            server.cold_until = max(server.cold_until, self.now + left + COLD_MARGIN_S)
+            server.cold_until = max(server.cold_until, now + left + COLD_MARGIN_S)
 
-    def _chill(self, hall: str) -> None:
+    def _chill(self, hall: str, now: float) -> None:
         """Count a data hall's servers as cold: it is taken back after an evacuation."""
         for server in self.servers.values():
             if server.backend.hall == hall:
                 left = self._warmup_s(server.backend.service)
-                server.cold_until = max(server.cold_until, self.now + left + COLD_MARGIN_S)
+                server.cold_until = max(server.cold_until, now + left + COLD_MARGIN_S)
                 self.to_probe.append(server)
 
     def health_path(self, service: str) -> str:
--- a/sprucewinch/gateway/servers/outliers.py
+++ b/sprucewinch/gateway/servers/outliers.py
@@ -8,11 +8,13 @@
 """
 
 from collections import OrderedDict, deque
-from collections.abc import Callable, Sequence
-from typing import NamedTuple
+from collections.abc import Sequence
+from typing import NamedTuple, Optional
 
+from ..events import EventLog, NoEvents
 from .backend_registry import BackendRegistry
 from .backend_server import BackendServer
+from .peer_reports import FailureReport, NoReports, ReportSender
 
 _WINDOW_S = 2.5
 """How long samples count, in seconds."""
@@ -98,19 +100,19 @@
 
     Args:
         registry: Backend servers.
-        tell: Tells other VMs of a bad sample at a server.
-        note: Told of an ejection, for the log.
+        reports: Sends failure reports to other VMs; None to send none.
+        events: Takes a line for each ejection; None for none.
     """
 
     def __init__(
         self,
         registry: BackendRegistry,
-        tell: Callable[[str], None] = lambda _server_id: None,
-        note: Callable[..., None] = lambda _event, **_inputs: None,
+        reports: Optional[ReportSender] = None,
+        events: Optional[EventLog] = None,
     ) -> None:
         self.registry = registry
-        self.tell = tell
-        self.note = note
+        self.reports = reports or NoReports()
+        self.events = events or NoEvents()
         self.records: dict[str, ServerHistory] = {}
         self.typical_s: dict[str, float] = {}
         self.counts: dict[str, int] = {}
@@ -145,9 +147,14 @@
         if not late or server.load(now) <= server.backend.capacity:
             self._sample(server, True, now)
 
-    def heard(self, server_id: str, now: float) -> None:
-        """Take over a bad sample of another VM."""
-        server = self.registry.servers.get(server_id)
+    def on_failure_report(self, report: FailureReport, now: float) -> None:
+        """Count a failure that another VM has seen.
+
+        Args:
+            report: The other VM's report.
+            now: Monotonic time, in seconds.
+        """
+        server = self.registry.servers.get(report.server)
         if server is not None:
             self._add(server, Sample(now, True))
 
@@ -184,7 +191,7 @@
         record = self._add(server, Sample(now, bad))
         if bad and now - record.told_at >= _TELL_S:
             record.told_at = now
-            self.tell(server.backend.id)
+            self.reports.send_failure(FailureReport(server.backend.id))
 
     def _add(self, server: BackendServer, sample: Sample) -> ServerHistory:
         record = self.records.setdefault(server.backend.id, ServerHistory())
@@ -194,7 +201,7 @@
         caught = sample.bad and record.on_trial(sample.at)
         if (caught or record.stands_out()) and self._may_eject(server, sample.at):
             record.eject(sample.at)
-            self.note(
+            self.events.state(
                 "server-ejected",
                 server=server.backend.id,
                 for_s=round(record.ejected_until - sample.at, 1),
--- /dev/null
+++ b/sprucewinch/gateway/servers/peer_reports.py
@@ -0,0 +1,83 @@
+"""What VMs report to each other about single backend servers: overload and failures.
+
+Owns the two messages and their sending. Relies on `follow_role` for the recipients. A VM of a large
+fleet sends each server so few requests that it would not learn of either by itself.
+"""
+
+import abc
+
+import msgspec
+
+from ..datagrams import Datagrams
+from ..following.follow_role import FollowRole
+
+
+class OverloadReport(msgspec.Struct, array_like=True, frozen=True, tag="crowded"):
+    """Requests wait at a backend server, as it says of itself.
+
+    Args:
+        server: Id of the server.
+        running: Requests that it runs.
+        waiting: Requests that wait there.
+    """
+
+    server: str
+    running: int
+    waiting: int
+
+
+class FailureReport(msgspec.Struct, array_like=True, frozen=True, tag="bad"):
+    """A request failed at a backend server, or took far longer than usual.
+
+    Args:
+        server: Id of the server.
+    """
+
+    server: str
+
+
+class ReportSender(abc.ABC):
+    """Sends reports on backend servers to other VMs."""
+
+    @abc.abstractmethod
+    def send_overload(self, report: OverloadReport) -> None:
+        """Report that requests wait at a server."""
+
+    @abc.abstractmethod
+    def send_failure(self, report: FailureReport) -> None:
+        """Report a request that failed at a server or took long."""
+
+
+class PeerReports(ReportSender):
+    """Sends reports by datagram.
+
+    Args:
+        datagrams: The endpoint between VMs.
+        follow_role: Chooses the recipients.
+    """
+
+    def __init__(self, datagrams: Datagrams, follow_role: FollowRole) -> None:
+        self.datagrams = datagrams
+        self.follow_role = follow_role
+
+    def send_overload(self, report: OverloadReport) -> None:
+        """Report that requests wait at a server."""
+        self._send(report)
+
+    def send_failure(self, report: FailureReport) -> None:
+        """Report a request that failed at a server or took long."""
+        self._send(report)
+
+    def _send(self, report: msgspec.Struct) -> None:
+        recipients = self.follow_role.recipients(changed=False)
+        self.datagrams.send(report, [member.peer_address for member in recipients])
+
+
+class NoReports(ReportSender):
+    """Sends nothing; for a part that is built alone."""
+
+    def send_overload(self, report: OverloadReport) -> None:
+        """Drop a report."""
+
+    def send_failure(self, report: FailureReport) -> None:
+        """Drop a report."""
--- a/sprucewinch/gateway/servers/probe.py
+++ b/sprucewinch/gateway/servers/probe.py
@@ -10,7 +10,7 @@
 from typing import Optional
 
 from ...net.connection import Answer, get
-from ..decision_log import DecisionLog
+from ..events import EventLog
 from ..header_names import HeaderNames
 from .backend_registry import COLD_MARGIN_S, BackendRegistry
 from .backend_server import BackendServer
@@ -34,7 +34,7 @@
         self,
         registry: BackendRegistry,
         names: HeaderNames,
-        events: DecisionLog,
+        events: EventLog,
         monotonic: Callable[[], float],
     ) -> None:
         self.registry = registry
@@ -55,7 +55,7 @@
         path = self.registry.health_path(server.backend.service)
         if not path:
             return
-        self.events.counters["probes"] += 1
+        self.events.count("probes")
         answer = await get(server.backend.address, path, _TIMEOUT_S)
         left_s = None if answer is None else self._cold_left_s(answer, server)
         if left_s is not None:
--- a/sprucewinch/gateway/state/store_view.py
+++ b/sprucewinch/gateway/state/store_view.py
@@ -38,12 +38,14 @@
         before: What was believed; None when it is new.
         after: What is believed now; None when it is gone.
         revision: Revision of the item, or of its removal.
+        at: Monotonic time at which this VM received it, in seconds.
     """
 
     key: str
     before: Optional[Resource]
     after: Optional[Resource]
     revision: int
+    at: float
 
 
 Listener = Callable[[Change], None]
@@ -95,9 +97,27 @@
         """
         changed = self.replica.apply(delta)
         self.confirmed_at = now
-        changes = [change for key in sorted(changed) for change in self._learn(key)]
-        if not changes:
-            return
+        changes = [change for key in sorted(changed) for change in self._learn(key, now)]
+        if changes:
+            self._report(changes)
+
+    def confirm(self, at: float) -> None:
+        """Note that a store follower vouches for what is held here.
+
+        Args:
+            at: Monotonic time of the store's answer to that follower, in seconds.
+        """
+        self.confirmed_at = max(self.confirmed_at, at)
+
+    def store_answered(self, now: float) -> None:
+        """Note that the store itself has answered this VM.
+
+        Args:
+            now: Monotonic time, in seconds.
+        """
+        self.store_answered_at = now
+
+    def _report(self, changes: list[Change]) -> None:
         self.generation += 1
         self.evacuated = frozenset(e.hall for e in self._of(Evacuation))
         for change in changes:
@@ -107,13 +127,13 @@
     def _of(self, kind: type) -> Iterable:
         return [fact for fact in self.facts.values() if isinstance(fact, kind)]
 
-    def _learn(self, key: str) -> list[Change]:
+    def _learn(self, key: str, now: float) -> list[Change]:
         item = self.replica.items.get(key)
         before = self.facts.get(key)
         revision = item.revision if item else self.replica.removed.get(key, self.replica.at)
         self.revision = max(self.revision, revision)
         if item is None:
-            return self._drop(key, before, revision)
+            return self._drop(Change(key, before, None, revision, now))
         try:
             after = self.decoder.decode(item)
         except MalformedItemError as error:
@@ -121,21 +141,22 @@
             return []
         if after is None or after == before:
             return []
-        return self._keep(key, before, after, revision)
+        return self._keep(Change(key, before, after, revision, now))
 
-    def _drop(self, key: str, before: Optional[Resource], revision: int) -> list[Change]:
+    def _drop(self, change: Change) -> list[Change]:
+        before = change.before
         if before is None or isinstance(before, RouteConfiguration):
             return []
-        del self.facts[key]
+        del self.facts[change.key]
         if isinstance(before, BackendEntry):
             self.backends.pop(before.id, None)
         elif isinstance(before, Member):
             self.members.pop(before.name, None)
-        return [Change(key, before, None, revision)]
+        return [change]
 
-    def _keep(
-        self, key: str, before: Optional[Resource], after: Resource, revision: int
-    ) -> list[Change]:
+    def _keep(self, change: Change) -> list[Change]:
+        after = change.after
+        assert after is not None
         if isinstance(after, RouteConfiguration):
             held = self.configuration
             if held is not None and after.version <= held.version:
@@ -145,5 +166,5 @@
             self.backends[after.id] = after
         elif isinstance(after, Member):
             self.members[after.name] = after
-        self.facts[key] = after
-        return [Change(key, before, after, revision)]
+        self.facts[change.key] = after
+        return [change]
--- a/sprucewinch/gateway/vm_state.py
+++ b/sprucewinch/gateway/vm_state.py
@@ -1,12 +1,19 @@
-"""What a VM says of itself to operators: its beliefs with age and revision, and its shares."""
+"""What a VM shows operators of itself on `/state`: what it holds, how old that is, its shares.
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+Owns the shape of that JSON. Relies on the parts of `composition`; changes nothing.
+"""
+
+from typing import Any, NamedTuple
 
 import msgspec
 
-if TYPE_CHECKING:
-    from .daemon import Gateway
+from .composition import Context, Fleet, Regions, Servers, State
+
+_MAX_AGE_S = 1e9
+"""Age shown when the store was never heard, in seconds: JSON has no infinity."""
 
+_SHARE_DIGITS = 4
+"""Decimal places of a share: a hundredth of a per cent."""
 
 _SHOWN_NAMES = {"hall": "zone"}
 """Names of fields in `/state` where they differ from the field's own; operators read them."""
@@ -63,39 +70,40 @@
         return msgspec.json.encode(table).decode()
 
 
-def vm_state(gateway: "Gateway") -> VmState:
+def vm_state(
+    context: Context, state: State, fleet: Fleet, servers: Servers, regions: Regions
+) -> VmState:
     """Return the state of a VM."""
-    now = gateway.clock.monotonic()
-    store_view = gateway.store_view
-    configuration = store_view.configuration
+    now = context.monotonic()
+    view = state.view
     return VmState(
-        name=gateway.settings.name,
-        region=gateway.settings.region,
-        ready=gateway.ready(),
-        configuration_version=configuration.version if configuration else 0,
-        store_revision=store_view.replica.at,
-        store_age_s=round(min(now - store_view.confirmed_at, 1e9), 3),
-        evacuated=tuple(sorted(store_view.evacuated)),
-        members={n: gateway.gossip.accepts_callers(n, now) for n in sorted(store_view.members)},
-        services=_services(gateway),
-        backend_servers=_backend_servers(gateway, now),
+        name=context.settings.name,
+        region=context.settings.region,
+        ready=context.ready(),
+        configuration_version=view.configuration.version if view.configuration else 0,
+        store_revision=view.replica.at,
+        store_age_s=round(min(now - view.confirmed_at, _MAX_AGE_S), 3),
+        evacuated=tuple(sorted(view.evacuated)),
+        members={n: fleet.gossip.accepts_callers(n, now) for n in sorted(view.members)},
+        services=_services(regions),
+        backend_servers=_backend_servers(servers, now),
     )
 
 
-def _services(gateway: "Gateway") -> tuple[ServiceState, ...]:
-    shares = gateway.shares
+def _services(regions: Regions) -> tuple[ServiceState, ...]:
+    shares = regions.shares
     return tuple(
         ServiceState(
             name,
-            gateway.policies.name_for(name),
-            {r: round(s, 4) for r, s in limiter.current.as_dict().items()},
+            regions.policies.name_for(name),
+            {r: round(s, _SHARE_DIGITS) for r, s in limiter.current.as_dict().items()},
             shares.notes.get(name, ()),
         )
         for name, limiter in sorted(shares.limiters.items())
     )
 
 
-def _backend_servers(gateway: "Gateway", now: float) -> tuple[BackendState, ...]:
+def _backend_servers(servers: Servers, now: float) -> tuple[BackendState, ...]:
     return tuple(
         BackendState(
             id=server.backend.id,
@@ -108,5 +116,5 @@
             paused=server.paused_until > now or server.silent(now),
             latency_ms=round((server.latency_s or 0.0) * 1000, 1),
         )
-        for _, server in sorted(gateway.registry.servers.items())
+        for _, server in sorted(servers.registry.servers.items())
     )
--- a/tests/formats_gateway.py
+++ b/tests/formats_gateway.py
@@ -14,7 +14,6 @@
 from sprucewinch.clock import Clock
 from sprucewinch.errors import SettingsError
 from sprucewinch.gateway.daemon import Gateway
-from sprucewinch.gateway.vm_state import vm_state
 from standins.consortium_store import StoreStandIn
 from standins.scripted_server import ScriptedServer
 from standins.virtual import VirtualLoop, pass_time
@@ -130,7 +129,7 @@
 
     def give_up_all(self) -> None:
         """Give up what is in flight, as at the end of a stop."""
-        self.gateway.app.give_up_all()
+        self.gateway.requests.app.give_up_all()
 
     def reload(self, found: Any = None) -> None:
         """Reload as on SIGHUP, when the settings file is unchanged, changed or unusable."""
@@ -147,7 +146,7 @@
 
     def datagram(self, data: bytes) -> None:
         """Receive a datagram of another VM."""
-        self.gateway.heartbeats.datagram_received(data, PEER)
+        self.gateway.fleet.datagrams.datagram_received(data, PEER)
 
     async def fail_a_loop(self) -> None:
         """Let a loop fail once."""
@@ -162,16 +161,16 @@
 
     async def ask(self, target: str = "/rates/a?q=1", **options: Any) -> "Answered":
         """Send a request to the callers' listener."""
-        return await asgi(self.gateway.app, target, **options)
+        return await asgi(self.gateway.requests.app, target, **options)
 
     async def resolve(self, target: str) -> "Answered":
         """Ask the directory."""
-        app = self.gateway.wire.directory_app(self.gateway.directory, self.loop.time)
+        app = self.gateway.adapter.directory_app(self.gateway.fleet.directory, self.loop.time)
         return await asgi(app, target)
 
     async def readiness(self, target: str) -> "Answered":
         """Ask whether it is ready."""
-        return await asgi(self.gateway.wire.ready_app(self.gateway.ready), target)
+        return await asgi(self.gateway.adapter.ready_app(self.gateway.ready), target)
 
     def metrics(self) -> str:
         """Return what `/metrics` shows."""
@@ -179,7 +178,7 @@
 
     def state(self) -> str:
         """Return what `/state` shows."""
-        return vm_state(self.gateway).to_json()
+        return self.gateway._state()
 
     def rows(self, event: str) -> list[dict[str, Any]]:
         """Return the log lines of an event."""
--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -22,6 +22,11 @@
 )
 from sprucewinch.gateway.servers.backend_registry import BackendRegistry
 from sprucewinch.gateway.servers.outliers import OutlierDetector
+from sprucewinch.gateway.servers.peer_reports import (
+    FailureReport,
+    OverloadReport,
+    ReportSender,
+)
 from sprucewinch.gateway.servers.pool import ConnectionPool
 from sprucewinch.gateway.settings import Bounds
 from sprucewinch.gateway.state.outages import StoreOutages
@@ -49,6 +54,20 @@
         return self.table.get(item.value)
 
 
+class RecordedReports(ReportSender):
+    """Keeps what would be sent to other VMs."""
+
+    def __init__(self) -> None:
+        self.overloads: list[OverloadReport] = []
+        self.failures: list[FailureReport] = []
+
+    def send_overload(self, report: OverloadReport) -> None:
+        self.overloads.append(report)
+
+    def send_failure(self, report: FailureReport) -> None:
+        self.failures.append(report)
+
+
 class World:
     """What a machine believes, fed by a test.
 
@@ -63,7 +82,10 @@
         self.revision = 0
         self._numbers = itertools.count()
         self.outages = StoreOutages(heartbeat_s=1.5)
-        self.registry = BackendRegistry(self.store_view, BOUNDS, name, REGIONS, self.outages)
+        self.reports = RecordedReports()
+        self.registry = BackendRegistry(
+            self.store_view, BOUNDS, name, REGIONS, self.outages, self.reports
+        )
         for number in range(machines):
             hall = list(REGIONS)[number % len(REGIONS)]
             region = REGIONS[hall]
@@ -75,14 +97,12 @@
         self.revision += 1
         token = str(next(self._numbers)).encode()
         self.decoder.table[token] = fact
-        self.registry.now = now
         item = Item(key, token, self.revision)
         self.store_view.apply(Delta((item,), (), self.revision), now)
 
     def drop(self, key: str, now: float = 0.0) -> None:
         """Let the store say that a key is gone."""
         self.revision += 1
-        self.registry.now = now
         removal = Removal(key, self.revision)
         self.store_view.apply(Delta((), (removal,), self.revision), now)
 
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -12,13 +12,14 @@
 import msgspec
 
 from sprucewinch.config.configuration import decode_document, drain_key, encode_document
+from sprucewinch.gateway.datagrams import Datagrams as Endpoint
 from sprucewinch.gateway.following.deltas import DELTA_PATH, decode_delta, encode_delta
 from sprucewinch.gateway.following.follow_role import ProgressNotice
 from sprucewinch.gateway.internal_apps import DeltaApp
 from sprucewinch.gateway.membership.gossip import Heartbeat, HeartbeatRow
-from sprucewinch.gateway.membership.heartbeats import FailureReport, Message, OverloadReport
 from sprucewinch.gateway.regions.region_reports import RegionReport, ServiceReport
 from sprucewinch.gateway.resources import Member, PolicyChoice, PolicyProgram
+from sprucewinch.gateway.servers.peer_reports import FailureReport, OverloadReport
 from sprucewinch.gateway.state.own_items import (
     choice_item,
     decode_own,
@@ -87,7 +88,13 @@
 
 def decode_datagram(data: bytes) -> Any:
     """Return a datagram's message, as the receiver decodes it."""
-    return msgspec.msgpack.decode(data, type=Message)
+    kinds = (Heartbeat, ProgressNotice, OverloadReport, FailureReport, RegionReport)
+    received: list[Any] = []
+    datagrams = Endpoint(lambda: 0.0)
+    for kind in kinds:
+        datagrams.register(kind, lambda message, _now: received.append(message))
+    datagrams.datagram_received(data, ("127.0.0.1", 1))
+    return received[0]
 
 
 def decode_plan(value: bytes) -> Plan:
@@ -191,8 +198,8 @@
 
     fleet.deliver = record  # type: ignore[method-assign]
     await asyncio.sleep(5.0)
-    fleet.machines[0].heartbeats.report_overload("rates-7", 6, 18)
-    fleet.machines[0].heartbeats.report_failure("rates-7")
+    fleet.machines[0].reports.send_overload(OverloadReport("rates-7", 6, 18))
+    fleet.machines[0].reports.send_failure(FailureReport("rates-7"))
     await asyncio.sleep(0.1)
     return sent
 
--- a/tests/test_formats_store.py
+++ b/tests/test_formats_store.py
@@ -64,7 +64,7 @@
             kept: list[bytes] = []
             vm = VirtualGateway(loop)
             loop.listen(STORE, lambda: _Silent(kept))
-            for request in calls(vm.gateway.store):
+            for request in calls(vm.gateway.state.store):
                 with contextlib.suppress(StoreUnavailableError):
                     await request
             return kept
@@ -75,7 +75,7 @@
     def test_a_vm_registers_itself(self) -> None:
         async def main(loop: VirtualLoop) -> tuple[Any, bytes]:
             vm = await VirtualGateway(loop).started()
-            known = vm.gateway.store_view.replica.items
+            known = vm.gateway.state.view.replica.items
             return sorted(vm.store.items), known["sprucewinch/members/vm1"].value
 
         self.assertEqual(run_virtual(main), (["op/config", "sprucewinch/members/vm1"], MEMBER))
--- a/tests/test_gateway_admit.py
+++ b/tests/test_gateway_admit.py
@@ -239,9 +239,7 @@
 
     def test_the_same_server_is_not_told_of_again_and_again(self) -> None:
         world = World()
-        told: list[tuple[str, int, int]] = []
-        world.registry.report_overload = lambda *load: told.append(load)
         world.say("servers/s0", BackendEntry("s0", "rates", "10.0.0.1:80", "east-a", 6))
         for number in range(40):
             world.registry.record_load(world.registry.servers["s0"], 6, 12, 10.0 + number * 0.01)
-        self.assertEqual(len(told), 2)
+        self.assertEqual(len(world.reports.overloads), 2)
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -17,7 +17,7 @@
         self.dead: set[str] = set()
         self.cut: set[str] = set()
         for machine in self.machines.values():
-            machine.open = True
+            machine.accepting = True
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -68,7 +68,7 @@
         fleet = Fleet(12)
         fleet.run(5.0)
         leaving = fleet.machines["vm3"]
-        leaving.open = False
+        leaving.accepting = False
         beat = leaving.tick(fleet.now, 0)
         for machine in fleet.machines.values():
             machine.take(beat, fleet.now)
@@ -87,7 +87,7 @@
         fleet = Fleet(12)
         fleet.run(5.0)
         fleet.machines["vm3"] = Gossip("vm3", 2, random.Random(9))
-        fleet.machines["vm3"].open = True
+        fleet.machines["vm3"].accepting = True
         fleet.run(3.0)
         self.assertIn("vm3", fleet.named("vm0"))
 
@@ -96,7 +96,7 @@
         fleet.machines["vm3"].incarnation = 9_000
         fleet.run(5.0)
         fleet.machines["vm3"] = Gossip("vm3", 2, random.Random(9))
-        fleet.machines["vm3"].open = True
+        fleet.machines["vm3"].accepting = True
         fleet.run(SILENCE_S + 1.0)
         self.assertTrue(all("vm3" in fleet.named(name) for name in fleet.machines))
 
--- a/tests/test_gateway_measured.py
+++ b/tests/test_gateway_measured.py
@@ -5,7 +5,6 @@
 import msgspec
 
 from sprucewinch.errors import SettingsError
-from sprucewinch.gateway.membership.heartbeats import Message
 from sprucewinch.gateway.regions.policies import PolicyTable
 from sprucewinch.gateway.regions.region_reports import REPORT_MAX_AGE_S, RegionReport, ServiceReport
 from sprucewinch.gateway.resources import PolicyChoice
@@ -106,7 +105,7 @@
     def test_a_message_passes_unchanged(self) -> None:
         told = RegionReport("vm1", "east", (ServiceReport("rates", 3.5, -1.0, 8.0),))
         data = msgspec.msgpack.encode(told)
-        self.assertEqual(msgspec.msgpack.decode(data, type=Message), told)
+        self.assertEqual(msgspec.msgpack.decode(data, type=RegionReport), told)
 
 
 class Fleet(unittest.TestCase):
@@ -119,7 +118,7 @@
                 measured = RegionReport(
                     machine.name, machine.region, (ServiceReport("s", 1, 2, 3),)
                 )
-                machine.heartbeats.own_report = lambda now, told=measured: told
+                machine.own_report = measured
             await pass_time(15.0)
             counts = [machine.region_reports.heard for machine in fleet.machines]
             begun = list(counts)
--- a/tests/test_gateway_outages.py
+++ b/tests/test_gateway_outages.py
@@ -32,8 +32,7 @@
         end = self.loop.time() + seconds
         while self.loop.time() < end:
             await pass_time(0.1)
-            self.registry.now = self.loop.time()
-            self.registry.settled = True
+            self.registry.settle()
             self.registry.drop_lapsed(self.loop.time())
 
     async def outage(self, seconds: float) -> None:
--- a/tests/test_gateway_outliers.py
+++ b/tests/test_gateway_outliers.py
@@ -8,6 +8,7 @@
 from sprucewinch.gateway.requests.client_request import Selection
 from sprucewinch.gateway.resources import BackendEntry
 from sprucewinch.gateway.servers.outliers import OutlierDetector
+from sprucewinch.gateway.servers.peer_reports import FailureReport
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
@@ -84,8 +85,7 @@
             path = _path(loop)
             path.world.configure(route(timeout_s=0.8), version=2)
             await _serve(path, 2.0)
-            path.world.registry.settled = True
-            path.world.registry.now = loop.time()
+            path.world.registry.settle()
             cold = path.add("cold", "10.0.1.1:80")
             cold.work_s = 0.96
             await _serve(path, 3.0, 1000)
@@ -98,8 +98,7 @@
     def test_where_cold_servers_answer_too_late_only_a_few_requests_try_them(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = _path(loop)
-            path.world.registry.settled = True
-            path.world.registry.now = loop.time()
+            path.world.registry.settle()
             cold = path.add("cold", "10.0.1.1:80")
             registry = path.world.registry
             server = registry.servers["cold"]
@@ -133,7 +132,8 @@
                 server.record_load(9, 9, now)
                 server.in_flight = 6
             for _ in range(4):
-                path.outliers.heard(ranking.servers[ranking.near - 1].backend.id, now)
+                report = FailureReport(ranking.servers[ranking.near - 1].backend.id)
+                path.outliers.on_failure_report(report, now)
             reply = await path.pipeline.run(path.request("q"))
             self.assertEqual((reply.status, path.runs("q")), (503, 0))
 
@@ -155,7 +155,7 @@
         outliers.answered(server, "k", 0.1, 1, 10.0)
         outliers.answered(server, "k", 0.1, 1, 10.1)
         for number in range(8):
-            outliers.heard("s3", 10.2 + number / 10)
+            outliers.on_failure_report(FailureReport("s3"), 10.2 + number / 10)
         self.assertTrue(outliers.ejected(server, 11.0))
 
     def test_a_server_that_fails_now_and_then_stays(self) -> None:
@@ -218,12 +218,12 @@
                 world.say(f"servers/s{each}", backend)
             outliers = OutlierDetector(world.registry)
             for _ in range(4):
-                outliers.heard("s3", 10.0)
+                outliers.on_failure_report(FailureReport("s3"), 10.0)
             server = world.registry.servers["s3"]
             self.assertTrue(outliers.ejected(server, 11.9))
             self.assertFalse(outliers.ejected(server, 13.1))
             tries.append(not outliers.ejected(server, 12.5))
-            outliers.heard("s3", 12.5)
+            outliers.on_failure_report(FailureReport("s3"), 12.5)
             self.assertTrue(outliers.ejected(server, 16.0))
         self.assertEqual(sum(tries), 1)
 
@@ -244,9 +244,9 @@
             store.put("servers/s1", entry + b'"State":"ready"}')
             fleet = VirtualFleet(loop, store, 6)
             await pass_time(6.0)
-            fleet.machines[0].heartbeats.report_failure("s1")
+            fleet.machines[0].reports.send_failure(FailureReport("s1"))
             await pass_time(0.1)
-            known = [len(m.heartbeats.outliers.records) for m in fleet.machines[1:]]
+            known = [len(m.outliers.records) for m in fleet.machines[1:]]
             self.assertEqual(known, [1] * 5)
 
         run_virtual(main)
--- a/tests/test_gateway_servers.py
+++ b/tests/test_gateway_servers.py
@@ -17,7 +17,7 @@
     worlds = [World(machines=registered, name=f"vm{n}") for n in range(count)]
     for world in worlds:
         world.configure(route())
-        world.registry.settled = True
+        world.registry.settle()
         world.say("servers/new", BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6), 100.0)
     return worlds
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -3,9 +3,11 @@
 import random
 import unittest
 
+from sprucewinch.gateway.datagrams import Datagrams
 from sprucewinch.gateway.decision_log import DecisionLog
 from sprucewinch.gateway.following.follow_role import FollowRole
 from sprucewinch.gateway.following.followers import StoreFollower
+from sprucewinch.gateway.following.notices import ProgressNotices
 from sprucewinch.gateway.membership.gossip import Gossip
 from sprucewinch.gateway.membership.registrar import Registrar
 from sprucewinch.gateway.resources import Member
@@ -49,8 +51,9 @@
         timing = Timing(loop.time, rng)
         gossip = Gossip(name, 7, rng)
         follow_role = FollowRole(name, "r", gossip, self.store_view, self.outages, regions=1)
+        notices = ProgressNotices(follow_role, Datagrams(loop.time), timing)
         self.follower = StoreFollower(
-            self.store_view, self.store, follow_role, self.outages, events, timing
+            self.store_view, self.store, follow_role, self.outages, events, timing, notices
         )
         own = Member(name, "z", "r", "10.0.0.1:1", "10.0.0.1:2")
         self.registrar = Registrar(own, self.store_view, gossip, self.store, timing)
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -64,9 +64,9 @@
         self.assertEqual(_loops.TICK_S, 0.5)
 
     def test_the_routed_path_counts_and_logs_the_loops_full_name(self) -> None:
-        gateway = mock.Mock(events=mock.Mock(spec=DecisionLog, counters={"loop_faults": 3}))
+        gateway = mock.Mock(events=mock.Mock(spec=DecisionLog))
         Gateway._loop_failed(gateway, Gateway._tick_loop, ValueError("x"))
-        self.assertEqual(gateway.events.counters, {"loop_faults": 4})
+        gateway.events.count.assert_called_once_with("loop_faults")
         gateway.events.state.assert_called_once_with(
             "fault", loop="Gateway._tick_loop", error="ValueError('x')"
         )
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -3,19 +3,23 @@
 import asyncio
 import random
 import re
-from typing import Any
+from typing import Any, Optional
 
+from sprucewinch.gateway.datagrams import Datagrams
 from sprucewinch.gateway.decision_log import DecisionLog
 from sprucewinch.gateway.following.deltas import encode_delta
 from sprucewinch.gateway.following.follow_role import FollowRole
 from sprucewinch.gateway.following.followers import PeerFollower, StoreFollower
+from sprucewinch.gateway.following.notices import ProgressNotices
 from sprucewinch.gateway.membership.gossip import Gossip
 from sprucewinch.gateway.membership.heartbeats import Heartbeats
 from sprucewinch.gateway.membership.registrar import Registrar
-from sprucewinch.gateway.regions.region_reports import RegionReports
+from sprucewinch.gateway.regions.region_reporter import RegionReporter
+from sprucewinch.gateway.regions.region_reports import RegionReport, RegionReports
 from sprucewinch.gateway.resources import Member
 from sprucewinch.gateway.servers.backend_registry import BackendRegistry
 from sprucewinch.gateway.servers.outliers import OutlierDetector
+from sprucewinch.gateway.servers.peer_reports import FailureReport, OverloadReport, PeerReports
 from sprucewinch.gateway.state.outages import StoreOutages
 from sprucewinch.gateway.state.replica import Delta
 from sprucewinch.gateway.state.store_view import StoreView
@@ -58,21 +62,32 @@
         self.follow_role = FollowRole(
             self.name, self.region, self.gossip, self.store_view, outages, regions=len(REGIONS)
         )
-        self.registry = BackendRegistry(self.store_view, BOUNDS, self.name, FLEET_ZONES, outages)
+        self.datagrams = Datagrams(loop.time)
+        self.datagrams.transport = _Datagrams(self)  # type: ignore[assignment]
+        self.reports = PeerReports(self.datagrams, self.follow_role)
+        self.registry = BackendRegistry(
+            self.store_view, BOUNDS, self.name, FLEET_ZONES, outages, self.reports
+        )
+        self.outliers = OutlierDetector(self.registry, self.reports)
+        self.datagrams.register(OverloadReport, self.registry.on_overload_report)
+        self.datagrams.register(FailureReport, self.outliers.on_failure_report)
         self.region_reports = RegionReports(self.registry, self.name, self.region)
-        self.registry.report_overload = lambda *load: self.heartbeats.report_overload(*load)
+        self.own_report: Optional[RegionReport] = None
         self.heartbeats = Heartbeats(
             self.gossip,
             self.store_view,
-            self.follow_role,
-            self.registry,
-            OutlierDetector(self.registry),
-            self.region_reports,
+            self.datagrams,
+            timing,
             ready=lambda: self.store_view.has_configuration,
-            monotonic=loop.time,
-            rng=rng,
         )
-        self.heartbeats.transport = _Datagrams(self)  # type: ignore[assignment]
+        notices = ProgressNotices(self.follow_role, self.datagrams, timing)
+        reporter = RegionReporter(
+            self.region_reports,
+            self.follow_role,
+            self.datagrams,
+            timing,
+            own_report=lambda _now: self.own_report,
+        )
         store = KvStore(self.store_address, loop.time)
         own = Member(self.name, "z", self.region, self.address, self.address)
         events = DecisionLog(lambda line: None, monotonic=loop.time, wall=loop.time)
@@ -83,10 +98,10 @@
             outages,
             events,
             timing,
-            tell=lambda: self.heartbeats.send_notice(changed=True),
+            notices,
         )
         peer_follower = PeerFollower(
-            self.store_view, self.gossip, self.follow_role, self.heartbeats, timing
+            self.store_view, self.gossip, self.follow_role, notices, self.datagrams, timing
         )
         registrar = Registrar(own, self.store_view, self.gossip, store, timing)
         loop.listen(self.store_address, lambda: fleet.store.accept(self.name))
@@ -96,18 +111,18 @@
             peer_follower.run,
             registrar.run,
             self.heartbeats.run,
-            self.heartbeats.run_notices,
-            self.heartbeats.run_reports,
+            notices.run,
+            reporter.run,
             self._tick,
         )
         self.tasks = [loop.create_task(run()) for run in loops]
 
     async def _tick(self) -> None:
-        """Keep the book's time as the daemon does."""
+        """Drop lapsed entries as the daemon does."""
         while True:
-            self.registry.now = self.fleet.loop.time()
-            self.registry.settled = self.store_view.has_configuration
-            self.registry.drop_lapsed(self.registry.now)
+            if self.store_view.has_configuration:
+                self.registry.settle()
+            self.registry.drop_lapsed(self.fleet.loop.time())
             await asyncio.sleep(0.2)
 
     def peer(self) -> tuple[str, int]:
@@ -162,7 +177,7 @@
         for machine in found:
             if not {machine.name, sender.name} & (self.gone | self.cut):
                 self.loop.call_later(
-                    _DATAGRAM_S, machine.heartbeats.datagram_received, data, sender.peer()
+                    _DATAGRAM_S, machine.datagrams.datagram_received, data, sender.peer()
                 )
 
     def isolate(self, machine: FleetMachine) -> None:
--- a/tools/soak_vm.py
+++ b/tools/soak_vm.py
@@ -14,7 +14,7 @@
 def main() -> None:
     """Run until told to stop."""
     sys.path += [str(_ROOT), str(_ROOT / "platform")]
-    from consortium import ConsortiumWire
+    from consortium import ConsortiumAdapter
     from main import SETTINGS_VARIABLE
     from node_settings import SettingsFile
 
@@ -37,7 +37,7 @@
 
     log.configure_lines()
     file = SettingsFile(path)
-    gateway = Gateway(file.settings, ConsortiumWire(), reread=file.reread, clock=OffsetClock())
+    gateway = Gateway(file.settings, ConsortiumAdapter(), reread=file.reread, clock=OffsetClock())
     asyncio.run(gateway.run())
 
 
--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -219,7 +219,7 @@
         "FAILBACK",
         "a data hall taken back counts as warm",
         f"{_GATEWAY}/servers/backend_registry.py",
-        "            self._chill(change.before.hall)\n",
+        "            self._chill(change.before.hall, change.at)\n",
         "            pass\n",
         ("tests.test_gateway_servers.WhatIsCold",),
     ),
