--- a/tools/entry_vm.py
+++ b/tools/entry_vm.py
@@ -53,6 +53,7 @@
         self.name = name
         self.ip = ip
         self.program = program
+        self.root = ROOT
         self.zones = dict(zones or {"east-a": "east"})
         self.zone = zone
         self.addresses = {port: f"{ip}:{free_port(ip)}" for port in _PORTS}
@@ -100,8 +101,12 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             self.program,
-            cwd=ROOT,
-            env={**os.environ, "SPRUCEWINCH_CONFIG": str(self.settings)},
+            cwd=self.root,
+            env={
+                **os.environ,
+                "PYTHONPATH": str(self.root),
+                "SPRUCEWINCH_CONFIG": str(self.settings),
+            },
             stdout=asyncio.subprocess.PIPE,
         )
         self._reader = asyncio.create_task(self._read(self.process))
--- /dev/null
+++ b/tools/rolling_upgrade.py
@@ -0,0 +1,259 @@
+"""Runs entry VMs of two versions of the sources on one store and says whether they work together.
+
+    python -m tools.rolling_upgrade --other=PATH
+
+PATH is the root of another checkout, as `git worktree` makes one. Owns the play and its checks:
+every VM names all others to callers, deltas go both ways, a changed configuration is in force at
+all, no VM finds anything unreadable. Relies on `entry_vm` for the processes and on the stand-ins
+for store and backend servers. Exits with 1 when a check fails.
+"""
+
+import asyncio
+import functools
+import json
+import sys
+import tempfile
+import time
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import aiohttp
+import fire
+
+from standins.consortium_store import StoreStandIn
+from standins.scripted_server import ScriptedServer
+
+from .entry_vm import METRICS_PORT, ROOT, EntryVm, free_port
+
+_FIRST_IP = 101
+"""Last number of the first VM's loopback address; no test uses these."""
+
+_WAIT_S = 30.0
+"""Longest wait for a check to hold, in seconds: ten times what a start takes beside other work."""
+
+_POLL_S = 0.05
+_HOST = "quotes.example"
+_OK = 200
+_NOT_FOUND = 404
+_UNREADABLE = ("unreadable", "fault")
+"""Events that show that a VM does not understand another's words."""
+
+
+class Check(NamedTuple):
+    """One check of the play.
+
+    Args:
+        name: What has to hold.
+        held: True when it did.
+        seconds: How long it took to hold.
+    """
+
+    name: str
+    held: bool
+    seconds: float
+
+
+class VersionedVm(EntryVm):
+    """An entry VM of the sources below some root.
+
+    Args:
+        root: Root of the sources.
+        *args: See `EntryVm`.
+        **options: See `EntryVm`.
+    """
+
+    def __init__(self, root: Path, *args: Any, **options: Any) -> None:
+        super().__init__(*args, **options)
+        self.root = root
+
+    @property
+    def delta_url(self) -> str:
+        """Return where it answers other VMs' requests for deltas."""
+        port = self.table["InternalPorts"][0]
+        return f"http://{self.ip}:{port}/v1/delta?after=0"
+
+
+class Upgrade:
+    """One play.
+
+    Args:
+        other: Root of the other version's sources.
+        folder: Where settings files are laid.
+        vms: How many VMs each version gets.
+    """
+
+    def __init__(self, other: Path, folder: Path, vms: int) -> None:
+        self.other = other
+        self.folder = folder
+        self.count = vms
+        self.checks: list[Check] = []
+        self.vms: list[VersionedVm] = []
+
+    async def run(self) -> list[Check]:
+        """Play it and return the checks."""
+        loop = asyncio.get_running_loop()
+        self.store = StoreStandIn(loop)
+        self.store.put("op/config", _configuration(1, "/rates/"))
+        await self._serve(loop)
+        timeout = aiohttp.ClientTimeout(total=5)
+        async with aiohttp.ClientSession(timeout=timeout) as self.session:
+            try:
+                await self._start()
+                await self._judge()
+            finally:
+                await asyncio.gather(*(vm.kill() for vm in self.vms))
+        return self.checks
+
+    async def _serve(self, loop: asyncio.AbstractEventLoop) -> None:
+        server = ScriptedServer(loop, "i-0")
+        row = {
+            "Service": "rates",
+            "Address": await _listen(server.accept),
+            "Zone": "east-a",
+            "Capacity": 6,
+            "State": "ready",
+            "WarmupLeft": "0ms",
+            "Sequence": 1,
+        }
+        self.store.put("servers/i-0", json.dumps(row).encode())
+
+    async def _start(self) -> None:
+        port = free_port("127.0.0.1")
+        roots = [self.other, ROOT] * self.count
+        for number, root in enumerate(roots):
+            name = f"vm{number}"
+            store = await _listen(functools.partial(self.store.accept, name))
+            ip = f"127.0.0.{_FIRST_IP + number}"
+            self.vms.append(VersionedVm(root, name, ip, store, port, self.folder))
+        for vm in self.vms:
+            await vm.start()
+        await self._check("all are ready", self._all_ready)
+
+    async def _judge(self) -> None:
+        await self._check("each names all to callers", self._all_named)
+        await self._check("each is in step with the store", self._all_in_step)
+        self.store.put("op/config", _configuration(2, "/tariffs/"))
+        await self._check("a changed configuration is in force at all", self._all_changed)
+        await self._check("each serves the changed route", self._all_serve)
+        await self._check("each gives deltas that the other version reads", self._deltas)
+        await self._check("each follows a peer of the other version", self._peers_followed)
+        await self._check("nothing is unreadable", self._nothing_unreadable)
+
+    async def _check(self, name: str, holds: Callable[[], Awaitable[bool]]) -> None:
+        began = time.monotonic()
+        held = False
+        while not held and time.monotonic() - began < _WAIT_S:
+            held = await holds()
+            if not held:
+                await asyncio.sleep(_POLL_S)
+        self.checks.append(Check(name, held, round(time.monotonic() - began, 2)))
+
+    async def _get(self, url: str, **headers: str) -> tuple[int, bytes]:
+        try:
+            async with self.session.get(url, headers=headers) as response:
+                return response.status, await response.read()
+        except (aiohttp.ClientError, TimeoutError):
+            return 0, b""
+
+    async def _all_ready(self) -> bool:
+        return all([(await self._get(vm.ready_url))[0] == _OK for vm in self.vms])
+
+    async def _all_named(self) -> bool:
+        path = "/sprucewinch/resolve?Name=x&Region=east&Zone=east-a"
+        wanted = {vm.addresses["Front"] for vm in self.vms}
+        for vm in self.vms:
+            status, body = await self._get(vm.url("Directory", path))
+            if status != _OK or set(json.loads(body)["Addresses"]) != wanted:
+                return False
+        return True
+
+    async def _state(self, vm: VersionedVm) -> dict[str, Any]:
+        status, body = await self._get(f"http://{vm.ip}:{METRICS_PORT}/state")
+        return json.loads(body) if status == _OK else {}
+
+    async def _all_in_step(self) -> bool:
+        states = [await self._state(vm) for vm in self.vms]
+        return len({state.get("store_revision") for state in states}) == 1
+
+    async def _all_changed(self) -> bool:
+        states = [await self._state(vm) for vm in self.vms]
+        return len({state.get("configuration_version") for state in states}) == 1 and all(
+            [(await self._ask(vm, "/rates/a"))[0] == _NOT_FOUND for vm in self.vms]
+        )
+
+    async def _all_serve(self) -> bool:
+        return all([(await self._ask(vm, "/tariffs/a"))[0] == _OK for vm in self.vms])
+
+    async def _ask(self, vm: VersionedVm, path: str) -> tuple[int, bytes]:
+        headers = {"Host": _HOST, "X-Request-Id": f"{vm.name}-{time.monotonic_ns()}"}
+        return await self._get(vm.url("Front", path), **headers)
+
+    async def _deltas(self) -> bool:
+        bodies = [await self._get(vm.delta_url) for vm in self.vms]
+        return all(status == _OK and body for status, body in bodies)
+
+    async def _peers_followed(self) -> bool:
+        """Count deltas that VMs of each version have taken from others."""
+        taken = {self.other: 0.0, ROOT: 0.0}
+        self.store.put("op/evacuate/none", b"{}")
+        await asyncio.sleep(1.0)
+        for number, vm in enumerate(self.vms):
+            root = ROOT if number % 2 else self.other
+            taken[root] += await self._metric(vm, "neighbour_deltas")
+        return all(taken.values())
+
+    async def _metric(self, vm: VersionedVm, name: str) -> float:
+        _, body = await self._get(f"http://{vm.ip}:{METRICS_PORT}/metrics")
+        rows = (line.split() for line in body.decode().splitlines())
+        return sum(float(row[1]) for row in rows if row[0] == name)
+
+    async def _nothing_unreadable(self) -> bool:
+        return not self.strange_lines()
+
+    def strange_lines(self) -> list[dict[str, Any]]:
+        """Return the lines that show that one VM does not understand another."""
+        return [line for vm in self.vms for line in vm.lines if line["event"] in _UNREADABLE]
+
+
+def _configuration(version: int, prefix: str) -> bytes:
+    route = {
+        "Name": "safe",
+        "PathPrefix": prefix,
+        "RouteType": "safe",
+        "Timeout": "3s",
+        "Service": "rates",
+        "MaxAttempts": 2,
+    }
+    table = {
+        "Version": f"r{version}",
+        "Services": [{"Name": "rates", "MaxConnections": 50}],
+        "Hosts": [{"Hostname": _HOST, "Paths": [route]}],
+    }
+    return json.dumps(table).encode()
+
+
+async def _listen(accept: Callable[[], asyncio.Protocol]) -> str:
+    server = await asyncio.get_running_loop().create_server(accept, "127.0.0.1", 0)
+    return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+
+
+def main(other: str, vms: int = 3) -> None:
+    """Play a rolling upgrade.
+
+    Args:
+        other: Root of the other version's sources.
+        vms: How many VMs each version gets.
+    """
+    with tempfile.TemporaryDirectory() as folder:
+        upgrade = Upgrade(Path(other).resolve(), Path(folder), vms)
+        checks = asyncio.run(upgrade.run())
+    for check in checks:
+        print(f"{'held' if check.held else 'FAILED'} after {check.seconds:5.2f} s: {check.name}")
+    for line in upgrade.strange_lines():
+        print(json.dumps(line))
+    sys.exit(0 if all(check.held for check in checks) else 1)
+
+
+if __name__ == "__main__":
+    fire.Fire(main)
