--- a/sprucewinch/daemon.py
+++ b/sprucewinch/daemon.py
@@ -25,7 +25,7 @@
 from .hall.requests.callers import CallerApp
 from .hall.requests.dispatch import Dispatcher
 from .hall.store.http_store import HttpPlatform
-from .net.http_server import bind, make_server
+from .net.http_server import ListenerLimits, bind, make_listener
 from .operators.port import OperatorsApp
 
 _INCARNATION_RANDOM_BITS = 12
@@ -92,7 +92,8 @@
         await self._close()
 
     async def _listen(self) -> None:
-        limits = self.settings.limits
+        most = self.settings.limits
+        limits = ListenerLimits(most.header_bytes, most.connections, most.requests)
         callers = CallerApp(self.node, self.dispatcher, self.clock)
         operators = OperatorsApp(self.settings, self.node, self.platform, self.clock, self._applied)
         apps = {"caller_address": callers, "operators_address": operators.routes()}
@@ -101,7 +102,7 @@
         self.servers: list[uvicorn.Server] = []
         self.serving: list[asyncio.Task] = []
         for key, app in apps.items():
-            server = make_server(app, limits)
+            server = make_listener(app, limits)
             self.servers.append(server)
             self.serving.append(asyncio.create_task(server.serve(sockets=[sockets[key]])))
         self.peer_listener = self._peer_listener()
--- a/sprucewinch/net/http_server.py
+++ b/sprucewinch/net/http_server.py
@@ -1,4 +1,10 @@
-"""HTTP listeners with limits on headers, connections and requests."""
+"""HTTP listeners that refuse what goes beyond their limits.
+
+Owns the limits of a listener on headers, connections and requests, the answers that the listener
+itself gives when one is reached, and how an address is bound. Decides nothing about a request: the
+ASGI application does. Relies on uvicorn for HTTP/1.1 and subclasses its httptools protocol, whose
+attributes `connections` and `tasks` count what is open on the listener.
+"""
 
 import asyncio
 import contextlib
@@ -10,7 +16,6 @@
 import uvicorn
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
-from ..config.settings import Limits
 from ..errors import SettingsError
 from .address import parse_address
 from .outcome import Outcome, Reason
@@ -18,10 +23,25 @@
 AsgiApp = Callable[[dict, Callable[[], Awaitable[dict]], Callable[[dict], Awaitable[None]]], Any]
 
 TARGET_KEY = "sprucewinch.target"
-"""Key of the scope that holds a request's target as it was sent."""
+"""Key of the ASGI scope that holds a request's target as it was sent, not decoded."""
 
 _BACKLOG = 2048
+"""Connections that wait to be accepted. The default of uvicorn; never measured here."""
+
 _KEEPALIVE_S = 30
+"""Seconds that a connection may rest between requests. A guess, never measured."""
+
+_RETRY_AFTER_S = 1
+"""Seconds that a refused caller is told to wait. The least whole number; never measured."""
+
+_MS_PER_S = 1000
+"""Milliseconds in a second."""
+
+_REFUSAL_HEAD = (
+    b"HTTP/1.1 %s\r\ncontent-type: application/json\r\nretry-after: %d\r\n"
+    b"connection: close\r\ncontent-length: %d\r\n\r\n"
+)
+"""Status line and headers of a listener's own answer."""
 
 
 def refusal_body(outcome: Outcome, reason: Reason, retry_after_ms: int) -> bytes:
@@ -32,7 +52,7 @@
 
 
 class ListenerLimits:
-    """Limits of one listener; they may be changed while it runs.
+    """Limits of one listener; `change` replaces some of them while it runs.
 
     Args:
         header_bytes: Most bytes of a request's headers.
@@ -51,99 +71,120 @@
         self.requests = requests
         self.header_s = header_s
 
+    def change(self, *, header_bytes: int, header_s: Optional[float]) -> None:
+        """Replace the limits on headers; requests whose headers are being read follow the new size.
+
+        Args:
+            header_bytes: Most bytes of a request's headers.
+            header_s: Longest time for headers that begin later, in seconds; None for any time.
+        """
+        self.header_bytes = header_bytes
+        self.header_s = header_s
+
+
+class LimitedProtocol(HttpToolsProtocol):
+    """One connection of a listener: refuses what goes beyond the limits, then closes.
+
+    uvicorn creates protocols without arguments of ours, so each listener has a subclass, made by
+    `limited_by`, that carries its limits.
+    """
+
+    limits: ListenerLimits
+    """Limits of the listener, shared by all its connections."""
+
+    header_bytes = 0
+    """Bytes of the current request's headers so far."""
+
+    header_timer: Optional[asyncio.TimerHandle] = None
+    """Fires when the current request's headers are late; None while none are awaited."""
+
     @classmethod
-    def of(cls, limits: Limits) -> "ListenerLimits":
-        """Return the limits that the daemon's settings name."""
-        return cls(limits.header_bytes, limits.connections, limits.requests)
-
-
-def _limited_protocol(  # noqa: C901  counts the branches of all methods of the class made here
-    limits: ListenerLimits,
-) -> type[HttpToolsProtocol]:
-    class LimitedProtocol(HttpToolsProtocol):
-        """Refuses connections, requests and headers beyond the limits with a clear answer."""
-
-        header_bytes = 0
-        header_timer: Optional[asyncio.TimerHandle] = None
-
-        def connection_made(self, transport: Any) -> None:
-            super().connection_made(transport)
-            if len(self.connections) > limits.connections:
-                self._refuse(b"503 Service Unavailable", Reason.OVERLOADED_VM)
-                return
-            self.timeout_keep_alive_task = self.loop.call_later(
-                self.timeout_keep_alive, self.timeout_keep_alive_handler
-            )
-
-        def connection_lost(self, exc: Optional[Exception]) -> None:
-            self._stop_header_timer()
-            super().connection_lost(exc)
-
-        def on_message_begin(self) -> None:
-            self.header_bytes = 0
-            if limits.header_s is not None:
-                self.header_timer = self.loop.call_later(limits.header_s, self._headers_late)
-            super().on_message_begin()
-
-        def _headers_late(self) -> None:
-            self._refuse(b"408 Request Timeout", Reason.MALFORMED)
-
-        def _stop_header_timer(self) -> None:
-            if self.header_timer is not None:
-                self.header_timer.cancel()
-                self.header_timer = None
-
-        def on_url(self, url: bytes) -> None:
-            super().on_url(url)
-            self._count(len(url))
-
-        def on_header(self, name: bytes, value: bytes) -> None:
-            super().on_header(name, value)
-            self._count(len(name) + len(value))
-
-        def on_headers_complete(self) -> None:
-            self._stop_header_timer()
-            if self.header_bytes > limits.header_bytes:
-                return
-            if len(self.tasks) >= limits.requests:
-                self._refuse(b"503 Service Unavailable", Reason.OVERLOADED_VM)
-                return
-            self.scope[TARGET_KEY] = self.url
-            super().on_headers_complete()
-
-        def on_body(self, body: bytes) -> None:
-            if not self.transport.is_closing():
-                super().on_body(body)
-
-        def on_message_complete(self) -> None:
-            if not self.transport.is_closing():
-                super().on_message_complete()
-
-        def data_received(self, data: bytes) -> None:
-            if self.transport.is_closing():
-                return
-            super().data_received(data)
-
-        def _count(self, size: int) -> None:
-            before = self.header_bytes
-            self.header_bytes += size
-            if before <= limits.header_bytes < self.header_bytes:
-                self._refuse(b"431 Request Header Fields Too Large", Reason.MALFORMED)
-
-        def _refuse(self, status: bytes, reason: Reason) -> None:
-            # Nothing is known of a ticket that the request may carry.
-            body = refusal_body(Outcome.UNKNOWN, reason, 1000)
-            self.transport.write(
-                b"HTTP/1.1 %s\r\ncontent-type: application/json\r\nretry-after: 1\r\n"
-                b"connection: close\r\ncontent-length: %d\r\n\r\n%s" % (status, len(body), body)
-            )
-            self.transport.close()
-
-    return LimitedProtocol
+    def limited_by(cls, limits: ListenerLimits) -> type["LimitedProtocol"]:
+        """Return a subclass whose connections keep to some limits."""
+        return type(cls.__name__, (cls,), {"limits": limits})
+
+    def connection_made(self, transport: Any) -> None:
+        """Refuse the connection when too many are open; else close it if no request begins."""
+        super().connection_made(transport)
+        if len(self.connections) > self.limits.connections:
+            self._refuse(b"503 Service Unavailable", Reason.OVERLOADED_VM)
+            return
+        self.timeout_keep_alive_task = self.loop.call_later(
+            self.timeout_keep_alive, self.timeout_keep_alive_handler
+        )
+
+    def connection_lost(self, exc: Optional[Exception]) -> None:
+        """Stop the timer of headers that were still due."""
+        self._stop_header_timer()
+        super().connection_lost(exc)
+
+    def on_message_begin(self) -> None:
+        """Count the bytes and the time of a new request's headers from here on."""
+        self.header_bytes = 0
+        if self.limits.header_s is not None:
+            self.header_timer = self.loop.call_later(self.limits.header_s, self._headers_late)
+        super().on_message_begin()
+
+    def on_url(self, url: bytes) -> None:
+        """Count a piece of the target."""
+        super().on_url(url)
+        self._count(len(url))
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Count a header."""
+        super().on_header(name, value)
+        self._count(len(name) + len(value))
+
+    def on_headers_complete(self) -> None:
+        """Hand the request to the application, unless too many are in flight."""
+        self._stop_header_timer()
+        if self.header_bytes > self.limits.header_bytes:
+            return
+        if len(self.tasks) >= self.limits.requests:
+            self._refuse(b"503 Service Unavailable", Reason.OVERLOADED_VM)
+            return
+        self.scope[TARGET_KEY] = self.url
+        super().on_headers_complete()
+
+    def on_body(self, body: bytes) -> None:
+        """Pass a piece of the body on, unless the request was refused."""
+        if not self.transport.is_closing():
+            super().on_body(body)
+
+    def on_message_complete(self) -> None:
+        """End the request, unless it was refused."""
+        if not self.transport.is_closing():
+            super().on_message_complete()
+
+    def data_received(self, data: bytes) -> None:
+        """Parse what arrived; bytes that follow a refusal are not read."""
+        if self.transport.is_closing():
+            return
+        super().data_received(data)
+
+    def _headers_late(self) -> None:
+        self._refuse(b"408 Request Timeout", Reason.MALFORMED)
+
+    def _stop_header_timer(self) -> None:
+        if self.header_timer is not None:
+            self.header_timer.cancel()
+            self.header_timer = None
+
+    def _count(self, size: int) -> None:
+        before = self.header_bytes
+        self.header_bytes += size
+        if before <= self.limits.header_bytes < self.header_bytes:
+            self._refuse(b"431 Request Header Fields Too Large", Reason.MALFORMED)
+
+    def _refuse(self, status: bytes, reason: Reason) -> None:
+        # The request may carry a ticket that an earlier request ran, so the outcome is unknown.
+        body = refusal_body(Outcome.UNKNOWN, reason, _RETRY_AFTER_S * _MS_PER_S)
+        self.transport.write(_REFUSAL_HEAD % (status, _RETRY_AFTER_S, len(body)) + body)
+        self.transport.close()
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves signals to the daemon."""
+    """A server that installs no signal handlers: the daemon has its own."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -175,30 +216,20 @@
     return bound
 
 
-def make_server(app: AsgiApp, limits: Limits) -> uvicorn.Server:
-    """Return a server for an ASGI application, to be given a bound socket.
-
-    Args:
-        app: The application.
-        limits: Limits of the listener, from the settings.
-    """
-    return make_listener(app, ListenerLimits.of(limits))
-
-
 def make_listener(
     app: AsgiApp, limits: ListenerLimits, *, keepalive_s: float = _KEEPALIVE_S
 ) -> uvicorn.Server:
-    """Return a server whose limits may change while it runs.
+    """Return a server for an ASGI application, to be given a bound socket.
 
     Args:
         app: The application.
-        limits: Limits of the listener.
+        limits: Limits of the listener; they may change while it runs.
         keepalive_s: How long a connection may rest, in seconds; see `keep_alive`.
     """
     config = uvicorn.Config(
         app,
         loop="none",
-        http=_limited_protocol(limits),
+        http=LimitedProtocol.limited_by(limits),
         ws="none",
         interface="asgi3",
         lifespan="off",
--- a/tests/formats_own.py
+++ b/tests/formats_own.py
@@ -19,7 +19,6 @@
 
 from sprucewinch.cli import main as command_line
 from sprucewinch.clock import Clock
-from sprucewinch.config.settings import Limits
 from sprucewinch.errors import WriteUnknownError
 from sprucewinch.gateway.internal_apps import TextApp
 from sprucewinch.hall.node import Node
@@ -27,7 +26,7 @@
 from sprucewinch.hall.requests.callers import CallerApp
 from sprucewinch.hall.requests.dispatch import Dispatcher, PeerLink
 from sprucewinch.hall.store.documents import Revisioned
-from sprucewinch.net.http_server import make_server
+from sprucewinch.net.http_server import ListenerLimits, make_listener
 from sprucewinch.net.outcome import Reason, not_run
 from sprucewinch.operators.port import OperatorsApp
 
@@ -129,7 +128,7 @@
 @contextlib.contextmanager
 def listening(app: Any) -> Iterator[str]:
     """Serve an application on loopback; yields its `IP:PORT`."""
-    server = make_server(app, Limits())
+    server = make_listener(app, ListenerLimits(16_384, connections=2000, requests=1000))
     bound = socket.create_server(("127.0.0.1", 0))
     address = f"127.0.0.1:{bound.getsockname()[1]}"
     thread = threading.Thread(target=lambda: asyncio.run(server.serve(sockets=[bound])))
--- a/tests/test_formats_own.py
+++ b/tests/test_formats_own.py
@@ -17,11 +17,11 @@
 import msgspec
 
 from sprucewinch import errors
-from sprucewinch.config.settings import Limits, load_settings
+from sprucewinch.config.settings import load_settings
 from sprucewinch.hall.metrics import Label, Metrics, merge_reports
 from sprucewinch.hall.requests.backend import _headers as headers_to_server
 from sprucewinch.net.asgi import AsgiResponder, send_refusal
-from sprucewinch.net.http_server import make_server
+from sprucewinch.net.http_server import ListenerLimits, make_listener
 from sprucewinch.net.outcome import Outcome, Reason, Refusal
 
 from .formats_gateway import Answered, asgi
@@ -118,7 +118,7 @@
 
     def test_one_of_the_listener_itself(self) -> None:
         async def main() -> bytes:
-            server = make_server(_no_answer, Limits(header_bytes=20))
+            server = make_listener(_no_answer, ListenerLimits(20, connections=2, requests=2))
             loop = asyncio.get_running_loop()
             listener = await loop.create_server(_protocol(server), "127.0.0.1", 0)
             port = listener.sockets[0].getsockname()[1]
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,12 +1,12 @@
 import asyncio
 import unittest
 
-from sprucewinch.config.settings import Limits
 from sprucewinch.errors import SettingsError
 from sprucewinch.hall.peers.peer_listener import PeerListener
-from sprucewinch.net.http_server import bind, make_server
+from sprucewinch.net.http_server import ListenerLimits, bind, make_listener
 from tools.fleet import free_ports
 
+MANY = 1000
 REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
@@ -20,8 +20,8 @@
         await send({"type": "http.response.start", "status": 204, "headers": []})
         await send({"type": "http.response.body", "body": b""})
 
-    async def start(self, limits: Limits) -> None:
-        server = make_server(self.app, limits)
+    async def start(self, limits: ListenerLimits) -> None:
+        server = make_listener(self.app, limits)
         sock = bind("caller_address", f"127.0.0.1:{self.port}")
         serving = asyncio.create_task(server.serve(sockets=[sock]))
 
@@ -49,13 +49,13 @@
         self.assertIn(b'"outcome":"unknown"', answer)
 
     async def test_connection_beyond_the_limit(self) -> None:
-        await self.start(Limits(connections=2))
+        await self.start(ListenerLimits(MANY, connections=2, requests=MANY))
         for _ in range(2):
             await self.connect()
         await self.refused(await self.connect(REQUEST), b"503", b"overloaded-vm")
 
     async def test_request_beyond_the_limit(self) -> None:
-        await self.start(Limits(requests=2))
+        await self.start(ListenerLimits(MANY, connections=MANY, requests=2))
         first = [await self.connect(REQUEST) for _ in range(2)]
         await self.refused(await self.connect(REQUEST), b"503", b"overloaded-vm")
         self.go_on.set()
@@ -63,10 +63,23 @@
             self.assertTrue((await reader.readline()).startswith(b"HTTP/1.1 204"))
 
     async def test_headers_beyond_the_limit(self) -> None:
-        await self.start(Limits(header_bytes=1000))
+        await self.start(ListenerLimits(header_bytes=1000, connections=MANY, requests=MANY))
         long = b"GET / HTTP/1.1\r\nx: " + b"y" * 2000 + b"\r\n\r\n"
         await self.refused(await self.connect(long), b"431", b"malformed")
 
+    async def test_headers_beyond_a_limit_that_changed(self) -> None:
+        limits = ListenerLimits(header_bytes=5000, connections=MANY, requests=MANY)
+        await self.start(limits)
+        limits.change(header_bytes=1000, header_s=None)
+        long = b"GET / HTTP/1.1\r\nx: " + b"y" * 2000 + b"\r\n\r\n"
+        await self.refused(await self.connect(long), b"431", b"malformed")
+
+    async def test_headers_later_than_a_limit_that_changed(self) -> None:
+        limits = ListenerLimits(MANY, connections=MANY, requests=MANY)
+        await self.start(limits)
+        limits.change(header_bytes=MANY, header_s=0.05)
+        await self.refused(await self.connect(b"GET / HTTP/1.1\r\nx: "), b"408", b"malformed")
+
     async def test_address_in_use_names_its_key(self) -> None:
         taken = bind("caller_address", f"127.0.0.1:{self.port}")
         self.addCleanup(taken.close)
