--- a/sprucewinch/gateway/following/deltas.py
+++ b/sprucewinch/gateway/following/deltas.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ...net.connection import get
+from ...net.connection import NoAnswer, get
 from ..state.replica import Delta, Item, Removal
 
 DELTA_PATH = "/v1/delta"
@@ -20,7 +20,7 @@
         after: Revision.
     """
     answer = await get(address, f"{DELTA_PATH}?after={after}", _TIMEOUT_S)
-    if answer is None or answer.status != _OK:
+    if isinstance(answer, NoAnswer) or answer.status != _OK:
         return None
     try:
         return decode_delta(answer.body)
--- a/sprucewinch/gateway/servers/probe.py
+++ b/sprucewinch/gateway/servers/probe.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Optional
 
-from ...net.connection import Answer, get
+from ...net.connection import Answer, NoAnswer, get
 from ..events import EventLog
 from ..header_names import HeaderNames
 from .backend_registry import COLD_MARGIN_S, BackendRegistry
@@ -57,10 +57,10 @@
             return
         self.events.count("probes")
         answer = await get(server.backend.address, path, _TIMEOUT_S)
-        left_s = None if answer is None else self._cold_left_s(answer, server)
+        left_s = None if isinstance(answer, NoAnswer) else self._cold_left_s(answer, server)
         if left_s is not None:
             server.cold_until = self.monotonic() + left_s + COLD_MARGIN_S if left_s else 0.0
-        status = 0 if answer is None else answer.status
+        status = 0 if isinstance(answer, NoAnswer) else answer.status
         self.events.state("probe", server=server.backend.id, status=status, cold_s=left_s)
 
     def _cold_left_s(self, answer: Answer, server: BackendServer) -> Optional[float]:
--- a/sprucewinch/net/connection.py
+++ b/sprucewinch/net/connection.py
@@ -1,53 +1,61 @@
 """One HTTP/1.1 connection to a server, with strict framing.
 
-Kept instead of the HTTP client library, which reports an answer without a length as complete when
+Owns the connection, the one request that it carries, and the check that an answer belongs to that
+request. Never sends a request again: its callers decide that. Relies on `_answer_reader` for what
+arrives, and serves the routed path, the store's client and what VMs fetch from each other. The
+HTTP client library is not used here, since it reports an answer without a length as complete when
 its connection is reset (`tests/test_gateway_connection.py` shows both).
 """
 
 import asyncio
 import contextlib
 import socket
-from typing import NamedTuple, Optional
+from typing import NamedTuple, Optional, Union
 
-import httptools
-
-from ._patience import run_within
+from ._answer_reader import FIRST_FINAL_STATUS, Answer, AnswerReader
+from ._stall_timeout import run_within
 from .address import parse_address
 
-MAX_ANSWER_BYTES = 32 * 1024 * 1024
-"""Largest answer that is taken."""
+__all__ = [
+    "Answer",
+    "ConnectFailedError",
+    "Connection",
+    "ExchangeFailedError",
+    "NoAnswer",
+    "connect",
+    "get",
+]
+
+_ANSWERED_EARLY_BYTES = 65_536
+"""Shortest body, in bytes, whose unsent rest makes an answered connection unusable.
+
+A server that answers before it has read a long body may go on reading it; what is written next
+would be taken for the rest of that body. A guess, never measured.
+"""
 
-_FIRST_FINAL = 200
-"""Lowest status of a final answer: HTTP announces that one follows with 100 to 199."""
+_SILENT_PEER_MS = 3000
+"""Milliseconds for which sent bytes may stay unacknowledged until the system ends the connection.
 
-_NO_BODY = (204, 304)
-_TAKEN_EARLY_BYTES = 65_536
+A guess, never measured.
+"""
 
 
-class Answer(NamedTuple):
-    """A whole answer.
+class NoAnswer(NamedTuple):
+    """Result of `get` when no whole answer came.
 
     Args:
-        status: HTTP status.
-        headers: Names in lower case, and values.
-        body: The whole body.
+        reason: Kind of the failure and its text, for a log line.
     """
 
-    status: int
-    headers: tuple[tuple[str, str], ...]
-    body: bytes
-
-    def header(self, name: str) -> Optional[str]:
-        """Return the first value of a header; None when it is absent."""
-        return next((value for key, value in self.headers if key == name), None)
+    reason: str
 
 
 class ConnectFailedError(Exception):
-    """No connection came up: not a byte was sent."""
+    """No connection came up, so no byte was sent; another server or a later try may do."""
 
 
 class ExchangeFailedError(Exception):
-    """A connection broke, or carried no proper answer, after a request was sent on it."""
+    """A connection carried no proper answer; the request may have run if it was sent."""
 
 
 class Connection(asyncio.Protocol):
@@ -55,7 +63,12 @@
 
     Args:
         loop: Event loop.
-        id_header: Header that names the request in answers; answers naming another are dropped.
+        id_header: Header that names the request in answers; an answer that names another is
+            discarded. None when answers name no request.
+
+    Attributes:
+        usable: False once the connection must carry no further request.
+        idle_until: Monotonic time until which the connection may rest, in seconds.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, *, id_header: Optional[str] = None) -> None:
@@ -64,18 +77,11 @@
         self.transport: Optional[asyncio.Transport] = None
         self.usable = True
         self.idle_until = float("inf")
-        self._parser = httptools.HttpResponseParser(self)
+        self._reader = AnswerReader(self._received, self._fail)
         self._waiting: Optional[asyncio.Future[Answer]] = None
         self._request_id = ""
         self._body_length = 0
         self._clean_end = False
-        self._reset_message()
-
-    def _reset_message(self) -> None:
-        self._headers: list[tuple[str, str]] = []
-        self._chunks: list[bytes] = []
-        self._size = 0
-        self._head_done = False
 
     async def exchange(self, data: bytes, *, request_id: str = "", body_length: int = 0) -> Answer:
         """Send a request and return its whole answer.
@@ -105,17 +111,17 @@
 
     @property
     def alive(self) -> bool:
-        """Tell whether another request may be sent."""
+        """True while another request may be sent."""
         return self.usable and self.transport is not None and not self.transport.is_closing()
 
     def close(self) -> None:
-        """Close at once; whatever is still due on it is dropped."""
+        """Close at once; bytes that are not yet sent are lost."""
         self.usable = False
         if self.transport is not None:
             self.transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
@@ -124,15 +130,10 @@
         if self._waiting is None or self._waiting.done():
             self.close()
             return
-        try:
-            self._parser.feed_data(data)
-        except httptools.HttpParserError as error:
-            self._fail(f"no proper answer: {error}")
-        except httptools.HttpParserUpgrade:
-            self._fail("an upgrade that nobody asked for")
+        self._reader.feed(data)
 
     def eof_received(self) -> bool:
-        """Note an orderly end."""
+        """Record that the server ended the connection in order, not by a reset."""
         self._clean_end = True
         return False
 
@@ -141,36 +142,14 @@
         self.usable = False
         if self._waiting is None or self._waiting.done():
             return
-        if exc is None and self._clean_end and self._head_done and self._until_end():
-            self.on_message_complete()
+        if exc is None and self._clean_end and self._reader.ends_with_connection:
+            self._reader.on_message_complete()
         if not self._waiting.done():
             self._waiting.set_exception(ExchangeFailedError("the connection ended"))
 
-    def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
-        self._headers.append((name.decode("latin-1").lower(), value.decode("latin-1")))
-
-    def on_headers_complete(self) -> None:
-        """Note that the head is whole."""
-        self._head_done = True
-        if "content-length" in self._names() and "transfer-encoding" in self._names():
-            self._fail("an answer with two lengths")
-
-    def on_body(self, body: bytes) -> None:
-        """Keep a piece of the body."""
-        self._size += len(body)
-        if self._size > MAX_ANSWER_BYTES:
-            self._fail("the answer is too large")
-            return
-        self._chunks.append(body)
-
-    def on_message_complete(self) -> None:
-        """Hand over a whole answer, unless it belongs to another request."""
-        answer = Answer(
-            self._parser.get_status_code(), tuple(self._headers), b"".join(self._chunks)
-        )
-        self._reset_message()
-        if answer.status < _FIRST_FINAL or self._waiting is None:
+    def _received(self, answer: Answer) -> None:
+        """Hand over an answer, unless it announces one or belongs to another request."""
+        if answer.status < FIRST_FINAL_STATUS or self._waiting is None:
             return
         if self._waiting.done():
             self.close()
@@ -180,15 +159,6 @@
             return
         self._finish(answer)
 
-    def _names(self) -> set[str]:
-        return {name for name, _ in self._headers}
-
-    def _until_end(self) -> bool:
-        status = self._parser.get_status_code()
-        if status < _FIRST_FINAL or status in _NO_BODY:
-            return False
-        return not self._names() & {"content-length", "transfer-encoding"}
-
     def _names_another(self, answer: Answer) -> bool:
         if self.id_header is None:
             return False
@@ -197,8 +167,9 @@
 
     def _finish(self, answer: Answer) -> None:
         assert self._waiting is not None and self.transport is not None
-        early = self._body_length > _TAKEN_EARLY_BYTES and self.transport.get_write_buffer_size()
-        if early or not self._parser.should_keep_alive():
+        long_body = self._body_length > _ANSWERED_EARLY_BYTES
+        answered_early = long_body and self.transport.get_write_buffer_size()
+        if answered_early or not self._reader.keeps_connection:
             self.usable = False
         self._waiting.set_result(answer)
 
@@ -226,27 +197,32 @@
         _, connection = await run_within(opening, timeout_s)
     except (OSError, TimeoutError) as error:
         raise ConnectFailedError(f"{address}: {type(error).__name__}") from None
-    _give_up_early(connection)
+    _limit_silence(connection)
     return connection
 
 
-def _give_up_early(connection: Connection) -> None:
-    """Let the system end a connection whose peer is silent."""
+def _limit_silence(connection: Connection) -> None:
+    """Let the system end a connection whose server acknowledges nothing."""
     assert connection.transport is not None
     raw = connection.transport.get_extra_info("socket")
     if raw is None:
         return
+    # Silence is right: without the option a silent server only costs its caller the caller's own
+    # timeout, and a socket that is already closed fails the exchange.
     with contextlib.suppress(OSError):
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 3000)
+        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _SILENT_PEER_MS)
 
 
-async def get(address: str, target: str, timeout_s: float) -> Optional[Answer]:
-    """Make one GET on a connection of its own; None when no whole answer comes in time.
+async def get(address: str, target: str, timeout_s: float) -> Union[Answer, NoAnswer]:
+    """Make one GET on a connection of its own.
 
     Args:
         address: `IP:PORT`.
         target: Path and query.
         timeout_s: Longest time for all of it, in seconds.
+
+    Returns:
+        The answer, of any status; `NoAnswer` when no whole one came in time.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -256,5 +232,5 @@
                 return await connection.exchange(request.encode())
             finally:
                 connection.close()
-    except (ConnectFailedError, ExchangeFailedError, TimeoutError):
-        return None
+    except (ConnectFailedError, ExchangeFailedError, TimeoutError) as error:
+        return NoAnswer(f"{type(error).__name__}: {error}")
--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -86,8 +86,8 @@
         "MIXED",
         "an answer without a length is whole when it is reset",
         "sprucewinch/net/connection.py",
-        "if exc is None and self._clean_end and self._head_done and self._until_end():",
-        "if self._head_done and self._until_end():",
+        "if exc is None and self._clean_end and self._reader.ends_with_connection:",
+        "if self._reader.ends_with_connection:",
         ("tests.test_gateway_pipeline.SpoiltAnswers", "tests.test_gateway_connection"),
     ),
     WrongVersion(
