--- a/sprucewinch/net/address.py
+++ b/sprucewinch/net/address.py
@@ -1,9 +1,14 @@
-"""Addresses written as an IP number and a port."""
+"""Addresses written as an IP number and a port.
+
+Owns the text form `IP:PORT` in settings, in the store and on the wire, and its check. Host names
+are refused: VMs reach each other by IP numbers, and a look-up of names could block.
+"""
 
 import ipaddress
 from typing import NamedTuple
 
-_MAX_PORT = 65535
+_MAX_PORT = 65_535
+"""Highest TCP port: a port has 16 bits (RFC 9293)."""
 
 
 class Address(NamedTuple):
@@ -37,7 +42,8 @@
 
 
 def is_address(text: str) -> bool:
-    """Tell whether a text is `IP:PORT`."""
+    """Return whether a text is `IP:PORT`."""
+    # Silence is right: the result is the answer, and callers report the text with its key.
     try:
         parse_address(text)
     except ValueError:
--- a/sprucewinch/net/asgi.py
+++ b/sprucewinch/net/asgi.py
@@ -1,4 +1,8 @@
-"""Requests and answers as ASGI messages."""
+"""Requests and answers of the own interface as ASGI messages.
+
+Owns the translation between ASGI and the types of `body` and `request`, and the form of refusals
+to callers. Relies on an ASGI server, which `http_server` makes, for bytes and back-pressure.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,6 +19,9 @@
 
 _JSON = (b"content-type", b"application/json")
 
+_MS_PER_S = 1000
+"""Milliseconds in a second: Retry-After is in whole seconds, rounded up."""
+
 
 async def send_answer(
     send: Send, status: int, body: bytes, headers: Optional[RawHeaders] = None
@@ -44,7 +51,7 @@
         (REASON_HEADER.encode(), refusal.reason.value.encode()),
     ]
     if refusal.retry_after_ms:
-        seconds = -(-refusal.retry_after_ms // 1000)
+        seconds = -(-refusal.retry_after_ms // _MS_PER_S)
         headers.append((b"retry-after", b"%d" % seconds))
     if close:
         headers.append((b"connection", b"close"))
@@ -101,7 +108,7 @@
     """Sends an answer to the caller."""
 
     finished = False
-    """True from the moment at which the end of the answer is sent."""
+    """True once the end of the answer is being sent."""
 
     def __init__(self, send: Send, hall: str) -> None:
         self.send = send
@@ -119,7 +126,7 @@
         await self.send({"type": "http.response.start", "status": status, "headers": raw})
 
     async def write(self, chunk: bytes) -> None:
-        """Send a piece at once, but for the last of a known length, which `finish` sends."""
+        """Send a piece at once; the last piece of a known length is left to `finish`."""
         if self._left is not None:
             self._left -= len(chunk)
             if self._left == 0:
--- a/sprucewinch/net/body.py
+++ b/sprucewinch/net/body.py
@@ -1,4 +1,9 @@
-"""Request bodies: streamed with back-pressure, and kept only while they are small."""
+"""Request bodies: streamed with back-pressure, and kept only while they are small.
+
+Owns the abstract body and the rule when it may be sent a second time: while nothing beyond the part
+that is kept in memory was taken. Where the pieces come from is the subclass's; the limit on what is
+kept is the settings'.
+"""
 
 import abc
 from collections.abc import AsyncIterator
@@ -17,7 +22,7 @@
     """
 
     first: bytes
-    """Start of the body, as far as it was kept."""
+    """Start of the body, as far as it is kept in memory."""
 
     complete: bool
     """True when `first` is the whole body."""
--- a/sprucewinch/net/outcome.py
+++ b/sprucewinch/net/outcome.py
@@ -1,4 +1,8 @@
-"""What became of a request: the three final answers and the reasons for refusing."""
+"""Outcomes of a request: the three final answers, the reasons of refusals and their HTTP status.
+
+Owns the words that callers, operators and other VMs read; `docs/OPERATORS.md` explains each reason.
+Relies on nothing. Which refusal a request gets is decided by the modules that refuse.
+"""
 
 import enum
 from typing import NamedTuple
@@ -8,7 +12,7 @@
     """The final answer to one request."""
 
     ANSWERED = "answered"
-    """The backend server's complete answer."""
+    """The backend server's complete answer was sent."""
     NOT_RUN = "not-run"
     """Certain: no byte of the request reached a backend server that could run it."""
     UNKNOWN = "unknown"
@@ -16,7 +20,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request or look-up was refused. `docs/OPERATORS.md` explains each one."""
+    """Reason for which a request or look-up was refused; see `docs/OPERATORS.md`."""
 
     NO_CONFIGURATION = "no-configuration"
     NO_SUCH_SERVICE = "no-such-service"
@@ -45,12 +49,12 @@
 
 
 class Refusal(NamedTuple):
-    """A sentinel returned in place of a result inside the system.
+    """A refusal, returned in place of a result inside the system.
 
     Args:
         outcome: `NOT_RUN` or `UNKNOWN`.
-        reason: Why.
-        retry_after_ms: When to come back, in milliseconds; 0 when asking again cannot help.
+        reason: Reason of the refusal.
+        retry_after_ms: Wait before the next try, in milliseconds; 0 when a retry cannot help.
     """
 
     outcome: Outcome
@@ -85,8 +89,10 @@
     Reason.PEER_FAILED: 502,
     Reason.TICKET_HOME_LOST: 502,
 }
+"""HTTP status of each reason that has one of its own."""
 
 _UNAVAILABLE = 503
+"""HTTP status of all other reasons."""
 
 
 def http_status(refusal: Refusal) -> int:
--- a/sprucewinch/net/request.py
+++ b/sprucewinch/net/request.py
@@ -1,4 +1,9 @@
-"""A request on its way, and where its answer goes."""
+"""A request of the own interface as it passes through a VM, and the receiver of its answer.
+
+Owns the request's data, the abstract receiver of an answer, the names of the own headers, and
+which headers are end-to-end. Holds no decision. Relies on `body` for the request's bytes; `asgi`
+implements the receiver for callers.
+"""
 
 import abc
 from dataclasses import dataclass, field
@@ -9,16 +14,23 @@
 Headers = list[tuple[str, str]]
 
 TICKET_HEADER = "sprucewinch-ticket"
+"""Ticket of an operation that must not run twice."""
 DEADLINE_HEADER = "sprucewinch-deadline-ms"
+"""Time that is left for the request, in milliseconds."""
 BLOCK_HEADER = "sprucewinch-client-block"
+"""Client block that the caller belongs to; without it, its address counts."""
 REQUEST_ID_HEADER = "sprucewinch-request-id"
+"""Unique name of the request."""
 OUTCOME_HEADER = "sprucewinch-outcome"
+"""Outcome of the request, on answers to callers."""
 REASON_HEADER = "sprucewinch-reason"
+"""Reason of a refusal, on answers to callers."""
 HALL_HEADER = "sprucewinch-hall"
+"""Data hall of the entry VM that answered."""
 NOT_RUN_HEADER = "sprucewinch-not-run"
-"""A backend server's word that it did not run a request: `shed` or `leaving`."""
+"""Present when a backend server did not run the request: `shed` or `leaving`."""
 LEAVING_HEADER = "sprucewinch-leaving"
-"""A backend server's word, on any answer, that it is leaving."""
+"""Present on any answer of a backend server that is leaving."""
 
 _HOP_BY_HOP = frozenset(
     (
@@ -35,7 +47,10 @@
         "upgrade",
     )
 )
+"""Headers that pertain to one connection, or that each sender writes itself (RFC 9110)."""
+
 _OWN_PREFIX = "sprucewinch-"
+"""Prefix of the own headers, which are not passed on."""
 
 
 @dataclass(slots=True)
@@ -68,10 +83,10 @@
 
 
 class Responder(abc.ABC):
-    """Takes the answer of one request, piece by piece, with back-pressure."""
+    """Receives the answer of one request, piece by piece, with back-pressure."""
 
     started = False
-    """True when `start` was called; from then on no other answer can be given."""
+    """True once `start` was called; from then on no other answer can be sent."""
 
     @abc.abstractmethod
     async def start(self, status: int, headers: Headers) -> None:
@@ -79,15 +94,15 @@
 
     @abc.abstractmethod
     async def write(self, chunk: bytes) -> None:
-        """Send a piece of the answer's body; waits while the receiver is slow."""
+        """Send a piece of the answer's body; waits while the caller reads slowly."""
 
     @abc.abstractmethod
     async def finish(self) -> None:
-        """End the answer; only then it is complete."""
+        """End the answer, which is complete only then."""
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the headers that are passed on, without hop-by-hop ones and our own."""
+    """Return the headers that are passed on: no hop-by-hop headers and none of the own."""
     named = {name.lower(): value for name, value in headers}
     listed = {token.strip().lower() for token in named.get("connection", "").split(",")}
     return [
