--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -1,4 +1,7 @@
-"""Runs days of the soak and prints what broke.
+"""Runs days of the soak and prints the promises that broke.
+
+Owns the command line, how many days run at once, and where logs of broken days are kept; `day` runs
+one. Exits with status 1 when a promise broke.
 
 python -m tools.soak --seeds=1:50 --jobs=3
 """
@@ -18,6 +21,7 @@
 """Where the logs of days with a broken promise are kept."""
 
 _MOST_JOBS = 6
+"""Days that may run at once on one machine. A guess, never measured."""
 
 
 def parse_seeds(text: str) -> list[int]:
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -1,4 +1,8 @@
-"""Callers of the soak: some follow the look-up, some cling to a connection until it is gone."""
+"""Callers of the soak: some follow the look-up, some keep one entry VM until its connection ends.
+
+Owns how callers choose an entry VM, what they send and what they record of each attempt. Relies on
+`world` for addresses and the ledger, and hands answers to `promises`.
+"""
 
 import asyncio
 import random
@@ -12,14 +16,34 @@
 from .world import BOOK, HOST, RATES, ROUTE_TIMEOUT_S, World
 
 RATE_PER_S = 8.0
-"""Requests a second of one caller."""
+"""Mean requests a second of one caller. A guess, never measured."""
 
 _KEEP_S = 1.0
+"""Seconds for which a look-up's answer is used. A guess, never measured."""
+
 _LOOKUP_S = 1.0
+"""Seconds for one look-up. Bound of the platform's callers."""
+
 _LONGEST_S = ROUTE_TIMEOUT_S + 3.0
+"""Seconds that a caller waits: the route's timeout and a margin, which is a guess."""
+
+_IDLE_S = 30
+"""Seconds that a caller keeps a resting connection, longer than an entry VM does."""
+
 _OBJECTS = 12
+"""Objects that requests are about. A guess, never measured."""
+
 _BOOKED_PART = 0.35
+"""Draws below it that go to no such route are bookings. A guess, never measured."""
+
 _OTHER_PART = 0.15
+"""Part of the requests on routes that come and go, while there are any. A guess, never measured."""
+
+_BODY_SIZES = (1, 100, 70_000)
+"""Bytes of a booking's body: the longest does not fit one read of 64 KiB."""
+
+_MS_PER_S = 1000
+"""Milliseconds in a second."""
 
 
 class Caller:
@@ -27,10 +51,10 @@
 
     Args:
         world: The day.
-        promises: Told of every answer.
+        promises: Judges every answer.
         number: Its number.
         rng: Source of randomness.
-        clings: Uses one entry VM as long as its process lives.
+        clings: Uses one entry VM until its connection ends.
     """
 
     def __init__(
@@ -55,7 +79,7 @@
 
     async def run(self) -> None:
         """Send requests until cancelled."""
-        connector = aiohttp.TCPConnector(keepalive_timeout=30)
+        connector = aiohttp.TCPConnector(keepalive_timeout=_IDLE_S)
         timeout = aiohttp.ClientTimeout(total=_LONGEST_S)
         async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
             while True:
@@ -101,11 +125,11 @@
         headers = {
             "Host": HOST,
             "X-Request-Id": attempt.request_id,
-            "X-Request-Deadline-Ms": str(int(_LONGEST_S * 1000)),
+            "X-Request-Deadline-Ms": str(int(_LONGEST_S * _MS_PER_S)),
             "Cookie": f"X-Affinity-Key={self.rng.randrange(_OBJECTS)}",
         }
         method = "POST" if route == BOOK else "GET"
-        data = b"x" * self.rng.choice((1, 100, 70_000)) if route == BOOK else None
+        data = b"x" * self.rng.choice(_BODY_SIZES) if route == BOOK else None
         url = self.world.vms[name].url("Front", f"/{route}/{self.sent}")
         try:
             async with session.request(method, url, headers=headers, data=data) as response:
--- a/tools/soak/day.py
+++ b/tools/soak/day.py
@@ -1,4 +1,9 @@
-"""One day of the soak: what its seed says, run with real processes, judged at its end."""
+"""One day of the soak: planned from its seed, run with real processes, judged at its end.
+
+Owns the plan of a day and its course: start, faults that overlap, a last change, quiet, judgement.
+The same seed gives the same plan; the course differs, since processes run on the real clock.
+Relies on `world` for the processes, `troubles` for the faults, `promises` for the judgement.
+"""
 
 import asyncio
 import random
@@ -14,20 +19,40 @@
 from .world import World
 
 TROUBLED_S = 9.0
-"""How long troubles strike, in seconds, unless told otherwise."""
+"""Seconds in which troubles begin, by default. A guess, never measured."""
 
 _FIRST_S = 0.5
+"""Seconds of traffic before the first trouble. A guess, never measured."""
+
 _SETTLE_S = 5.5
-"""Time after the last trouble until the last change, in seconds, and longer while a process still
-stops or starts."""
+"""Seconds from the last begin of a trouble to the last change; longer while a process starts.
+
+A guess, never measured.
+"""
 
 _QUIET_FROM_S = 1.5
+"""Seconds after the last change from which everything has to work. A guess, never measured."""
+
 _QUIET_S = 3.5
-"""When, after the last change, everything has to work again, and when the day ends, in seconds."""
+"""Seconds from the last change to the end of the day. A guess, never measured."""
 
 _CALLERS = 12
+"""Callers of a day. A guess, never measured."""
+
 _CLINGING = 6
+"""Callers that keep one entry VM: half of them."""
+
 _LEAST_TROUBLES, _MOST_TROUBLES = 5, 9
+"""Troubles of a day, drawn evenly, enough to overlap in `TROUBLED_S`. A guess, never measured."""
+
+_SHORTEST_TROUBLE_S, _LONGEST_TROUBLE_S = 0.4, 3.0
+"""Duration of a trouble, drawn evenly, in seconds. A guess, never measured."""
+
+_SEEDS = 1 << 30
+"""Seeds of the troubles' own choices are drawn below it."""
+
+_TRAFFIC_SALT = 0x5EED
+"""Parts the callers' random numbers from the plan's; any figure does."""
 
 
 class SoakError(SprucewinchError):
@@ -53,7 +78,7 @@
 
 
 class Outcome(NamedTuple):
-    """How a day went.
+    """Result of a day.
 
     Args:
         seed: Its seed.
@@ -85,12 +110,12 @@
         Planned(
             round(rng.uniform(_FIRST_S, troubled_s), 2),
             rng.choice(KINDS),
-            round(rng.uniform(0.4, 3.0), 2),
-            rng.randrange(1 << 30),
+            round(rng.uniform(_SHORTEST_TROUBLE_S, _LONGEST_TROUBLE_S), 2),
+            rng.randrange(_SEEDS),
         )
         for _ in range(count)
     ]
-    last = Planned(troubled_s + _SETTLE_S, Change, 0.0, rng.randrange(1 << 30))
+    last = Planned(troubled_s + _SETTLE_S, Change, 0.0, rng.randrange(_SEEDS))
     return (*sorted(rows, key=lambda row: row.at), last)
 
 
@@ -122,7 +147,7 @@
 async def _traffic(
     world: World, promises: Promises, planned: tuple[Planned, ...], seed: int
 ) -> None:
-    rng = random.Random(seed ^ 0x5EED)
+    rng = random.Random(seed ^ _TRAFFIC_SALT)
     callers = [
         Caller(world, promises, n, random.Random(rng.random()), clings=n < _CLINGING)
         for n in range(_CALLERS)
--- a/tools/soak/ledger.py
+++ b/tools/soak/ledger.py
@@ -1,4 +1,9 @@
-"""What happened in one day of the soak, as it was seen from outside the processes."""
+"""Record of one day of the soak, as seen from outside the processes.
+
+Owns the types of what is recorded: attempts, faults, versions, leaving servers, broken promises.
+Decides nothing: `world`, `troubles` and `callers` write it, `promises` judges by it. All times are
+of the soak's own monotonic clock, in seconds.
+"""
 
 import enum
 from collections import defaultdict
@@ -105,7 +110,7 @@
 
 
 class Ledger:
-    """Everything that the promises are judged by."""
+    """All records of one day."""
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
@@ -118,11 +123,11 @@
         self.quiet_from = float("inf")
 
     def breaks(self, rule: str, what: str) -> None:
-        """Note a promise that was broken."""
+        """Record a broken promise."""
         self.broken.append(Broken(rule, what))
 
     def undisturbed(self, vm: str, start: float, end: float, *, planned: bool = False) -> bool:
-        """Tell whether nothing struck an entry VM in some time.
+        """Return whether nothing struck an entry VM in a span of time.
 
         Args:
             vm: The entry VM.
--- a/tools/soak/promises.py
+++ b/tools/soak/promises.py
@@ -1,4 +1,10 @@
-"""What must hold on every day of the soak, judged by what callers and backend servers saw."""
+"""Judges one day of the soak by what callers and backend servers saw.
+
+Owns the checks and their bounds. Each check reads the ledger and the runs at the stand-ins and
+records a broken promise; none looks into a process of the system. A check that has a time bound
+leaves out entry VMs that a fault struck shortly before, as the ledger has it. Tests:
+`tests/test_soak.py`.
+"""
 
 import signal
 from collections import Counter, defaultdict
@@ -8,30 +14,57 @@
 
 from standins.scripted_server import Run
 
-from .ledger import Attempt, Broken, End, Ledger, Version
+from .ledger import EVERYBODY, Attempt, Broken, End, Ledger, Version
 from .world import BOOK, RATES, ROUTE_TIMEOUT_S, World, body_of
 
 NOT_RUN = (408, 421, 429, 503)
-"""Statuses that say that a request did not run and never will."""
+"""Statuses that promise that a request has not run and will not run."""
 
-_OK = 200
-_FAULT = 500
-"""No part of the system answers with it of its own."""
+_FAULT = HTTPStatus.INTERNAL_SERVER_ERROR
+"""Status that no part of the system gives of its own."""
 
 _FORBIDDEN = (400, 401, 403, 404, 413, 431)
+"""Statuses that the requests of these callers never deserve on routes that always exist."""
+
 _CONFIGURED_S = 2.0
+"""Seconds until a configuration is in force. Bound `ConfigApply` of the platform's example."""
+
 _CONTACT_S = 3.0
+"""Seconds without a fault until time bounds hold. Bound `Contact` of the platform's example."""
+
 _OUTER_S = 5.0
+"""Seconds by which a fault of the store stretches bounds. Bound `Outer` of the same example."""
+
 _GRACE_S = 6.0
+"""Seconds from SIGTERM to the kill. Bound `Grace` of the platform's example."""
+
 _HELD_S = 0.5
+"""Seconds beyond a route's timeout until an answer is late. Bound of the platform's rules."""
+
 _LOST_S = 0.2
+"""Seconds after which a stop must not cut a request off. Bound `Lost` of the platform's example."""
+
 _REGRESS_S = 0.3
+"""Seconds after which an older version must not show again.
+
+Bound `Downgrade` of the platform's example, 0.25 s, and a margin of 0.05 s, which is a guess, never
+measured.
+"""
+
 _SLACK_S = 0.4
-"""What the soak's own clock readings may be off by, in seconds."""
+"""Seconds added to bounds for late readings of the soak's own clock. A guess, never measured."""
 
 _MOST_RUNS = 2
+"""Runs of one request on a repeatable route: `MaxAttempts` of the routes in `world`."""
+
 _SERVED_PART = 0.8
+"""Part of the requests after the last fault that must be served. A guess, never measured."""
+
+_STOP_MARGIN_S = 1.0
+"""Seconds beyond the grace that still belong to a stop. Bound of the platform's rules."""
+
 _EXPECTED_ENDS = {int(signal.SIGTERM): 0, int(signal.SIGKILL): -int(signal.SIGKILL)}
+"""Exit status of a process by the signal that ended it."""
 
 
 class Seen(NamedTuple):
@@ -56,7 +89,7 @@
 
     def answered(self, attempt: Attempt, body: bytes, headers: Mapping[str, str]) -> None:
         """Judge an answer as it comes."""
-        if attempt.status == _OK:
+        if attempt.status == HTTPStatus.OK:
             run = Run(attempt.request_id, "", "", b"", {}, 0.0)
             signature = headers.get("X-Response-Signature", "")
             if body != body_of(run) or not signature.endswith(f".{attempt.request_id}"):
@@ -64,7 +97,7 @@
         elif attempt.status in _FORBIDDEN and attempt.route in (RATES, BOOK):
             self.ledger.breaks("DENIED", f"{attempt.request_id} got {attempt.status}")
         elif attempt.status == _FAULT and "X-Response-Signature" not in headers:
-            self.ledger.breaks("FAULT", f"{attempt.request_id} at {attempt.vm} got {_FAULT}")
+            self.ledger.breaks("FAULT", f"{attempt.request_id} at {attempt.vm} got {_FAULT:d}")
         elif attempt.status == HTTPStatus.SERVICE_UNAVAILABLE and "Retry-After" not in headers:
             self.ledger.breaks("COME BACK", f"{attempt.request_id} is not told when to come back")
 
@@ -193,7 +226,7 @@
         return ""
 
     def _nothing_cut_off(self) -> None:
-        """Judge planned stops: who read a request answers it."""
+        """Judge planned stops: an entry VM that has read a request answers it."""
         for attempt in self.ledger.attempts:
             if attempt.end is not End.CLOSED or not self._stopping(attempt):
                 continue
@@ -208,12 +241,14 @@
 
     def _stopping(self, attempt: Attempt) -> bool:
         stops = (at for at, n in self.ledger.signalled[attempt.vm] if n == signal.SIGTERM)
-        return any(attempt.ended_at >= at > attempt.sent_at - _GRACE_S - 1 for at in stops)
+        return any(
+            attempt.ended_at >= at > attempt.sent_at - _GRACE_S - _STOP_MARGIN_S for at in stops
+        )
 
     def _unstruck(self, vm: str, start: float, end: float) -> bool:
-        """Tell whether nothing but planned work struck an entry VM itself; the store may fail."""
+        """Return whether nothing but planned work struck an entry VM itself; the store may fail."""
         return not any(
-            struck.scope in (vm, "everybody")
+            struck.scope in (vm, EVERYBODY)
             and struck.start <= end
             and struck.end >= start
             and not struck.planned
@@ -264,10 +299,12 @@
             for attempt in self.ledger.attempts
             if attempt.sent_at > self.ledger.quiet_from and attempt.route in (RATES, BOOK)
         ]
-        served = sum(attempt.status == _OK for attempt in last)
+        served = sum(attempt.status == HTTPStatus.OK for attempt in last)
         if not last or served < _SERVED_PART * len(last):
             others = Counter(
-                f"{a.status or a.end} at {a.vm}" for a in last if a.status != _OK and a.end
+                f"{a.status or a.end} at {a.vm}"
+                for a in last
+                if a.status != HTTPStatus.OK and a.end
             )
             what = f"{served} of {len(last)} served after the last trouble; {dict(others)}"
             self.ledger.breaks("RECOVER", what)
--- a/tools/soak/troubles.py
+++ b/tools/soak/troubles.py
@@ -1,4 +1,9 @@
-"""What strikes in the soak: the processes, the store, the links and the backend servers."""
+"""Troubles of the soak: faults and planned work on processes, store, links and backend servers.
+
+Owns one class a kind; `KINDS` lists those that a day draws from. Each strikes for a while, mends
+what it harmed, and leaves a record with its scope and time in the ledger, by which `promises` knows
+whom it struck. Durations inside a trouble are guesses, never measured: they only have to vary.
+"""
 
 import abc
 import asyncio
@@ -15,12 +20,13 @@
 from .world import BOOK, RATES, ZONES, SoakServer, World
 
 _DAZED_S = 0.5
-"""How long a trouble still counts after it is over, in seconds: what it held back arrives then."""
+"""Seconds that a trouble counts after its end: what it held back arrives then. A guess."""
 
 _EVEN = 0.5
 """Chance of each of two ways that are as likely as each other; chosen so, not measured."""
 
-_FIRST_VERSION_GAP_S = 0.3
+_VERSION_GAPS_S = (0.08, 0.3, 1.0)
+"""Seconds between two versions of the configuration. Guesses, never measured."""
 
 
 class Trouble(abc.ABC):
@@ -41,7 +47,7 @@
         self.scope = EVERYBODY
 
     async def strike(self) -> None:
-        """Strike, and note how long it lasted."""
+        """Strike, and record how long it lasted."""
         start = self.world.loop.time()
         held = Struck(type(self).__name__, self.scope_of(), start, float("inf"), self.planned)
         struck = self.world.ledger.struck
@@ -53,7 +59,7 @@
             struck[struck.index(held)] = held._replace(end=end)
 
     def scope_of(self) -> str:
-        """Return whom it strikes; see `Struck`."""
+        """Return the scope that it strikes; see `Struck`."""
         return self.scope
 
     @abc.abstractmethod
@@ -71,7 +77,7 @@
 
 
 class Stop(VmTrouble):
-    """The process is told to stop, and started again when it has ended."""
+    """The process gets SIGTERM, and is started again when it has ended."""
 
     planned = True
 
@@ -81,7 +87,7 @@
 
 
 class StopTwice(VmTrouble):
-    """The process is told to stop, and told again while it stops."""
+    """The process gets SIGTERM, and once more while it stops."""
 
     planned = True
 
@@ -92,7 +98,7 @@
 
 
 class RollingStop(Trouble):
-    """All processes are told to stop, one after the other, faster than one takes to end."""
+    """All processes get SIGTERM, one after the other, faster than one takes to end."""
 
     planned = True
 
@@ -129,7 +135,7 @@
 
 
 class Pause(VmTrouble):
-    """The process stands still and goes on as if nothing had happened."""
+    """The process is paused by SIGSTOP and continues later."""
 
     async def _happen(self) -> None:
         process = self.vm.process
@@ -245,7 +251,7 @@
 
 
 class Crash(ServerTrouble):
-    """A backend server ends without a word; another comes later, cold."""
+    """A backend server ends without draining; another comes later, cold."""
 
     async def _happen(self) -> None:
         server = self.one()
@@ -297,7 +303,7 @@
         for _ in range(self.rng.randint(1, 4)):
             self._change()
             self.world.configure()
-            await asyncio.sleep(self.rng.choice((0.08, _FIRST_VERSION_GAP_S, 1.0)))
+            await asyncio.sleep(self.rng.choice(_VERSION_GAPS_S))
 
     def _change(self) -> None:
         services = self.world.services
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -1,4 +1,9 @@
-"""The processes and stand-ins of one day of the soak."""
+"""The processes and stand-ins of one day of the soak.
+
+Owns the entry VMs as real processes, the stand-ins of the store and of the backend servers, the
+relays between them, and the configuration in force. Starts a process again whenever it has ended.
+Whatever is done here is recorded in the ledger with its time; `promises` judges by that.
+"""
 
 import asyncio
 import contextlib
@@ -22,27 +27,68 @@
 SERVICES = ("rates", "booking")
 RATES, BOOK = "rates", "book"
 ROUTE_TIMEOUT_S = 2.0
+"""Timeout of every route, in seconds. A guess, never measured."""
 
 _PROGRAM = "tools/soak_vm.py"
 _FIRST_NETWORK = 64
+"""Lowest second number of the loopback addresses of entry VMs; others use the lower ones."""
+
 _NETWORKS = 128
-"""Second numbers of the loopback addresses, so that two soaks at once seldom meet."""
+"""Second numbers of the loopback addresses: two soaks at once seldom meet (commit 41f685f)."""
 
 _VMS_PER_ZONE = 1
+"""Entry VMs of a data hall. A guess, never measured."""
+
 _SERVERS_PER_ZONE = 2
+"""Backend servers of each service in a data hall, so that one may leave."""
+
 _RESTART_S = 0.3
+"""Seconds from the end of a process to its next start. A guess, never measured."""
+
 _WORK_S = 0.06
+"""Seconds that a backend server works on a request. A guess, never measured."""
+
 _SLOTS = 8
+"""Requests that a backend server works on at once. A guess, never measured."""
+
+_CONNECTIONS = 100
+"""Connections that a backend server accepts. A guess, never measured."""
+
+_COLD_PER_S = 20.0
+"""Requests a second that a cold backend server bears. A guess, never measured."""
+
 _START_S = 30.0
+"""Seconds for all entry VMs to become ready on a busy machine. A guess, never measured."""
+
 _POLL_S = 0.05
+"""Seconds between looks at a process's readiness."""
+
+_READY_CHECK_S = 1.0
+"""Seconds for one look at a process's readiness. A guess, never measured."""
+
 _LAG_LOOK_S = 0.05
+"""Seconds between looks at the soak's own clock; shorter than `_LAG_S`."""
+
 _LAG_S = 0.15
-"""Pause of the soak's own process from which on nobody counts as undisturbed, in seconds."""
+"""Seconds of a pause of the soak's own process that strikes all entry VMs. A guess."""
 
 _ENDING = (int(signal.SIGTERM), int(signal.SIGKILL))
+"""Signals that end a process."""
+
 _DRAIN_S = 2.0
+"""Seconds until a draining server gets no more work. Bound `Drain` of the platform's example."""
+
 _EVACUATE_S = 5.0
+"""Seconds until an evacuated data hall gets no more work. Bound `Evacuate`, likewise."""
+
 _LEFT_S = 1.0
+"""Seconds that a drained server still serves beyond its bound. A guess, never measured."""
+
+_FIRST_VERSION = 3
+"""Number before that of the first configuration; versions need not begin at 1."""
+
+_MS_PER_S = 1000
+"""Milliseconds in a second."""
 
 
 def body_of(run: Run) -> bytes:
@@ -74,7 +120,7 @@
             "Zone": self.zone,
             "Capacity": _SLOTS,
             "State": state,
-            "WarmupLeft": f"{warm_in_s * 1000:g}ms",
+            "WarmupLeft": f"{warm_in_s * _MS_PER_S:g}ms",
             "Sequence": 1,
         }
         return json.dumps(row).encode()
@@ -98,7 +144,7 @@
         self.store_links: dict[str, Relay] = {}
         self.services = {RATES: "rates", BOOK: "booking"}
         self.ready: set[str] = set()
-        self._version = 3
+        self._version = _FIRST_VERSION
         self._numbers = 0
         self._closing = False
         self._tasks: list[asyncio.Task] = []
@@ -178,7 +224,7 @@
         server.link.cut()
 
     def crash_server(self, server: SoakServer) -> None:
-        """Let a backend server end without a word; its entry goes."""
+        """Let a backend server end without draining; its entry goes."""
         server_id = server.stand_in.server_id
         self.gone_servers[server_id] = self.servers.pop(server_id)
         server.link.cut()
@@ -209,10 +255,10 @@
         rules = [
             {
                 "Name": name,
-                "MaxConnections": 100,
+                "MaxConnections": _CONNECTIONS,
                 "HealthPath": HEALTH_PATH,
                 "Warmup": "1s",
-                "ColdPerS": 20.0,
+                "ColdPerS": _COLD_PER_S,
             }
             for name in SERVICES
         ]
@@ -243,7 +289,7 @@
             if not vm.running:
                 break
             with contextlib.suppress(OSError, TimeoutError):
-                async with asyncio.timeout(1.0):
+                async with asyncio.timeout(_READY_CHECK_S):
                     if await _says_ready(host, int(port)):
                         self.ready.add(vm.name)
                         break
@@ -269,7 +315,7 @@
         return vm.name in self.ready and not stopping
 
     async def _watch_own_lag(self) -> None:
-        """Note when the soak's own process stands still: it blames nobody for that."""
+        """Record when the soak's own process stands still, as a trouble of all entry VMs."""
         while True:
             before = self.loop.time()
             await asyncio.sleep(_LAG_LOOK_S)
