--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,4 +1,9 @@
-"""Stand-in for backend servers: slots, cold start, leaving, and a record of runs."""
+"""Stand-in for backend servers of the own interface: slots, cold start, leaving, record of runs.
+
+Owns servers that read, work and answer with a digest of what arrived, so that callers can check
+each answer. The record of runs is read over HTTP under `/stand-in/`. Several servers share
+a process.
+"""
 
 import asyncio
 import hashlib
@@ -11,6 +16,13 @@
 from aiohttp import web
 
 _PROBE_S = 0.001
+"""Seconds for an answer about load. A guess, never measured."""
+
+_PIECE_BYTES = 65_536
+"""Bytes that are read or written in one piece. A guess, never measured."""
+
+_MS_PER_S = 1000
+"""Milliseconds in a second."""
 
 
 class BackendStandIn:
@@ -90,13 +102,13 @@
         self.runs[operation] += 1
         self.counters["runs"] += 1
         digest, length = hashlib.sha256(), 0
-        async for chunk in request.content.iter_chunked(65_536):
+        async for chunk in request.content.iter_chunked(_PIECE_BYTES):
             digest.update(chunk)
             length += len(chunk)
         cold = time.monotonic() - self.started < self.cold_s
         mean = self.work_ms * (2 if cold else 1)
         work_ms = float(request.query.get("work_ms", self.rng.uniform(0.5, 1.5) * mean))
-        await asyncio.sleep(work_ms / 1000)
+        await asyncio.sleep(work_ms / _MS_PER_S)
         if "drop" in request.query:
             request.transport.abort()  # type: ignore[union-attr]
         return await self._answer(request, operation, digest.hexdigest(), length)
@@ -119,11 +131,11 @@
         await response.write(body)
         cut_at = int(request.query.get("cut_at", -1))
         pause_s = float(request.query.get("pause_s", 0))
-        for start in range(0, size, 65_536):
+        for start in range(0, size, _PIECE_BYTES):
             if 0 <= cut_at <= start:
                 request.transport.abort()  # type: ignore[union-attr]
                 return response
-            await response.write(bytes(min(65_536, size - start)))
+            await response.write(bytes(min(_PIECE_BYTES, size - start)))
             await asyncio.sleep(pause_s)
         return response
 
--- a/standins/consortium_store.py
+++ b/standins/consortium_store.py
@@ -1,6 +1,6 @@
 """The consortium's metadata store in memory, with faults on demand.
 
-It follows the consortium's pages: one counter of revisions, listings in pages, watches that wait,
+Behaves as the platform documents: one counter of revisions, listings in pages, watches that wait,
 changes under conditions, leases, and the ways in which it fails: down, slow, lost and late
 answers, forgotten history, machines that are turned away.
 """
@@ -17,17 +17,23 @@
 from .resets import reset
 
 PAGE = 500
+"""Most items of one page of a listing, as the platform documents."""
+
 LATE_S = 2.0
-"""How much later a late write is done, in seconds."""
+"""Seconds by which a late write is done later. A guess, never measured."""
 
 _LEASES = "/sprucewinch/kv-lease"
 _KEEP = "/sprucewinch/kv-keep/"
 _END = "/sprucewinch/kv-lease-end/"
-_SECOND_MS = 1000
+_MS_PER_S = 1000
+"""Milliseconds in a second."""
+
+_ANSWER_S = 0.004
+"""Seconds for one call without a fault. A guess, never measured."""
 
 
 class Fault(enum.Enum):
-    """What is wrong with the store."""
+    """Fault of the store."""
 
     NONE = "none"
     BUSY = "503 to all"
@@ -129,7 +135,7 @@
         self.changed = asyncio.Event()
 
     def fault_of(self, machine: str) -> Fault:
-        """Return what is wrong for a machine's calls."""
+        """Return the fault that a machine's calls meet."""
         return self.faults_by_machine.get(machine, self.fault)
 
     async def answer(
@@ -137,7 +143,7 @@
     ) -> Any:
         """Return status and body of a call, or None for none."""
         self.calls.append((path, query))
-        await asyncio.sleep(0.004 + self.slow_s)
+        await asyncio.sleep(_ANSWER_S + self.slow_s)
         fault = self.fault_of(machine)
         if fault in (Fault.SILENT, Fault.RESET):
             return None
@@ -173,7 +179,7 @@
     def _grant(self, ttl: str) -> tuple[int, dict[str, Any]]:
         self.revision += 1
         number = self.revision
-        ttl_s = float(ttl.removesuffix("ms")) / _SECOND_MS
+        ttl_s = float(ttl.removesuffix("ms")) / _MS_PER_S
         timer = self.loop.call_later(ttl_s, self.revoke, number)
         self.leases[number] = Lease(ttl_s, timer)
         return 200, {"lease": number, "ttl": ttl}
@@ -184,7 +190,7 @@
             return 404, {}
         lease.timer.cancel()
         lease.timer = self.loop.call_later(lease.ttl_s, self.revoke, number)
-        return 200, {"ttl": f"{lease.ttl_s * _SECOND_MS:g}ms"}
+        return 200, {"ttl": f"{lease.ttl_s * _MS_PER_S:g}ms"}
 
     def _range(self, query: dict[str, str]) -> dict[str, Any]:
         prefix, after = query.get("PathPrefix", ""), query.get("after", "")
@@ -194,7 +200,7 @@
 
     async def _watch(self, query: dict[str, str]) -> Any:
         prefix, after = query.get("PathPrefix", ""), int(query["after"])
-        end = self.loop.time() + int(query["WaitMs"]) / 1000
+        end = self.loop.time() + int(query["WaitMs"]) / _MS_PER_S
         while True:
             if after < self.floor:
                 return 410, {}
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,8 @@
-"""Stand-in for the platform's service: values, leases, watches and the list of VMs, over HTTP."""
+"""Stand-in for the service that the own interface needs: values, leases, watches, list of VMs.
+
+Owns the service in memory, its rate limits, and faults that tests set over HTTP under `/stand-in/`.
+The consortium's store is another one: see `consortium_store`.
+"""
 
 import asyncio
 import base64
@@ -9,6 +13,10 @@
 from aiohttp import web
 
 _RATE_WINDOW_S = 1.0
+"""Seconds over which calls are counted against the limits, which are a second's."""
+
+_MAX_BODY_BYTES = 2 << 20
+"""Largest body of a call, in bytes: above the megabyte that a value may have."""
 
 
 class _Value:
@@ -48,7 +56,7 @@
 
     def app(self) -> web.Application:
         """Return the web application."""
-        app = web.Application(client_max_size=2 << 20)
+        app = web.Application(client_max_size=_MAX_BODY_BYTES)
         app.add_routes(
             [
                 web.get("/v1/values/{key:.+}", self.get),
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,9 +1,16 @@
-"""Stand-in for a link: a byte relay that can cut, reset, delay and freeze what goes through it."""
+"""Stand-in for a link: a byte relay that can cut, reset, delay and freeze what goes through it.
+
+Owns the connections on both sides and the faults of the link. Passes bytes on unchanged, an orderly
+end as an orderly end and a reset as a reset. Tests: `tests/test_standins_relay.py`.
+"""
 
 import asyncio
 
 from .resets import reset
 
+_PIECE_BYTES = 65_536
+"""Bytes that are passed on in one piece at most. A guess, never measured."""
+
 
 class Relay:
     """Relays connections from one loopback port to another.
@@ -99,7 +106,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, thawed: asyncio.Event
     ) -> None:
         try:
-            while data := await reader.read(65_536):
+            while data := await reader.read(_PIECE_BYTES):
                 await asyncio.sleep(self.delay_s)
                 await thawed.wait()
                 self.passed += len(data)
--- a/standins/scripted_server.py
+++ b/standins/scripted_server.py
@@ -1,6 +1,7 @@
 """A backend server in memory that answers as a script says.
 
-It speaks HTTP/1.1 as the consortium's pages describe their backend servers: slots, ids of
+Owns one incarnation with its runs, and the script of its spoilt answers. Speaks HTTP/1.1 as the
+consortium's platform documents its backend servers: slots, ids of
 incarnations, answers that say that a request did not run, and every kind of spoilt answer.
 """
 
--- a/standins/virtual.py
+++ b/standins/virtual.py
@@ -1,7 +1,8 @@
 """An event loop on a virtual clock with a network in memory.
 
 Time stands still while code runs and jumps to the next timer when nothing is left to do, so that
-a test of seconds takes milliseconds and always takes the same course.
+a test of seconds takes milliseconds and always takes the same course. Owns the loop, its clock and
+connections in memory; code under test sees them as asyncio's own.
 """
 
 import asyncio
@@ -13,9 +14,15 @@
 
 Factory = Callable[[], asyncio.Protocol]
 
+_START_S = 1000.0
+"""Virtual time at the start, in seconds: not 0, so that a time of 0 is far in the past."""
+
+_SILENT_S = 3600
+"""Seconds for which a silent listener leaves a connection unanswered, longer than any test."""
+
 
 class _InstantSelector(selectors.DefaultSelector):
-    """Never waits; tells the loop how long it would have waited."""
+    """Never waits; counts how long it would have waited."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -29,7 +36,7 @@
 
 
 class Listener:
-    """Somebody who accepts connections at an address.
+    """Accepts connections at an address.
 
     Args:
         factory: Makes the protocol of an accepted connection.
@@ -71,7 +78,7 @@
         self._end(ConnectionResetError("reset by peer"))
 
     def is_closing(self) -> bool:
-        """Tell whether this end is closed."""
+        """Return whether this end is closed."""
         return self.closing
 
     def get_write_buffer_size(self) -> int:
@@ -133,7 +140,7 @@
 
     def time(self) -> float:
         """Return the virtual time, in seconds."""
-        return 1000.0 + self.instant.skipped_s
+        return _START_S + self.instant.skipped_s
 
     def listen(self, address: str, factory: Factory) -> Listener:
         """Accept connections at `IP:PORT`."""
@@ -143,13 +150,13 @@
     async def create_connection(  # type: ignore[override]
         self, protocol_factory: Factory, host: str, port: int, **_options: Any
     ) -> tuple[MemoryTransport, asyncio.Protocol]:
-        """Connect in memory; refused where nobody listens, silent where somebody is dark."""
+        """Connect in memory; refused without a listener, unanswered while it is silent."""
         listener = self.listeners.get(f"{host}:{port}")
         await asyncio.sleep(2 * self.delay_s)
         if listener is None:
             raise ConnectionRefusedError(f"{host}:{port}")
         if listener.silent:
-            await asyncio.sleep(3600)
+            await asyncio.sleep(_SILENT_S)
         near, far = MemoryTransport(self, self.delay_s), MemoryTransport(self, self.delay_s)
         near.peer, far.peer = far, near
         near.protocol, far.protocol = protocol_factory(), listener.factory()
--- a/tools/bench_core.py
+++ b/tools/bench_core.py
@@ -1,4 +1,8 @@
-"""Measures how the costs of the core grow: slopes with residuals, and figures at two sizes."""
+"""Measures how the costs of the core grow: slopes with residuals, and figures at two sizes.
+
+Owns the measurements and the lines fitted to them. All are processor time or traced memory of this
+process. Relies on `synthetic` for deployments; `docs/CAPACITY.md` holds results.
+"""
 
 import gc
 import json
@@ -27,6 +31,7 @@
 from tools.synthetic import TARGET, TODAY, Size, client_blocks, configuration, member, node
 
 _REPEATS = 5
+"""Samples of a time, of which the median counts. A guess, never measured."""
 
 
 class Fit(NamedTuple):
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,4 +1,8 @@
-"""The demo: a whole deployment on one machine, a policy change and a drain under load."""
+"""The demo: a whole deployment on one machine, a policy change and a drain under load.
+
+Owns the course of the demo and the table that it prints. Exits with status 1 when a caller saw a
+broken promise. Relies on `fleet` for the processes and `load` for the callers.
+"""
 
 import asyncio
 import sys
@@ -18,8 +22,13 @@
 from tools.load import Flow, Load, Result, broken_promises, quantile, runs_at_servers
 
 _LONG_DEADLINE_MS = 60_000
+"""Deadline from which a service counts as one of large files, in milliseconds. A guess."""
+
 _PHASE_S = 5.0
+"""Seconds of each phase. A guess, never measured."""
+
 _PHASES = ("nearest", "headroom", "drain")
+"""Phases of the demo in their order: two policies, then a drain."""
 
 
 def flow_of(service: Service) -> Flow:
--- a/tools/entry_vm.py
+++ b/tools/entry_vm.py
@@ -1,4 +1,9 @@
-"""One entry VM of the consortium's platform as a real process, steered by signals and files."""
+"""One entry VM on the consortium's platform as a real process, controlled by signals and files.
+
+Owns the process, its settings file and the lines that it writes; used by the process tests and by
+the soak. The settings have the platform's names, since the process reads them as the platform
+writes them. Nothing restarts the process: callers do.
+"""
 
 import asyncio
 import json
@@ -8,17 +13,44 @@
 import sys
 from collections.abc import Mapping
 from pathlib import Path
-from typing import Any, Optional
+from typing import Any, NamedTuple, Optional
 
 ROOT = Path(__file__).resolve().parent.parent
+"""Root of the repository, in which processes start."""
+
 PROGRAM = "platform/main.py"
 METRICS_PORT = 9464
+"""TCP port of the metrics, as in `deploy/system.toml`."""
+
 _READY_PATH = "/sprucewinch/readyz"
 _PORTS = ("Front", "Ready", "Directory")
+"""Listeners of an entry VM by their names in the settings."""
+
+_MEMORY_MB = 300
+"""Memory limit in the settings, in MiB: that of the platform's example."""
+
+_MAX_FILES = 1024
+"""Limit of descriptors in the settings; it fits the usual limit of a process."""
+
+
+class Place(NamedTuple):
+    """Where an entry VM stands.
+
+    Args:
+        zone: Its data hall.
+        zones: Region of each data hall.
+    """
+
+    zone: str
+    zones: Mapping[str, str]
+
+
+_ONE_HALL = Place("east-a", {"east-a": "east"})
+"""Place of an entry VM of a deployment with one data hall."""
 
 
 def free_port(ip: str) -> int:
-    """Return a port that nobody listens on."""
+    """Return a free port."""
     with socket.socket() as probe:
         probe.bind((ip, 0))
         return probe.getsockname()[1]
@@ -32,13 +64,12 @@
         ip: Loopback address of its own.
         store: Address of the store.
         peer_port: Port between entry VMs.
-        folder: Where its settings file is laid.
-        zone: Its data hall.
-        zones: Region of each data hall.
-        program: What is started, relative to the root.
+        folder: Folder of its settings file.
+        place: Its data hall, and the region of each.
+        program: Program to start, relative to the root.
     """
 
-    def __init__(  # noqa: PLR0913  the fields of one settings file, the rarer ones by name
+    def __init__(
         self,
         name: str,
         ip: str,
@@ -46,16 +77,15 @@
         peer_port: int,
         folder: Path,
         *,
-        zone: str = "east-a",
-        zones: Optional[Mapping[str, str]] = None,
+        place: Place = _ONE_HALL,
         program: str = PROGRAM,
     ) -> None:
         self.name = name
         self.ip = ip
         self.program = program
         self.root = ROOT
-        self.zones = dict(zones or {"east-a": "east"})
-        self.zone = zone
+        self.zones = dict(place.zones)
+        self.zone = place.zone
         self.addresses = {port: f"{ip}:{free_port(ip)}" for port in _PORTS}
         self.settings = Path(folder) / f"{name}.settings"
         self.table = self._table(store, peer_port)
@@ -73,7 +103,7 @@
             "Zones": self.zones,
             "Listen": self.addresses,
             "InternalPorts": [peer_port, peer_port],
-            "Limits": {"MemoryMb": 300, "MaxFds": 1024},
+            "Limits": {"MemoryMb": _MEMORY_MB, "MaxFds": _MAX_FILES},
             "Bounds": {"Contact": "3000ms", "Grace": "6s", "ttl_max": "5s", "BudgetSlack": 60},
             "Platform": {"Address": store},
         }
@@ -88,12 +118,12 @@
 
     @property
     def ready_url(self) -> str:
-        """Return where it says whether it is ready."""
+        """URL on which it says whether it is ready."""
         return self.url("Ready", _READY_PATH)
 
     @property
     def running(self) -> bool:
-        """Tell whether its process has been started and has not ended."""
+        """True while its process runs."""
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,4 +1,8 @@
-"""A local fleet: stand-ins and daemons as separate processes on loopback."""
+"""A local fleet of the own interface: stand-ins and daemons as separate processes on loopback.
+
+Owns the processes, their settings files and logs, and ends every process that it started. Used by
+the demo and by process tests. Relies on `standins.platform` and `standins.backend`.
+"""
 
 import os
 import signal
@@ -17,8 +21,13 @@
 from sprucewinch.config.configuration import Configuration
 
 TOKEN = "demo-token-for-loopback-only"
+"""Operators' token of all daemons; it protects nothing."""
+
 _READY_S = 30.0
+"""Seconds that a condition of a fleet is waited for, by default. A guess, never measured."""
+
 _END_S = 15.0
+"""Seconds that a daemon's planned stop may take. A guess, never measured."""
 
 
 class Vm(NamedTuple):
--- a/tools/fuzz.py
+++ b/tools/fuzz.py
@@ -1,4 +1,8 @@
-"""A longer run of all state machines with fresh seeds; prints the seed of a failure."""
+"""A longer run of all state machines with fresh seeds; prints the seed of a failure.
+
+Owns the list of state machines and how long each run is; the machines stand in the tests. A seed
+that failed is played again with `--only`.
+"""
 
 import random
 import sys
@@ -16,7 +20,13 @@
 
 MACHINES: tuple[type[RuleBasedStateMachine], ...] = (FleetShift, HallSlots, OneRun, Spreading)
 _EXAMPLES = 30
+"""Examples of one seed. A guess, never measured."""
+
 _STEPS = 60
+"""Steps of one example. A guess, never measured."""
+
+_S_PER_MINUTE = 60
+"""Seconds in a minute."""
 
 
 def _counting(machine: type[RuleBasedStateMachine], counts: dict[str, int]) -> type:
@@ -59,7 +69,7 @@
     counts: dict[str, int] = {}
     failures = 0
     rng = random.SystemRandom()
-    until = time.monotonic() + minutes * 60
+    until = time.monotonic() + minutes * _S_PER_MINUTE
     while True:
         number = rng.getrandbits(32) if only is None else only
         failures += sum(not _run(machine, number, counts) for machine in MACHINES)
--- a/tools/load.py
+++ b/tools/load.py
@@ -1,4 +1,8 @@
-"""Seeded load as callers make it, checked answer by answer against what the servers ran."""
+"""Seeded load as callers make it, checked answer by answer against what the servers ran.
+
+Owns callers of the own interface: look-ups with a cache, tickets, retries as told, and the check of
+each answer. The same seed gives the same arrivals. Relies on the stand-ins for what ran.
+"""
 
 import asyncio
 import hashlib
@@ -16,7 +20,10 @@
 from sprucewinch.config.configuration import Configuration, Service
 
 _CLIENT_MS = 1.0
+"""One-way delay of a caller to its own region, in milliseconds, as the brief has it for Kovács."""
+
 _GIVE_UP_S = 20.0
+"""Seconds after which a caller gives a request up. A guess, never measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -260,21 +267,20 @@
         distance_s = self._distance_ms(caller.region, vm["region"]) / 1000
         url = f"http://{vm['address']}/s/{flow.service}/{flow.path}{flow.query}"
         await asyncio.sleep(distance_s)
-        async with session.request(
-            flow.method, url, data=body or None, headers=headers
-        ) as response:
+        call = session.request(flow.method, url, data=body or None, headers=headers)
+        async with call as response:
             answer = await response.read()
-            await asyncio.sleep(distance_s)
-            result.outcome = response.headers.get("sprucewinch-outcome", "wrong")
-            result.hall = response.headers.get("sprucewinch-hall", "")
-            if result.outcome == "answered":
-                expected = _expected(result.operation, flow, body)
-                if response.status != HTTPStatus.OK or not answer.startswith(expected):
-                    result.outcome = "wrong"
-                return None
-            refused = json.loads(answer)
-            result.reason = refused["reason"]
-            return int(refused["retry_after_ms"])
+        await asyncio.sleep(distance_s)
+        result.outcome = response.headers.get("sprucewinch-outcome", "wrong")
+        result.hall = response.headers.get("sprucewinch-hall", "")
+        if result.outcome == "answered":
+            expected = _expected(result.operation, flow, body)
+            if response.status != HTTPStatus.OK or not answer.startswith(expected):
+                result.outcome = "wrong"
+            return None
+        refused = json.loads(answer)
+        result.reason = refused["reason"]
+        return int(refused["retry_after_ms"])
 
     def _distance_ms(self, client_region: str, region: str) -> float:
         if client_region == region:
--- a/tools/plays.py
+++ b/tools/plays.py
@@ -18,6 +18,7 @@
 
 JOURNAL = Path("journal")
 _LEAST_PRICE = 0.001
+"""Worth of a day below which a price is not listed: what the table rounds to."""
 
 
 class PlayError(SprucewinchError):
--- a/tools/plays_chart.py
+++ b/tools/plays_chart.py
@@ -20,6 +20,8 @@
 from .plays import Entry, PlayError, common_days, read
 
 _WIDTH = 96
+"""Width of the chart, in characters."""
+
 _COLOURS = ("blue", "green", "yellow", "magenta", "cyan", "red")
 
 
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,4 +1,8 @@
-"""Runs all tests, lists the known red ones, and ends with the line `N passed, N failed`."""
+"""Runs all tests, lists the known red ones, and ends with the line `N passed, N failed`.
+
+Owns the exit status of a test run: 1 for a failure that KNOWN-RED.txt does not list, for too many
+known ones, or when nothing ran. Hypothesis runs derandomized, so that a run can be repeated.
+"""
 
 import logging
 import sys
@@ -9,6 +13,7 @@
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 _MOST_RED = 3
+"""Most known red tests; KNOWN-RED.txt states the same."""
 
 
 def known_red() -> dict[str, str]:
--- a/tools/small.py
+++ b/tools/small.py
@@ -1,10 +1,30 @@
-"""A small deployment on loopback, for tests and measurements."""
+"""A small deployment on loopback, for tests and measurements.
 
+Owns one configuration of the own interface with two services, one of which must not run twice. Its
+figures are guesses, never measured: they are small so that tests are short.
+"""
+
+from collections.abc import Sequence
 from typing import Any
 
 from sprucewinch.config.configuration import Configuration, parse_configuration
 from tools.fleet import free_ports
 
+_SERVICES = ("rates", "booking")
+"""Services of the deployment; requests of the first may run more than once."""
+
+_DEADLINE_MS = 3000
+"""Deadline of both services, in milliseconds."""
+
+_TTL_MS = 300
+"""Time that callers keep a look-up's answer, in milliseconds."""
+
+_ONE_WAY_MS = 5.0
+"""Delay of a link between two regions, in milliseconds."""
+
+_LINK_PER_S = 500.0
+"""Requests a second that a link carries."""
+
 
 def small_deployment(halls: int = 2, servers: int = 1, **service: Any) -> Configuration:
     """Return two regions of one hall each (or more), with free ports for the backend servers."""
@@ -13,17 +33,15 @@
     regions = [f"region-{number}" for number in range(1, halls + 1)]
     tables = {
         "name": "small",
-        "lookup": {"ttl_ms": 300},
+        "lookup": {"ttl_ms": _TTL_MS},
         "region": [
             {"name": region, "clients": [f"10.{number}.0.0/16"]}
             for number, region in enumerate(regions, 1)
         ],
-        "hall": [
-            {"name": hall, "region": region} for hall, region in zip(names, regions, strict=True)
-        ],
+        "hall": [{"name": h, "region": r} for h, r in zip(names, regions, strict=True)],
         "service": [
-            {"name": "rates", "repeatable": True, "deadline_ms": 3000, **service},
-            {"name": "booking", "repeatable": False, "deadline_ms": 3000, **service},
+            {"name": name, "repeatable": name == "rates", "deadline_ms": _DEADLINE_MS, **service}
+            for name in _SERVICES
         ],
         "pool": [
             {
@@ -32,12 +50,16 @@
                 "servers": [f"127.0.0.1:{next(ports)}" for _ in range(servers)],
             }
             for hall in names
-            for name in ("rates", "booking")
-        ],
-        "link": [
-            {"a": a, "b": b, "one_way_ms": 5.0, "requests_per_s": 500.0}
-            for i, a in enumerate(regions)
-            for b in regions[i + 1 :]
+            for name in _SERVICES
         ],
+        "link": _links(regions),
     }
     return parse_configuration(tables, "small")
+
+
+def _links(regions: Sequence[str]) -> list[dict[str, Any]]:
+    return [
+        {"a": a, "b": b, "one_way_ms": _ONE_WAY_MS, "requests_per_s": _LINK_PER_S}
+        for i, a in enumerate(regions)
+        for b in regions[i + 1 :]
+    ]
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -18,7 +18,7 @@
 from standins.consortium_store import StoreStandIn
 from standins.relay import Relay
 from standins.scripted_server import HEALTH_PATH, Run, ScriptedServer
-from tools.entry_vm import EntryVm, free_port
+from tools.entry_vm import EntryVm, Place, free_port
 
 from .ledger import EVERYBODY, Leaving, Ledger, Struck, Version
 
@@ -197,8 +197,7 @@
             f"127.0.0.1:{link.port}",
             peer_port,
             self.folder,
-            zone=zone,
-            zones=ZONES,
+            place=Place(zone, ZONES),
             program=_PROGRAM,
         )
 
--- a/tools/soak_vm.py
+++ b/tools/soak_vm.py
@@ -1,4 +1,8 @@
-"""One entry VM whose time of day a file sets off; else the same as `platform/main.py`."""
+"""One entry VM with a time of day that a file shifts; else the same as `platform/main.py`.
+
+Owns the program that the soak starts in place of `platform/main.py`. The file's name is that of the
+settings with the suffix `CLOCK_SUFFIX`; it holds seconds, and no file means no shift.
+"""
 
 import asyncio
 import contextlib
@@ -9,10 +13,11 @@
 
 _ROOT = Path(__file__).resolve().parent.parent
 CLOCK_SUFFIX = ".clock"
+"""Suffix of the file that holds the shift of the time of day, in seconds."""
 
 
 def main() -> None:
-    """Run until told to stop."""
+    """Run until a signal stops the process."""
     sys.path += [str(_ROOT), str(_ROOT / "platform")]
     from consortium import ConsortiumAdapter
     from main import SETTINGS_VARIABLE
@@ -26,11 +31,12 @@
     offset_file = path.with_suffix(CLOCK_SUFFIX)
 
     class OffsetClock(SystemClock):
-        """The machine's clocks, with a time of day that is as far off as the file says."""
+        """The system's clocks, with the time of day shifted as the file says."""
 
         def wall(self) -> float:
             """Return the time of day, in seconds since the epoch."""
             offset = 0.0
+            # Silence is right: no file means no shift, and a half-written one is read again.
             with contextlib.suppress(OSError, ValueError):
                 offset = float(offset_file.read_text(encoding="utf-8"))
             return time.time() + offset
--- a/tools/synthetic.py
+++ b/tools/synthetic.py
@@ -1,4 +1,8 @@
-"""Synthetic deployments of any size, for measuring how costs grow."""
+"""Synthetic deployments of any size, for measuring how costs grow.
+
+Owns configurations and nodes of the own interface that are built without processes. Used by
+`bench_core`, which measures them.
+"""
 
 import ipaddress
 import random
@@ -40,6 +44,8 @@
 
 
 TODAY = Size(12, 3, 6, 3, 3)
+"""The size of the users' deployments today, as the brief gives it."""
+
 TARGET = Size(2800, 52, 131, 24, 660_000)
 """The size of the users' long-run target; 131 halls with 24 services make 3,144 sites."""
 
--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -23,6 +23,7 @@
 _COPIED = ("sprucewinch", "platform", "standins", "tests", "tools")
 _GATEWAY = "sprucewinch/gateway"
 _LONGEST_S = 180.0
+"""Seconds after which the tests of a wrong version count as failed. A guess, never measured."""
 
 
 class StaleVersionError(SprucewinchError):
@@ -336,7 +337,7 @@
 
 
 def is_red(version: WrongVersion) -> bool:
-    """Tell whether the tests of a wrong version fail on it."""
+    """Return whether the tests of a wrong version fail on it."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         for part in _COPIED:
