--- a/tools/load.py
+++ b/tools/load.py
@@ -270,17 +270,9 @@
         call = session.request(flow.method, url, data=body or None, headers=headers)
         async with call as response:
             answer = await response.read()
-        await asyncio.sleep(distance_s)
-        result.outcome = response.headers.get("sprucewinch-outcome", "wrong")
-        result.hall = response.headers.get("sprucewinch-hall", "")
-        if result.outcome == "answered":
-            expected = _expected(result.operation, flow, body)
-            if response.status != HTTPStatus.OK or not answer.startswith(expected):
-                result.outcome = "wrong"
-            return None
-        refused = json.loads(answer)
-        result.reason = refused["reason"]
-        return int(refused["retry_after_ms"])
+            await asyncio.sleep(distance_s)
+        expected = _expected(result.operation, flow, body)
+        return _judge(result, response, answer, expected)
 
     def _distance_ms(self, client_region: str, region: str) -> float:
         if client_region == region:
@@ -288,6 +280,21 @@
         return self._links.get(frozenset((client_region, region)), 0.0) + _CLIENT_MS
 
 
+def _judge(
+    result: Result, response: aiohttp.ClientResponse, answer: bytes, expected: bytes
+) -> Optional[int]:
+    """Fill in a result; returns when to come back, in milliseconds, if refused."""
+    result.outcome = response.headers.get("sprucewinch-outcome", "wrong")
+    result.hall = response.headers.get("sprucewinch-hall", "")
+    if result.outcome == "answered":
+        if response.status != HTTPStatus.OK or not answer.startswith(expected):
+            result.outcome = "wrong"
+        return None
+    refused = json.loads(answer)
+    result.reason = refused["reason"]
+    return int(refused["retry_after_ms"])
+
+
 def _expected(operation: str, flow: Flow, body: bytes) -> bytes:
     digest = hashlib.sha256(body).hexdigest()
     return f"{operation} /{flow.path} {len(body)} {digest}\n".encode()
