--- a/standins/virtual.py
+++ b/standins/virtual.py
@@ -30,7 +30,9 @@
 
     def select(self, timeout: Optional[float] = None) -> list:
         if timeout is None:
-            raise RuntimeError("nothing will ever happen: a test waits for what nobody does")
+            raise RuntimeError(
+                "no timer and no task is left: a test waits for an event that cannot come"
+            )
         self.skipped_s += max(0.0, timeout)
         return super().select(0)
 
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -56,7 +56,7 @@
     """Starts and ends the processes; a context manager that leaves none behind.
 
     Args:
-        configuration: What the daemons will be told to run.
+        configuration: Deployment that the daemons run.
         vms_per_hall: Entry VMs in each data hall.
         work_ms: Mean time of a request at a backend server, by service.
         seed: Seed of the stand-ins.
--- a/tools/plays.py
+++ b/tools/plays.py
@@ -28,7 +28,7 @@
 
 
 class Play(NamedTuple):
-    """One day as an entry tells it.
+    """One day of an entry.
 
     Args:
         worth: Worth of the day, prices deducted.
--- a/tools/soak/promises.py
+++ b/tools/soak/promises.py
@@ -280,7 +280,7 @@
             self._stops_in_time(vm, signalled)
 
     def _starting(self, vm: str, at: float) -> bool:
-        """Tell whether an entry VM was starting: it does not know signals from the first moment."""
+        """Return whether an entry VM was starting: signal handlers are not set from the start."""
         starts = (s for s in self.ledger.struck if s.what == "start" and s.scope == vm)
         return any(s.start <= at <= s.end + _SLACK_S for s in starts)
 
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -308,9 +308,9 @@
         return True
 
     def _is_up(self, vm: EntryVm) -> bool:
-        told = [at for at, n in self.ledger.signalled[vm.name] if n in _ENDING]
+        signals = [at for at, n in self.ledger.signalled[vm.name] if n in _ENDING]
         ends = [at for at, _ in self.ledger.ends[vm.name]]
-        stopping = bool(told) and max(told) > max(ends, default=float("-inf"))
+        stopping = bool(signals) and max(signals) > max(ends, default=float("-inf"))
         return vm.name in self.ready and not stopping
 
     async def _watch_own_lag(self) -> None:
