--- a/tools/plays.py
+++ b/tools/plays.py
@@ -18,6 +18,7 @@
 
 JOURNAL = Path("journal")
 _LEAST_PRICE = 0.001
+"""Worth of a day below which a price is not listed: what the table rounds to."""
 
 
 class PlayError(SprucewinchError):
@@ -27,7 +28,7 @@
 
 
 class Play(NamedTuple):
-    """One day as an entry tells it.
+    """One day of an entry.
 
     Args:
         worth: Worth of the day, prices deducted.
--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -23,6 +23,7 @@
 _COPIED = ("sprucewinch", "platform", "standins", "tests", "tools")
 _GATEWAY = "sprucewinch/gateway"
 _LONGEST_S = 180.0
+"""Seconds after which the tests of a wrong version count as failed. A guess, never measured."""
 
 
 class StaleVersionError(SprucewinchError):
@@ -86,8 +87,8 @@
         "MIXED",
         "an answer without a length is whole when it is reset",
         "sprucewinch/net/connection.py",
-        "if exc is None and self._clean_end and self._head_done and self._until_end():",
-        "if self._head_done and self._until_end():",
+        "if exc is None and self._clean_end and self._reader.ends_with_connection:",
+        "if self._reader.ends_with_connection:",
         ("tests.test_gateway_pipeline.SpoiltAnswers", "tests.test_gateway_connection"),
     ),
     WrongVersion(
@@ -336,7 +337,7 @@
 
 
 def is_red(version: WrongVersion) -> bool:
-    """Tell whether the tests of a wrong version fail on it."""
+    """Return whether the tests of a wrong version fail on it."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         for part in _COPIED:
