--- a/sprucewinch/cli.py
+++ b/sprucewinch/cli.py
@@ -8,7 +8,7 @@
 import fire
 from fire.decorators import SetParseFn, SetParseFns
 
-from .config.configuration import load_configuration
+from .config.loading import load_configuration
 from .errors import ConfigurationError, ConflictError, PolicyError, SprucewinchError
 from .operators._base_revision import read_base
 from .operators._tables import Printer
--- a/sprucewinch/config/configuration.py
+++ b/sprucewinch/config/configuration.py
@@ -1,14 +1,14 @@
-"""The operators' configuration: regions, data halls, services, backend servers, caps and links."""
+"""The types of the operators' configuration and of the document that the platform keeps.
+
+Owns the regions, data halls, services, backend servers, caps and links, each as an immutable
+struct whose field names are the keys of the TOML file and of the stored JSON. Makes no check beyond
+types: `loading` reads and checks. Relies on msgspec alone.
+"""
 
-from pathlib import Path
 from typing import Literal
 
 import msgspec
 
-from ..errors import ConfigurationError
-from ._check import check_configuration
-from .toml_decode import decode, read_toml
-
 
 class Struct(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
     """Base of all parts of a configuration: immutable, with slots."""
@@ -27,7 +27,12 @@
 
 
 class DataHall(Struct, frozen=True):
-    """A data hall of a region."""
+    """A data hall of a region.
+
+    Args:
+        name: Name of the data hall.
+        region: Name of its region.
+    """
 
     name: str
     region: str
@@ -38,9 +43,9 @@
 
     Args:
         name: Name of the service; also the first part of its request path.
-        repeatable: True when a request may safely run more than once.
+        repeatable: True when a request may safely run more than once, so that it may be retried.
         deadline_ms: Time a request has when its caller names none, in milliseconds.
-        max_wait_ms: Longest wait for a free slot before the request is refused.
+        max_wait_ms: Longest wait for a free slot before the request is refused, in milliseconds.
         policy: Name of the steering policy.
         shift_cap: Cap of this service alone, in place of the cap in `[shift]`.
     """
@@ -88,10 +93,10 @@
 
 
 class Lookup(Struct, frozen=True):
-    """What callers are told about keeping look-up answers.
+    """How callers cache look-up answers.
 
     Args:
-        ttl_ms: How long an answer may be kept, in milliseconds.
+        ttl_ms: How long callers may cache an answer, in milliseconds.
     """
 
     ttl_ms: int = 2000
@@ -115,7 +120,8 @@
 
     Args:
         ceiling: Largest part of a region's slots that steering plans to use.
-        stale_s: Age beyond which a region's measures are too old for it to gain callers.
+        stale_s: Age beyond which a region's measures are too old for it to gain callers, in
+            seconds.
         warm_step: Largest share of its slots' worth of callers a region may gain in one window.
     """
 
@@ -127,6 +133,8 @@
 class Configuration(Struct, frozen=True):
     """A whole configuration, as operators write it.
 
+    Fields are named for the tables of the TOML file, so lists have singular names.
+
     Args:
         name: Name of the deployment.
         region: All regions.
@@ -151,7 +159,12 @@
 
 
 class Policy(Struct, frozen=True):
-    """A policy program kept with the configuration."""
+    """A policy program kept with the configuration.
+
+    Args:
+        name: Name of the policy.
+        source: Text of the program.
+    """
 
     name: str
     source: str
@@ -166,7 +179,7 @@
         at: Wall-clock time of the writer, seconds since the epoch.
         operator: Who made it.
         action: What kind of change.
-        detail: What it was about, on one line.
+        detail: What it changed, on one line.
     """
 
     revision: int
@@ -184,7 +197,7 @@
         revision: Grows by one with every accepted change.
         configuration: The configuration.
         policies: Loaded policy programs.
-        drained: Names of draining backend servers, data halls and regions, by kind and name.
+        drained: Keys of draining backend servers, data halls and regions, as `drain_key` makes.
         audit: Newest changes, oldest first; bounded.
     """
 
@@ -196,71 +209,9 @@
 
 
 DrainKind = Literal["server", "hall", "region"]
+"""What operators can drain: a backend server, a data hall, a region."""
 
 
 def drain_key(kind: DrainKind, name: str) -> str:
-    """Return how a draining thing is written in a `Document`."""
+    """Return the key of a draining server, data hall or region in a `Document`."""
     return f"{kind}:{name}"
-
-
-def load_configuration(path: Path) -> Configuration:
-    """Read and check a configuration file.
-
-    Args:
-        path: A TOML file.
-
-    Returns:
-        The configuration.
-
-    Raises:
-        ConfigurationError: One line naming file, key, what was found and what to write.
-    """
-    tables = read_toml(path, ConfigurationError)
-    configuration = decode(tables, Configuration, str(path), ConfigurationError)
-    check_configuration(configuration, str(path))
-    return configuration
-
-
-def parse_configuration(tables: dict, source: str) -> Configuration:
-    """Check tables that came from elsewhere than a file.
-
-    Args:
-        tables: The configuration as plain tables.
-        source: Where they came from, for messages.
-
-    Returns:
-        The configuration.
-
-    Raises:
-        ConfigurationError: As for `load_configuration`.
-    """
-    configuration = decode(tables, Configuration, source, ConfigurationError)
-    check_configuration(configuration, source)
-    return configuration
-
-
-def encode_document(document: Document) -> bytes:
-    """Encode a document for the platform and for peers."""
-    return msgspec.json.encode(document)
-
-
-def decode_document(value: bytes) -> Document:
-    """Decode and check a document.
-
-    Args:
-        value: Bytes from the platform or a peer.
-
-    Returns:
-        The document.
-
-    Raises:
-        ConfigurationError: When the bytes are no whole, consistent document.
-    """
-    try:
-        document = msgspec.json.decode(value, type=Document)
-    except msgspec.MsgspecError as error:
-        raise ConfigurationError(
-            f"stored configuration: {error}", "apply a valid configuration again"
-        ) from None
-    check_configuration(document.configuration, "stored configuration")
-    return document
--- a/sprucewinch/config/settings.py
+++ b/sprucewinch/config/settings.py
@@ -1,4 +1,9 @@
-"""The daemon's settings: what one entry VM is told about itself at start."""
+"""The daemon's settings: what one entry VM reads about itself at start.
+
+Owns the types of the settings file, the limits of every listener and their checks. A process reads
+its settings once; nothing changes them while it runs. Relies on `toml_decode` for TOML and its
+messages and on `net.address` for the form of addresses.
+"""
 
 from pathlib import Path
 
@@ -9,10 +14,11 @@
 from .toml_decode import decode, read_toml
 
 _KIB = 1024
+"""Bytes in a kibibyte."""
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits of every listener.
+    """Limits of every listener. The defaults are guesses, never measured.
 
     Args:
         header_bytes: Most bytes of a request's headers.
@@ -31,14 +37,15 @@
     """How a planned stop proceeds.
 
     Args:
-        report_s: Seconds between log lines that name what still holds the stop up.
+        report_s: Seconds between log lines that name what still holds the stop up. The default
+            is a guess, never measured.
     """
 
     report_s: float = 5.0
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one entry VM is told about itself.
+    """What one entry VM knows about itself before it asks anyone.
 
     Args:
         vm: Name of this entry VM, unique in the fleet.
@@ -70,6 +77,9 @@
 
 
 _MIN_TOKEN = 16
+"""Fewest characters of the operators' token: 64 bits when it is written in hexadecimal. A guess,
+never measured."""
+
 _ADDRESSES = ("caller_address", "peer_address", "operators_address", "platform_address")
 _LOG_FORMATS = ("text", "json")
 
@@ -101,9 +111,21 @@
     Raises:
         SettingsError: For the first fault found.
     """
+    _check_names(source, settings)
+    _check_addresses(source, settings)
+    _check_words(source, settings)
+    _check_limits(source, settings.limits)
+    if settings.stop.report_s <= 0:
+        raise SettingsError(f"{source}: stop.report_s: found 0 or less", "write seconds above 0")
+
+
+def _check_names(source: str, settings: Settings) -> None:
     for key in ("vm", "hall", "region"):
         if not getattr(settings, key).strip():
             raise SettingsError(f"{source}: {key}: found an empty name", "write a name")
+
+
+def _check_addresses(source: str, settings: Settings) -> None:
     for key in _ADDRESSES:
         _check_address(source, key, getattr(settings, key))
     for index, peer in enumerate(settings.peers):
@@ -111,6 +133,10 @@
     own = [getattr(settings, key) for key in _ADDRESSES]
     if len(set(own)) < len(own):
         raise SettingsError(f"{source}: two addresses are the same", "give each its own port")
+
+
+def _check_words(source: str, settings: Settings) -> None:
+    """Check the token's length and the log format."""
     if len(settings.operators_token) < _MIN_TOKEN:
         raise SettingsError(
             f"{source}: operators_token: found {len(settings.operators_token)} characters",
@@ -121,9 +147,6 @@
             f"{source}: log_format: found {settings.log_format!r}",
             f"write one of: {', '.join(_LOG_FORMATS)}",
         )
-    _check_limits(source, settings.limits)
-    if settings.stop.report_s <= 0:
-        raise SettingsError(f"{source}: stop.report_s: found 0 or less", "write seconds above 0")
 
 
 def _check_limits(source: str, limits: Limits) -> None:
--- a/sprucewinch/config/toml_decode.py
+++ b/sprucewinch/config/toml_decode.py
@@ -1,4 +1,9 @@
-"""Decoding of TOML files into checked structs, with one-line errors."""
+"""Decoding of TOML files into typed structs, with errors of one line.
+
+Owns the translation of msgspec's messages into ones that name file, key, what was found and what to
+write. Knows nothing of what a file is for: the caller gives the struct type and the error type.
+Relies on `tomllib` and msgspec; the patterns below match msgspec's wording.
+"""
 
 import re
 import tomllib
--- a/sprucewinch/daemon.py
+++ b/sprucewinch/daemon.py
@@ -13,7 +13,8 @@
 
 from . import log
 from .clock import Clock, SystemClock
-from .config.configuration import Document, encode_document
+from .config.configuration import Document
+from .config.loading import encode_document
 from .config.settings import Settings, load_settings
 from .errors import SprucewinchError
 from .hall.loops import Loops, configuration_document
--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -7,7 +7,8 @@
 import msgspec
 
 from .._hash import hash32
-from ..config.configuration import Document, decode_document
+from ..config.configuration import Document
+from ..config.loading import decode_document
 from ..config.settings import Settings
 from ..errors import ConfigurationError, PolicyError
 from ..net.outcome import Reason, Refusal, not_run
--- a/sprucewinch/operators/port.py
+++ b/sprucewinch/operators/port.py
@@ -12,7 +12,7 @@
 
 from .. import log
 from ..clock import Clock
-from ..config.configuration import parse_configuration
+from ..config.loading import parse_configuration
 from ..config.settings import Settings
 from ..errors import (
     ConfigurationError,
--- a/sprucewinch/operators/writer.py
+++ b/sprucewinch/operators/writer.py
@@ -8,13 +8,8 @@
 import msgspec
 
 from ..clock import Clock
-from ..config.configuration import (
-    AuditRecord,
-    Configuration,
-    Document,
-    decode_document,
-    encode_document,
-)
+from ..config.configuration import AuditRecord, Configuration, Document
+from ..config.loading import decode_document, encode_document
 from ..errors import (
     ConfigurationError,
     ConflictError,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -4,12 +4,8 @@
 from collections.abc import Callable
 from typing import Optional, Union
 
-from sprucewinch.config.configuration import (
-    Configuration,
-    Document,
-    encode_document,
-    load_configuration,
-)
+from sprucewinch.config.configuration import Configuration, Document
+from sprucewinch.config.loading import encode_document, load_configuration
 from sprucewinch.config.settings import Settings
 from sprucewinch.errors import PlatformError, WriteUnknownError
 from sprucewinch.hall.node import Node
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -3,7 +3,8 @@
 
 import msgspec
 
-from sprucewinch.config.configuration import Document, decode_document, encode_document
+from sprucewinch.config.configuration import Document
+from sprucewinch.config.loading import decode_document, encode_document
 from sprucewinch.errors import (
     ConfigurationError,
     ConflictError,
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -2,8 +2,8 @@
 import unittest
 from pathlib import Path
 
-from sprucewinch.config.configuration import (
-    Document,
+from sprucewinch.config.configuration import Document
+from sprucewinch.config.loading import (
     decode_document,
     encode_document,
     load_configuration,
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-from sprucewinch.config.configuration import decode_document, drain_key, encode_document
+from sprucewinch.config.configuration import drain_key
+from sprucewinch.config.loading import decode_document, encode_document
 from sprucewinch.gateway.following.deltas import DELTA_PATH, decode_delta, encode_delta
 from sprucewinch.gateway.following.follow_role import ProgressNotice
 from sprucewinch.gateway.internal_apps import DeltaApp
--- a/tools/bench_core.py
+++ b/tools/bench_core.py
@@ -16,7 +16,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from sprucewinch.config.configuration import Document, decode_document, encode_document
+from sprucewinch.config.configuration import Document
+from sprucewinch.config.loading import decode_document, encode_document
 from sprucewinch.hall.peers.exchange import Exchange, choose_partners
 from sprucewinch.hall.peers.peer_pb2 import ExchangeReply, ExchangeRequest
 from sprucewinch.hall.peers.view import View
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -13,7 +13,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from sprucewinch.config.configuration import Configuration, Service, load_configuration
+from sprucewinch.config.configuration import Configuration, Service
+from sprucewinch.config.loading import load_configuration
 from tools.fleet import Fleet, Operator, wait_until
 from tools.load import Flow, Load, Result, broken_promises, quantile, runs_at_servers
 
--- a/tools/small.py
+++ b/tools/small.py
@@ -2,7 +2,8 @@
 
 from typing import Any
 
-from sprucewinch.config.configuration import Configuration, parse_configuration
+from sprucewinch.config.configuration import Configuration
+from sprucewinch.config.loading import parse_configuration
 from tools.fleet import free_ports
 
 
--- a/tools/synthetic.py
+++ b/tools/synthetic.py
@@ -13,8 +13,8 @@
     Pool,
     Region,
     Service,
-    encode_document,
 )
+from sprucewinch.config.loading import encode_document
 from sprucewinch.config.settings import Settings
 from sprucewinch.hall.node import Node
 from sprucewinch.hall.peers.peer_pb2 import SERVING, Member, ServiceLoad
