--- /dev/null
+++ b/sprucewinch/operators/_read_calls.py
@@ -0,0 +1,90 @@
+"""Calls of the operators' port that read: status, measures, audit, explanations, configuration.
+
+Owns nothing: each call answers from this VM's node, and archived audit records from the platform.
+None of them changes anything. Relies on `report` for what is worked out from the node.
+"""
+
+from typing import Any
+
+import msgspec
+from starlette.requests import Request
+from starlette.responses import Response
+
+from ..clock import Clock
+from ..hall.node import Node
+from ..hall.store.documents import AUDIT_PREFIX
+from ..hall.store.store import Platform
+from ._messages import json_answer
+from .report import compare_policies, explain, status
+
+
+class ReadCalls:
+    """Answers what operators ask.
+
+    Args:
+        node: This VM's view.
+        platform: The platform's service.
+        clock: Source of time.
+    """
+
+    def __init__(self, node: Node, platform: Platform, clock: Clock) -> None:
+        self.node = node
+        self.platform = platform
+        self.clock = clock
+
+    async def show_status(self, _request: Request) -> Response:
+        """Return every entry VM this one knows of, and what is draining."""
+        return json_answer(status(self.node, self.clock.monotonic()))
+
+    async def show_metrics(self, _request: Request) -> Response:
+        """Return this daemon's measures."""
+        return json_answer(self.node.metrics.report())
+
+    async def show_audit(self, request: Request) -> Response:
+        """Return the audit trail, oldest first, archived parts included."""
+        records: list[Any] = []
+        if request.query_params.get("all"):
+            for entry in await self.platform.watch(AUDIT_PREFIX, 0, 0.0):
+                records.extend(msgspec.json.decode(entry.value))
+        if self.node.topology is not None:
+            records.extend(msgspec.to_builtins(self.node.topology.document.audit))
+        return json_answer({"audit": records})
+
+    async def show_explanation(self, request: Request) -> Response:
+        """Explain where a client block is steered to for a service, and why."""
+        block = request.query_params.get("block", "")
+        service = request.query_params.get("service", "")
+        return json_answer(explain(self.node, block, service, self.clock.monotonic()))
+
+    async def show_configuration(self, _request: Request) -> Response:
+        """Return the configuration in force here."""
+        if self.node.topology is None:
+            return json_answer({"revision": 0, "configuration": None, "drained": []})
+        document = self.node.topology.document
+        return json_answer(
+            {
+                "revision": document.revision,
+                "configuration": msgspec.to_builtins(document.configuration),
+                "drained": list(document.drained),
+            }
+        )
+
+    async def list_policies(self, _request: Request) -> Response:
+        """Return all policies and the services that use them."""
+        users: dict[str, list[str]] = {name: [] for name in self.node.policies}
+        loaded: set[str] = set()
+        if self.node.topology is not None:
+            loaded = {policy.name for policy in self.node.topology.document.policies}
+            for service in self.node.topology.services.values():
+                users.setdefault(service.policy, []).append(service.name)
+        rows = [
+            {"policy": name, "origin": "loaded" if name in loaded else "shipped", "services": used}
+            for name, used in sorted(users.items())
+        ]
+        return json_answer({"policies": rows})
+
+    async def compare(self, request: Request) -> Response:
+        """Run policies on the present measures without putting them in force."""
+        names = [n for n in request.query_params.get("policies", "").split(",") if n]
+        service = request.query_params.get("service", "")
+        return json_answer(compare_policies(self.node, service, names, self.clock.monotonic()))
