--- a/sprucewinch/_hash.py
+++ b/sprucewinch/_hash.py
@@ -1,4 +1,8 @@
-"""Hashes of text that are the same in every process."""
+"""Hashes of text that are the same in every process, unlike Python's own.
+
+Owns the choice of the hash: VMs of the fleet must agree on where a key goes, also across versions,
+so it may not change. Relies on xxhash; not for secrets.
+"""
 
 import xxhash
 
--- a/sprucewinch/cli.py
+++ b/sprucewinch/cli.py
@@ -1,5 +1,12 @@
-"""The command line `sprucewinch` for operators."""
+"""The command line `sprucewinch` for operators.
 
+Owns the names of commands and arguments, and the exit status of errors. Each method below is a
+command: `fire` makes the arguments from the signature and the help from the docstring. Relies on
+`operators.client` for calls to a VM and on `operators._tables` for printing; `config validate`,
+`policy check` and `story` need no VM.
+"""
+
+import os
 import sys
 from pathlib import Path
 from typing import Any, Optional
@@ -19,7 +26,10 @@
 
 
 class _Group:
-    """Commands that share the connection and the way of printing."""
+    """Commands that share the connection and the way of printing.
+
+    Attribute names have underscores here, since `fire` offers every public one as a command.
+    """
 
     def __init__(self, root: "Sprucewinch") -> None:
         self._root = root
@@ -94,7 +104,7 @@
 
     @SetParseFn(str)
     def retire(self, name: str) -> None:
-        """Take a policy program out."""
+        """Remove a policy program."""
         self._print.record(self._client.call("DELETE", f"/v1/policies/{quote(name)}"))
 
     def list(self) -> None:
@@ -135,8 +145,6 @@
         operator: Optional[str] = None,
         json: bool = False,
     ) -> None:
-        import os
-
         self._vm = vm or os.environ.get("SPRUCEWINCH_VM", "")
         self._token = token or os.environ.get("SPRUCEWINCH_TOKEN", "")
         self._operator = operator
@@ -211,7 +219,7 @@
 
     @SetParseFn(str)
     def machine(self, address: str) -> None:
-        """Show what a VM of the routed request path believes.
+        """Show the state of a VM of the routed request path.
 
         Args:
             address: `IP:PORT` of its metrics listener.
@@ -223,11 +231,11 @@
 
     @SetParseFn(str)
     def story(self, request_id: str, *logs: str) -> None:
-        """Tell what became of a request of the routed request path, from logs alone.
+        """Show what happened to a request of the routed request path, from logs alone.
 
         Args:
             request_id: Its id, or the start of it.
-            logs: Files with the lines of the VMs that may have had it.
+            logs: Files with the lines of the VMs that may have received it.
         """
         found = read_story(logs, request_id)
         values = {"request": found.request_id, "meaning": found.meaning}
--- a/sprucewinch/clock.py
+++ b/sprucewinch/clock.py
@@ -1,4 +1,9 @@
-"""Time, passed in everywhere so that decisions can be tested without waiting."""
+"""The clock that decisions take as an argument, so that tests need not wait.
+
+Owns the two kinds of time: monotonic for durations within a process, wall-clock for what leaves it.
+Relies on the VM's clocks, which may be set wrong or jump: nothing compares the wall clocks of two
+VMs.
+"""
 
 import abc
 import time
@@ -9,11 +14,11 @@
 
     @abc.abstractmethod
     def monotonic(self) -> float:
-        """Return seconds that never run backwards within one process."""
+        """Return a time in seconds that never runs backwards within one process."""
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Return seconds since the epoch; may jump, and differs between VMs."""
+        """Return seconds since the epoch; the value may jump, and differs between VMs."""
 
 
 class SystemClock(Clock):
--- a/sprucewinch/errors.py
+++ b/sprucewinch/errors.py
@@ -1,4 +1,9 @@
-"""Typed errors for the edges of the system; each message names its remedy."""
+"""Typed errors for the edges of the system; each message names its remedy.
+
+Owns the classes and the exit status that each gives the command line. The operators' port answers
+with the name of a class and the command line raises it again, so names are part of that interface.
+Decisions inside the core use typed results instead.
+"""
 
 
 class SprucewinchError(Exception):
@@ -30,7 +35,7 @@
 
 
 class LogError(SprucewinchError):
-    """A log cannot be read, or does not tell what is asked of it."""
+    """A log cannot be read, or holds no line on the request that is asked for."""
 
     exit_code = 2
 
@@ -54,12 +59,13 @@
 
 
 class PlatformError(SprucewinchError):
-    """The platform's service did not answer, or refused the call.
+    """The platform's service does not answer, or refuses the call.
 
     Args:
         problem: What is wrong.
         remedy: What to do.
-        retry_after_s: Seconds after which the platform may be asked again, when it said so.
+        retry_after_s: Time after which the platform may be asked again, in seconds; 0 when it
+            names none.
     """
 
     exit_code = 4
@@ -70,12 +76,12 @@
 
 
 class WriteUnknownError(PlatformError):
-    """A write was sent and its answer was lost; it may have taken effect."""
+    """A write was sent and its answer is lost; it may have taken effect."""
 
     exit_code = 5
 
 
 class DaemonError(SprucewinchError):
-    """The command line could not reach a daemon, or the daemon refused the call."""
+    """The command line cannot reach a daemon, or the daemon refuses the call."""
 
     exit_code = 4
--- a/sprucewinch/log.py
+++ b/sprucewinch/log.py
@@ -1,4 +1,9 @@
-"""Structured logs: one line for each change of state, as key=value text or JSON."""
+"""Structured logs: one line for each change of state, as key=value text or JSON.
+
+Owns the form of lines and where they go; `state` and `trouble` serve the daemon, `line` the routed
+path, whose lines are JSON already. A reader that is too slow loses lines and never delays a
+request: `_LineHandler` counts what it drops. Relies on `absl.logging`.
+"""
 
 import json
 import logging as std_logging
@@ -37,13 +42,18 @@
     try:
         words = shlex.split(message)
     except ValueError:
+        # A library's line may hold a lone quote: the whole line is logged, so nothing is lost.
         return {"message": message}
     pairs = [word.split("=", 1) for word in words if "=" in word]
     return {key: value for key, value in pairs} if pairs else {"message": message}
 
 
 def configure(log_format: LogFormat) -> None:
-    """Send all logs to standard error in one format."""
+    """Send all logs to standard error in one format.
+
+    Args:
+        log_format: `text` or `json`.
+    """
     flags.FLAGS(["sprucewinchd"])  # the handler complains until flags are parsed
     logging.use_absl_handler()
     handler = logging.get_absl_handler()
@@ -54,12 +64,20 @@
 
 
 def state(line: str) -> None:
-    """Log a change of state, written as key=value words."""
+    """Log a change of state.
+
+    Args:
+        line: Words `key=value`, the first of them the event.
+    """
     logging.info("%s", line)
 
 
 def trouble(line: str) -> None:
-    """Log trouble that an operator should look into, written as key=value words."""
+    """Log trouble that an operator should look into.
+
+    Args:
+        line: Words `key=value`, the first of them the event.
+    """
     logging.warning("%s", line)
 
 
@@ -76,11 +94,16 @@
         try:
             os.write(self.descriptor, record.getMessage().encode() + b"\n")
         except OSError:
+            # No line about it: the line could not be written either.
             self.dropped += 1
 
 
 def configure_lines(descriptor: int = 1) -> None:
-    """Send lines that are already structured to a descriptor, without ever blocking on it."""
+    """Send lines that are already structured to a descriptor, without ever blocking on it.
+
+    Args:
+        descriptor: File descriptor; standard output by default.
+    """
     flags.FLAGS(["sprucewinch"])
     logger = logging.get_absl_logger()
     logger.handlers = [_LineHandler(descriptor)]
--- a/sprucewinch/operators/_base_revision.py
+++ b/sprucewinch/operators/_base_revision.py
@@ -1,4 +1,8 @@
-"""The revision that a configuration file was made from, kept in its first comment."""
+"""The revision that a configuration file was made from, kept in its first comment.
+
+Owns the form of that comment: `config show` writes it, `config apply` reads it, so that a file
+edited from an old revision is refused. Relies on nothing.
+"""
 
 import re
 from pathlib import Path
--- a/sprucewinch/operators/_tables.py
+++ b/sprucewinch/operators/_tables.py
@@ -1,4 +1,8 @@
-"""Printing for people, as tables, and for programs, as JSON."""
+"""Prints answers for people, as tables, and for programs, as JSON.
+
+Owns how a value looks on the terminal; knows no command and no field but `revision` and
+`configuration`. Relies on Rich for tables, imported only when one is printed, and on `tomli_w`.
+"""
 
 import json
 import sys
@@ -9,6 +13,10 @@
 
 from ._base_revision import base_line
 
+_PIPE_COLUMNS = 200
+"""Width of tables that no terminal shows, in characters, so that rows stay on one line. A guess,
+never measured."""
+
 
 class Printer:
     """Prints answers.
@@ -80,7 +88,7 @@
             table.add_column(column.replace("_", " "))
         for row in rows:
             table.add_row(*(Text(_text(row.get(column))) for column in columns))
-        Console(width=None if sys.stdout.isatty() else 200).print(table)
+        Console(width=None if sys.stdout.isatty() else _PIPE_COLUMNS).print(table)
 
 
 def _text(value: Any) -> str:
--- a/sprucewinch/operators/changes.py
+++ b/sprucewinch/operators/changes.py
@@ -1,4 +1,9 @@
-"""Changes of the configuration that operators ask for, as steps from document to document."""
+"""Changes of the configuration that operators ask for, as steps from document to document.
+
+Owns what each change does and when it is refused: a policy in use is not removed, a service names a
+known policy, a drain names something that exists. A change knows neither revision nor audit trail;
+`writer` adds both and may apply the same change again to a newer document. Does no I/O.
+"""
 
 import abc
 
@@ -24,11 +29,20 @@
 
     @abc.abstractmethod
     def apply(self, document: Document) -> Document:
-        """Return the changed document; revision and audit trail are left to the writer."""
+        """Return the changed document; the writer sets revision and audit trail.
+
+        Raises:
+            ConfigurationError: When the change does not fit this document.
+            PolicyError: When a policy program is refused.
+        """
 
 
 class ApplyConfiguration(Change):
-    """Replace the whole configuration; policies and drains stay."""
+    """Replace the whole configuration; policies and drains stay.
+
+    Args:
+        configuration: The new configuration, checked.
+    """
 
     action = "apply"
     replaces_all = True
@@ -43,7 +57,7 @@
         return f"{c.name}: {len(c.region)} regions, {len(c.hall)} data halls, {servers} servers"
 
     def apply(self, document: Document) -> Document:
-        """Replace the configuration, once its policies are known."""
+        """Replace the configuration when every policy that it names is known."""
         known = _policy_names(document)
         for service in self.configuration.service:
             if service.policy not in known:
@@ -55,7 +69,12 @@
 
 
 class LoadPolicy(Change):
-    """Load a policy program, or replace one of the same name."""
+    """Load a policy program, or replace one of the same name.
+
+    Args:
+        name: Name of the policy.
+        source: Text of the program.
+    """
 
     action = "policy-load"
 
@@ -83,7 +102,11 @@
 
 
 class RetirePolicy(Change):
-    """Take a policy program out."""
+    """Remove a policy program.
+
+    Args:
+        name: Name of the policy.
+    """
 
     action = "policy-retire"
 
@@ -111,7 +134,12 @@
 
 
 class UsePolicy(Change):
-    """Give a service another policy."""
+    """Give a service another policy.
+
+    Args:
+        service: Name of the service.
+        policy: Name of a shipped or loaded policy.
+    """
 
     action = "policy-use"
 
@@ -143,7 +171,13 @@
 
 
 class Drain(Change):
-    """Drain or undrain a backend server, data hall or region."""
+    """Drain or undrain a backend server, data hall or region.
+
+    Args:
+        kind: What is drained.
+        name: Its address or name.
+        undo: Undrain it.
+    """
 
     def __init__(self, kind: DrainKind, name: str, *, undo: bool = False) -> None:
         self.kind = kind
--- a/sprucewinch/operators/client.py
+++ b/sprucewinch/operators/client.py
@@ -1,4 +1,9 @@
-"""Calls to daemons' operators' ports, for the command line."""
+"""Calls to the operators' port of a daemon, for the command line.
+
+Owns the connection's timeout and headers, and turns each answer's error back into the class that
+the daemon named. A change whose answer is lost becomes `WriteUnknownError`: it may have been made.
+Also reads the `/state` of a VM of the routed request path. Relies on aiohttp.
+"""
 
 import asyncio
 import getpass
@@ -21,6 +26,9 @@
 from ..net.address import is_address
 
 _TIMEOUT_S = 15.0
+"""Longest call, in seconds; a change takes several calls to the platform. A guess, never
+measured."""
+
 _ERRORS: dict[str, type[SprucewinchError]] = {
     kind.__name__: kind
     for kind in (
@@ -32,6 +40,7 @@
         WriteUnknownError,
     )
 }
+"""Errors that a daemon may name, by the name in its answer; any other is a `DaemonError`."""
 
 
 class OperatorClient:
@@ -70,12 +79,14 @@
             The answer's JSON value.
 
         Raises:
-            SprucewinchError: Of the kind that the daemon named.
+            SprucewinchError: Of the class that the daemon named.
+            DaemonError: When the daemon cannot be reached; nothing was changed.
+            WriteUnknownError: When a change's answer is lost.
         """
         return asyncio.run(self._call(method, path, body))
 
     def get(self, path: str) -> Any:
-        """Read something."""
+        """Make a call that reads; see `call`."""
         return self.call("GET", path)
 
     async def _call(self, method: str, path: str, body: Any) -> Any:
@@ -124,7 +135,7 @@
         address: `IP:PORT` of its metrics listener.
 
     Raises:
-        DaemonError: When it cannot be had.
+        DaemonError: When the address is none, or gives no state.
     """
     if not is_address(address):
         raise DaemonError(f"{address!r} is no address", "give IP:PORT of a metrics listener")
@@ -141,5 +152,5 @@
             return msgspec.json.decode(await response.read())
     except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError) as error:
         raise DaemonError(
-            f"{address}: no state: {type(error).__name__}", "check that the machine runs"
+            f"{address}: no state: {type(error).__name__}", "check that the VM runs"
         ) from None
--- a/sprucewinch/operators/report.py
+++ b/sprucewinch/operators/report.py
@@ -1,6 +1,11 @@
-"""What operators are shown: status, explanations, and policies side by side."""
+"""Reports for operators: the fleet's status, explanations of a placement, policies side by side.
 
-from typing import Any
+Owns the form of these reports, field by field; the command line prints them as they are. Works
+everything out from a `Node` and a time, changes nothing and does no I/O. Relies on
+`hall.planning` for plans and measures and on `steering` for what would be granted.
+"""
+
+from typing import Any, Optional
 
 from ..config.configuration import Configuration
 from ..errors import ConfigurationError
@@ -9,12 +14,20 @@
 from ..hall.peers.view import View
 from ..hall.planning.lookup import first_entry_vm
 from ..hall.planning.planner import guard_limits
+from ..hall.planning.steering import Plan
 from ..hall.planning.topology import Topology
 from ..net.outcome import Refusal
 from ..steering.guard import grant
+from ..steering.measures import Snapshot
 from ..steering.placement import Shares
 from ..steering.policy import PolicyFault
 
+_SHARE_DIGITS = 4
+"""Decimals of a printed share: a hundredth of a per cent."""
+
+_HEADROOM_DIGITS = 3
+"""Decimals of a printed headroom: a tenth of a per cent."""
+
 
 def status(node: Node, now: float) -> dict[str, Any]:
     """Return every entry VM known to a node, who lags, and what is draining.
@@ -67,63 +80,83 @@
 
 
 def _largest_shares(node: Node, region: str) -> dict[str, float]:
+    """Return the largest share that any client region still gives a region, by service."""
     left: dict[str, float] = {}
     for key, limiter in node.steering.limiters.items():
         share = limiter.current.share(region)
-        left[key.service] = round(max(left.get(key.service, 0.0), share), 4)
+        left[key.service] = round(max(left.get(key.service, 0.0), share), _SHARE_DIGITS)
     return left
 
 
 def explain(node: Node, block: str, service: str, now: float) -> dict[str, Any]:
-    """Return why callers of a block are sent where they are sent.
+    """Return where callers of a block are sent for a service, with every input of that choice.
 
     Args:
         node: This VM's view.
         block: Client block or address.
         service: Service.
         now: Monotonic time, in seconds.
+
+    Raises:
+        ConfigurationError: When no configuration is in force here.
     """
     if node.lookups is None or node.topology is None:
-        raise ConfigurationError(
-            "no configuration is in force here", "apply one, or ask another VM"
-        )
+        raise _no_configuration()
     place = node.lookups.place(block, service)
     if isinstance(place, Refusal):
         return {"block": block, "service": service, "refused": place.reason.value}
-    shares = node.steering.shares(place.client_region, service)
-    plan = node.steering.plans.get(place.client_region)
-    answer = node.lookup(block, service)
-    first = first_entry_vm(answer) if isinstance(answer, bytes) else None
-    view = View(node.topology, node.membership, place.client_region, now)
-    measured = view.snapshot(service)
+    measured = View(node.topology, node.membership, place.client_region, now).snapshot(service)
     return {
         "block": block,
         "service": service,
         "client_region": place.client_region,
         "key": place.key.hex(),
         "region": place.region,
-        "entry_vm": first.vm if first else None,
+        "entry_vm": _entry_vm(node, block, service),
         "policy": node.topology.services[service].policy,
         "revision": node.revision,
-        "plan_revision": plan.revision if plan else 0,
-        "planner": plan.planner if plan else None,
-        "limits": list(plan.notes.get(service, ())) if plan else [],
-        "fault": plan.faults.get(service) if plan else None,
-        "regions": [
-            {
-                "region": region,
-                "share": round(shares.share(region), 4),
-                "headroom": round(measures.headroom, 3),
-                "latency_ms": measures.latency_ms,
-                "distance_ms": measured.distance_ms[region],
-                "age_s": measures.age_s,
-                "drained": measures.drained,
-            }
-            for region, measures in measured.regions.items()
-        ],
+        **_plan_fields(node.steering.plans.get(place.client_region), service),
+        "regions": _region_rows(node.steering.shares(place.client_region, service), measured),
+    }
+
+
+def _no_configuration() -> ConfigurationError:
+    return ConfigurationError("no configuration is in force here", "apply one, or ask another VM")
+
+
+def _entry_vm(node: Node, block: str, service: str) -> Optional[str]:
+    """Return the entry VM that a look-up names first; None when it is refused or names none."""
+    answer = node.lookup(block, service)
+    first = first_entry_vm(answer) if isinstance(answer, bytes) else None
+    return first.vm if first else None
+
+
+def _plan_fields(plan: Optional[Plan], service: str) -> dict[str, Any]:
+    if plan is None:
+        return {"plan_revision": 0, "planner": None, "limits": [], "fault": None}
+    return {
+        "plan_revision": plan.revision,
+        "planner": plan.planner,
+        "limits": list(plan.notes.get(service, ())),
+        "fault": plan.faults.get(service),
     }
 
 
+def _region_rows(shares: Shares, measured: Snapshot) -> list[dict[str, Any]]:
+    return [
+        {
+            "region": region,
+            "share": round(shares.share(region), _SHARE_DIGITS),
+            "headroom": round(measures.headroom, _HEADROOM_DIGITS),
+            "latency_ms": measures.latency_ms,
+            "distance_ms": measured.distance_ms[region],
+            "age_s": measures.age_s,
+            "drained": measures.drained,
+        }
+        for region, measures in measured.regions.items()
+    ]
+
+
 def compare_policies(node: Node, service: str, names: list[str], now: float) -> dict[str, Any]:
     """Return what policies would want, and be granted, on the present measures.
 
@@ -132,6 +165,9 @@
         service: Service.
         names: Policies; all when empty.
         now: Monotonic time, in seconds.
+
+    Raises:
+        ConfigurationError: When the service or a policy is unknown.
     """
     topology = node.topology
     if topology is None or service not in topology.services:
@@ -171,11 +207,11 @@
 
 
 def _rounded(weights: dict[str, float]) -> dict[str, float]:
-    return {region: round(weight, 4) for region, weight in weights.items()}
+    return {region: round(weight, _SHARE_DIGITS) for region, weight in weights.items()}
 
 
 def sizes(configuration: Configuration) -> dict[str, int]:
-    """Return how much there is of everything in a configuration."""
+    """Return the number of regions, halls, services, servers and links of a configuration."""
     return {
         "regions": len(configuration.region),
         "halls": len(configuration.hall),
--- a/sprucewinch/operators/story.py
+++ b/sprucewinch/operators/story.py
@@ -1,7 +1,9 @@
-"""Tells what became of one request, from the structured lines of the VMs' logs alone.
+"""Reconstructs what happened to one request from the structured lines of the VMs' logs.
 
-Pipes and filters over lines: parse, find the request, gather what happened around it on the same
-VM and to the servers that it touched, and tell it in order of time.
+Owns the words for each outcome and which lines belong to a request. Pipes and filters over lines:
+parse, find the request, keep what happened around it on the same VM and to the servers that it
+touched, and describe it in order of time. Relies on the event and field names of the routed path's
+log, which `tests.test_formats_lines` holds; reads files whole.
 """
 
 from collections.abc import Iterable, Iterator
@@ -13,7 +15,8 @@
 from ..errors import LogError
 
 NEAR_S = 5.0
-"""How long before a request's last line related lines are looked for, in seconds."""
+"""How long before a request's last line related lines are looked for, in seconds. A guess, never
+measured."""
 
 _MEANING = {
     "answered": "a backend server's own answer was passed on",
@@ -36,23 +39,23 @@
     """One structured line.
 
     Args:
-        VM: What stood before it, such as the name of the VM; empty when nothing did.
+        vm: The word before it, such as the name of the VM; empty when there is none.
         time: Time of day at the VM, in seconds.
-        event: What it tells of.
+        event: Name of the event.
         fields: All its fields.
     """
 
-    machine: str
+    vm: str
     time: float
     event: str
     fields: dict[str, Any]
 
 
 class Story(NamedTuple):
-    """What became of a request.
+    """What happened to a request.
 
     Args:
-        request_id: Its id.
+        request_id: Id of the request.
         meaning: What its outcome means.
         lines: One text for each thing that happened, in order of time.
     """
@@ -63,7 +66,7 @@
 
 
 def parse(lines: Iterable[str]) -> Iterator[Line]:
-    """Return the structured lines among others; what is none is passed over.
+    """Yield the structured lines among others.
 
     Args:
         lines: Lines of one or more logs, each with or without a prefix such as the VM's name.
@@ -76,13 +79,14 @@
             fields = msgspec.json.decode(brace + rest, type=dict[str, Any])
             time, event = float(fields["time"]), str(fields["event"])
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError):
+            # Logs hold lines of other programs and broken ones; none of them belongs to a request.
             continue
         words = prefix.split()
         yield Line(words[-1] if words else "", time, event, fields)
 
 
 def tell(lines: Iterable[Line], request_id: str) -> Story:
-    """Tell the story of a request.
+    """Return the story of a request.
 
     Args:
         lines: Parsed lines, in any order.
@@ -100,7 +104,7 @@
 
 
 def read(paths: Iterable[str], request_id: str) -> Story:
-    """Tell the story of a request from log files.
+    """Return the story of a request from log files.
 
     Args:
         paths: The files.
@@ -126,7 +130,7 @@
         if line.event == "request" and str(line.fields.get("id", "")).startswith(request_id)
     }
     if not request_id or not found:
-        remedy = "look in the logs of all machines; `lines_dropped` counts lines that are missing"
+        remedy = "look in the logs of all VMs; `lines_dropped` counts lines that are missing"
         raise LogError(f"no line tells of request {request_id!r}", remedy)
     if len(found) > 1 and request_id not in found:
         raise LogError(f"{len(found)} requests begin with {request_id!r}", "give the whole id")
@@ -134,7 +138,7 @@
 
 
 def _servers(request: Line) -> set[str]:
-    """Return the backend servers that a request touched or was kept from."""
+    """Return the backend servers that a request was sent to, or that had no room for it."""
     servers = {str(send[0]) for send in request.fields.get("sends", [])}
     blocked = request.fields.get("blocked") or {}
     return servers | {str(blocked.get("server_id", ""))} - {""}
@@ -147,7 +151,7 @@
         return False
     if line.fields.get("id") == request.fields["id"]:
         return True
-    if line.machine != request.machine:
+    if line.vm != request.vm:
         return False
     if line.event in _STATES:
         return True
--- a/sprucewinch/operators/writer.py
+++ b/sprucewinch/operators/writer.py
@@ -1,4 +1,19 @@
-"""Safe writing of changes: compare-and-swap, with the audit record in the same write."""
+"""Safe writing of changes: compare-and-swap, with the audit record in the same write.
+
+Question: did this change take effect, did it not, or can nobody say yet?
+
+Owns the key of the configuration on the platform and the audit trail. A change is made on top of
+the document that the platform holds, with its audit record in the same write, so that a lost answer
+is resolved by reading back: the record is there, or the change did not happen. A write that meets a
+newer document starts again from that one; a whole configuration is refused instead, since it
+would undo another operator's change. Relies on the platform's compare-and-swap alone.
+
+Why: a write whose answer is lost may have taken effect, and two operators may write at once. A
+platform that shows less than is in force has lost writes, so nothing is built on it.
+
+Shows in: the audit trail, and `ConflictError`, `StaleStoreError` or `WriteUnknownError` at the
+operator. Tests: `tests.test_changes`.
+"""
 
 import enum
 import uuid
@@ -22,11 +37,22 @@
 from .changes import Change
 
 MAX_RECORDS = 200
-"""Most audit records kept in the document itself."""
+"""Most audit records kept in the document itself. A guess, never measured."""
 
 _ARCHIVED = 100
+"""Records moved to a key of their own at once: half of `MAX_RECORDS`, so that one write in a
+hundred costs two. A guess, never measured."""
+
 _TRIES = 5
+"""Writes of one change, each on top of a newer document, before the operator has to decide. A
+guess, never measured."""
+
 _MAX_VALUE = 1_000_000
+"""Largest document, in bytes: the brief's platform holds values up to a megabyte."""
+
+_SHOWN_CHANGES = 5
+"""Newest changes named in a conflict, so that the message stays on one line. A guess, never
+measured."""
 
 
 class Accepted(NamedTuple):
@@ -41,8 +67,26 @@
     operation: str
 
 
+class _Call(NamedTuple):
+    """One operator's call on its way to the platform.
+
+    Args:
+        change: The change.
+        operator: Who makes it.
+        operation: Identifier of the change.
+        base: Revision that the operator saw.
+        in_force: Highest revision known to be in force.
+    """
+
+    change: Change
+    operator: str
+    operation: str
+    base: Optional[int]
+    in_force: int
+
+
 class _Result(enum.Enum):
-    """What became of one write."""
+    """Result of one write; `UNKNOWN` when its answer is lost."""
 
     WRITTEN = "written"
     OVERTAKEN = "overtaken"
@@ -92,25 +136,35 @@
                 may or may not have been made; names the operation.
         """
         operation = self.new_operation()
+        return await self._write(_Call(change, operator, operation, base, in_force))
+
+    async def _write(self, call: _Call) -> Accepted:
         sent = False
         for _ in range(_TRIES):
-            entry = await self._read(operation, sent)
+            entry = await self._read(call.operation, sent)
             held = _held(entry)
-            if _made(held, operation):
-                return Accepted(held, operation)
-            self._check_base(change, held, base, in_force)
-            document = self._next(change, held, operator, operation)
+            if _made(held, call.operation):
+                return Accepted(held, call.operation)
+            document = self._next(call, held)
             result = await self._put(document, entry.version if entry else 0)
-            if result is _Result.UNKNOWN:
-                sent = True
-            elif result is _Result.WRITTEN:
-                return Accepted(document, operation)
+            if result is _Result.WRITTEN:
+                return Accepted(document, call.operation)
+            sent = sent or result is _Result.UNKNOWN
         if sent:
-            raise _unknown(operation)
-        raise ConflictError("other changes kept coming in between", "try again")
+            raise _unknown(call.operation)
+        raise ConflictError("other changes came first each time", "try again")
 
     async def restore(self, in_force: Document, operator: str) -> Accepted:
-        """Write the document in force over an older one that the platform shows."""
+        """Write the document in force over an older one that the platform shows.
+
+        Args:
+            in_force: The document in force.
+            operator: Who restores it.
+
+        Raises:
+            ConflictError: When the platform shows nothing older, or its value changes meanwhile.
+            PlatformError: When the platform does not answer.
+        """
         operation = self.new_operation()
         entry = await self.platform.get(CONFIGURATION_KEY)
         held = _held(entry)
@@ -137,31 +191,11 @@
                 raise _unknown(operation) from None
             raise
 
-    def _check_base(
-        self, change: Change, held: Document, base: Optional[int], in_force: int
-    ) -> None:
-        if held.revision < in_force:
-            raise StaleStoreError(
-                f"the platform shows revision {held.revision}, but {in_force} is in force",
-                "write it back with: sprucewinch config restore",
-            )
-        if not change.replaces_all or held.revision == 0:
-            return
-        if base is None:
-            raise ConflictError(
-                "a whole configuration needs the revision it was edited from",
-                f"give --base; the newest is {held.revision}",
-            )
-        if base != held.revision:
-            raise ConflictError(
-                f"revision {base} was edited, but {held.revision} is the newest: "
-                + since(held, base),
-                "show the newest configuration, make your change again and apply it",
-            )
-
-    def _next(self, change: Change, held: Document, operator: str, operation: str) -> Document:
+    def _next(self, call: _Call, held: Document) -> Document:
+        _check_base(call, held)
+        change = call.change
         changed = change.apply(held)
-        record = self._record(held, operator, operation, change.action, change.detail())
+        record = self._record(held, call.operator, call.operation, change.action, change.detail())
         return msgspec.structs.replace(
             changed, revision=held.revision + 1, audit=(*held.audit, record)
         )
@@ -184,6 +218,7 @@
                 )
             result = await self.platform.put(CONFIGURATION_KEY, value, expected)
         except WriteUnknownError:
+            # A result, no error yet: the next try reads back whether the write took effect.
             return _Result.UNKNOWN
         return _Result.OVERTAKEN if isinstance(result, Mismatch) else _Result.WRITTEN
 
@@ -205,6 +240,28 @@
     return decode_document(entry.value) if entry else EMPTY
 
 
+def _check_base(call: _Call, held: Document) -> None:
+    """Refuse to build on a document that is not the newest, or not the one that was edited."""
+    if held.revision < call.in_force:
+        raise StaleStoreError(
+            f"the platform shows revision {held.revision}, but {call.in_force} is in force",
+            "write it back with: sprucewinch config restore",
+        )
+    if not call.change.replaces_all or held.revision == 0:
+        return
+    if call.base is None:
+        raise ConflictError(
+            "a whole configuration needs the revision it was edited from",
+            f"give --base; the newest is {held.revision}",
+        )
+    if call.base != held.revision:
+        raise ConflictError(
+            f"revision {call.base} was edited, but {held.revision} is the newest: "
+            + since(held, call.base),
+            "show the newest configuration, make your change again and apply it",
+        )
+
+
 def _made(held: Document, operation: str) -> bool:
     return any(record.operation == operation for record in held.audit)
 
@@ -217,6 +274,7 @@
 
 
 def since(document: Document, revision: int) -> str:
-    """Return the changes after a revision, on one line."""
+    """Return the newest changes after a revision, on one line."""
     newer = [r for r in document.audit if r.revision > revision]
-    return "; ".join(f"{r.revision} {r.operator} {r.action} {r.detail}" for r in newer[-5:])
+    shown = newer[-_SHOWN_CHANGES:]
+    return "; ".join(f"{r.revision} {r.operator} {r.action} {r.detail}" for r in shown)
