--- a/sprucewinch/cli.py
+++ b/sprucewinch/cli.py
@@ -21,7 +21,7 @@
 from .operators._tables import Printer
 from .operators.client import OperatorClient, read_state
 from .operators.report import sizes
-from .operators.story import read as read_story
+from .operators.story import read_story
 from .steering.policy import check_program
 
 
--- a/sprucewinch/operators/story.py
+++ b/sprucewinch/operators/story.py
@@ -18,7 +18,7 @@
 """How long before a request's last line related lines are looked for, in seconds. A guess, never
 measured."""
 
-_MEANING = {
+_MEANINGS = {
     "answered": "a backend server's own answer was passed on",
     "no-room": "not run: its server had no room, and it was not sent",
     "no-server": "not run: no server of its service could be used",
@@ -31,8 +31,13 @@
     "failed": "the last server gave no whole answer; it may have run",
     "left": "its caller left before there was an answer",
 }
-_SEND_WORDS = {"answered": "answered", "not-run": "did not run it", "unknown": "may have run it"}
-_STATES = frozenset(("store", "follows", "configuration", "start", "stopping", "stop", "reload"))
+"""What each outcome of a request means; programs read these words with --json."""
+
+_ATTEMPT_WORDS = {"answered": "answered", "not-run": "did not run it", "unknown": "may have run it"}
+"""What a backend server did with an attempt, by its verdict."""
+
+_VM_EVENTS = frozenset(("store", "follows", "configuration", "start", "stopping", "stop", "reload"))
+"""Events of a whole VM, which belong to every request that it handles then."""
 
 
 class Line(NamedTuple):
@@ -85,7 +90,7 @@
         yield Line(words[-1] if words else "", time, event, fields)
 
 
-def tell(lines: Iterable[Line], request_id: str) -> Story:
+def reconstruct(lines: Iterable[Line], request_id: str) -> Story:
     """Return the story of a request.
 
     Args:
@@ -100,10 +105,10 @@
     servers = _servers(request)
     texts = [_text(line, request.time) for line in held if _belongs(line, request, servers)]
     outcome = str(request.fields.get("outcome", ""))
-    return Story(str(request.fields["id"]), _MEANING.get(outcome, outcome), tuple(texts))
+    return Story(str(request.fields["id"]), _MEANINGS.get(outcome, outcome), tuple(texts))
 
 
-def read(paths: Iterable[str], request_id: str) -> Story:
+def read_story(paths: Iterable[str], request_id: str) -> Story:
     """Return the story of a request from log files.
 
     Args:
@@ -120,7 +125,7 @@
                 lines += parse(file)
         except OSError as error:
             raise LogError(f"{path}: {error.strerror}", "give the path of a log") from None
-    return tell(lines, request_id)
+    return reconstruct(lines, request_id)
 
 
 def _find(lines: list[Line], request_id: str) -> Line:
@@ -153,7 +158,7 @@
         return True
     if line.vm != request.vm:
         return False
-    if line.event in _STATES:
+    if line.event in _VM_EVENTS:
         return True
     key = str(line.fields.get("key", ""))
     return line.fields.get("server") in servers or key.rpartition("/")[2] in servers
@@ -173,7 +178,7 @@
     parts.append(f"after {fields.get('ms')} ms")
     parts.append(f"route {fields.get('route') or 'none'}, version {fields.get('version')}")
     for server, verdict, why, ms in fields.get("sends", []):
-        parts.append(f"{server} {_SEND_WORDS.get(verdict, verdict)} ({why}, {ms} ms)")
+        parts.append(f"{server} {_ATTEMPT_WORDS.get(verdict, verdict)} ({why}, {ms} ms)")
     blocked = _blocked_text(fields.get("blocked"))
     return "; ".join([*parts, *blocked])
 
--- a/sprucewinch/operators/writer.py
+++ b/sprucewinch/operators/writer.py
@@ -4,9 +4,10 @@
 
 Owns the key of the configuration on the platform and the audit trail. A change is made on top of
 the document that the platform holds, with its audit record in the same write, so that a lost answer
-is resolved by reading back: the record is there, or the change did not happen. A write that meets a
-newer document starts again from that one; a whole configuration is refused instead, since it
-would undo another operator's change. Relies on the platform's compare-and-swap alone.
+is resolved by reading back: the record is there, or the change is written again over the same
+version, which only one of the two writes can win. A write that meets a newer document starts again
+from that one; a whole configuration is refused instead, since it would undo another operator's
+change. Relies on the platform's compare-and-swap alone.
 
 Why: a write whose answer is lost may have taken effect, and two operators may write at once. A
 platform that shows less than is in force has lost writes, so nothing is built on it.
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -12,7 +12,7 @@
 
 from sprucewinch.cli import Sprucewinch
 from sprucewinch.errors import LogError
-from sprucewinch.operators.story import parse, read, tell
+from sprucewinch.operators.story import parse, read_story, reconstruct
 
 
 def _line(time: float, event: str, machine: str = "vm1", **fields: object) -> str:
@@ -64,7 +64,7 @@
 
 class Stories(unittest.TestCase):
     def test_a_failed_request_with_what_happened_to_its_server_before(self) -> None:
-        story = tell(parse(LOG), "abc1")
+        story = reconstruct(parse(LOG), "abc1")
         self.assertIn("may have run", story.meaning)
         self.assertEqual(
             [text.partition(": ")[2].split()[0] for text in story.lines[:-1]],
@@ -74,12 +74,12 @@
         self.assertIn("s1 may have run it (the connection ended, 800.1 ms)", story.lines[-1])
 
     def test_a_refused_request_with_what_kept_it_back(self) -> None:
-        story = tell(parse(LOG), "abc2")
+        story = reconstruct(parse(LOG), "abc2")
         self.assertIn("not run", story.meaning)
         self.assertIn("s2 had 2 of this machine's requests (2.2 allowed)", story.lines[-1])
 
     def test_lines_of_other_machines_and_servers_do_not_belong_to_it(self) -> None:
-        text = "\n".join(tell(parse(LOG), "abc1").lines)
+        text = "\n".join(reconstruct(parse(LOG), "abc1").lines)
         self.assertNotIn("s7", text)
         self.assertNotIn("abc2", text)
         self.assertNotIn("stopping", text)
@@ -87,19 +87,21 @@
     def test_an_id_that_is_not_there_or_not_whole_is_told_of(self) -> None:
         for request_id, words in (("zzz", "no line"), ("abc", "2 requests"), ("", "no line")):
             with self.subTest(request_id=request_id), self.assertRaises(LogError) as caught:
-                tell(parse(LOG), request_id)
+                reconstruct(parse(LOG), request_id)
             self.assertIn(words, str(caught.exception))
 
     def test_the_start_of_an_id_is_enough_when_it_is_the_only_one(self) -> None:
-        self.assertEqual(tell(parse(LOG), "oth").request_id, "other")
+        self.assertEqual(reconstruct(parse(LOG), "oth").request_id, "other")
 
     @given(st.permutations(LOG))
     def test_the_order_of_the_lines_does_not_matter(self, lines: list[str]) -> None:
-        self.assertEqual(tell(parse(lines), "abc1"), tell(parse(LOG), "abc1"))
+        self.assertEqual(reconstruct(parse(lines), "abc1"), reconstruct(parse(LOG), "abc1"))
 
     @given(st.lists(st.text(), max_size=6))
     def test_whatever_stands_between_is_passed_over(self, noise: list[str]) -> None:
-        self.assertEqual(tell(parse([*noise, *LOG]), "abc2"), tell(parse(LOG), "abc2"))
+        self.assertEqual(
+            reconstruct(parse([*noise, *LOG]), "abc2"), reconstruct(parse(LOG), "abc2")
+        )
 
 
 class Files(unittest.TestCase):
@@ -119,5 +121,5 @@
 
     def test_a_file_that_is_not_there_is_named(self) -> None:
         with self.assertRaises(LogError) as caught:
-            read([str(self.path) + ".not"], "abc1")
+            read_story([str(self.path) + ".not"], "abc1")
         self.assertIn("give the path", str(caught.exception))
