--- a/sprucewinch/steering/policy.py
+++ b/sprucewinch/steering/policy.py
@@ -16,6 +16,13 @@
 
 Constants: `STEP_LIMIT`, and the figures of the trial snapshots; guesses, never measured.
 
+Figures inside the shipped programs (`policies/`) are choices that operators may copy and edit.
+`capacity` keeps no more callers at home than home's part of all slots: with a third more, the
+poorest region's callers met 0.62 where others met 0.78 to 0.87 (commit cceef51, which names no
+unit). Its 0.7 of that part, above which a region takes callers of others, and the figures of the
+other programs are guesses, never measured. They are explained here and not beside the code, since
+`gateway.regions.policies` searches a program's text, comments included, for names of measures.
+
 Shows in: `event=policy-fault` of the log, `fault` of `sprucewinch explain` and `compare`, and the
 notes `policy-fault:...` in `/state` of the routed path.
 
