--- a/sprucewinch/operators/story.py
+++ b/sprucewinch/operators/story.py
@@ -1,7 +1,9 @@
-"""Tells what became of one request, from the structured lines of the VMs' logs alone.
+"""Reconstructs what happened to one request from the structured lines of the VMs' logs.
 
-Pipes and filters over lines: parse, find the request, gather what happened around it on the same
-VM and to the servers that it touched, and tell it in order of time.
+Owns the words for each outcome and which lines belong to a request. Pipes and filters over lines:
+parse, find the request, keep what happened around it on the same VM and to the servers that it
+touched, and describe it in order of time. Relies on the event and field names of the routed path's
+log, which `tests.test_formats_lines` holds; reads files whole.
 """
 
 from collections.abc import Iterable, Iterator
@@ -13,9 +15,10 @@
 from ..errors import LogError
 
 NEAR_S = 5.0
-"""How long before a request's last line related lines are looked for, in seconds."""
+"""How long before a request's last line related lines are looked for, in seconds. A guess, never
+measured."""
 
-_MEANING = {
+_MEANINGS = {
     "answered": "a backend server's own answer was passed on",
     "no-room": "not run: its server had no room, and it was not sent",
     "no-server": "not run: no server of its service could be used",
@@ -28,31 +31,36 @@
     "failed": "the last server gave no whole answer; it may have run",
     "left": "its caller left before there was an answer",
 }
-_SEND_WORDS = {"answered": "answered", "not-run": "did not run it", "unknown": "may have run it"}
-_STATES = frozenset(("store", "follows", "configuration", "start", "stopping", "stop", "reload"))
+"""What each outcome of a request means; programs read these words with --json."""
+
+_ATTEMPT_WORDS = {"answered": "answered", "not-run": "did not run it", "unknown": "may have run it"}
+"""What a backend server did with an attempt, by its verdict."""
+
+_VM_EVENTS = frozenset(("store", "follows", "configuration", "start", "stopping", "stop", "reload"))
+"""Events of a whole VM, which belong to every request that it handles then."""
 
 
 class Line(NamedTuple):
     """One structured line.
 
     Args:
-        VM: What stood before it, such as the name of the VM; empty when nothing did.
+        vm: The word before it, such as the name of the VM; empty when there is none.
         time: Time of day at the VM, in seconds.
-        event: What it tells of.
+        event: Name of the event.
         fields: All its fields.
     """
 
-    machine: str
+    vm: str
     time: float
     event: str
     fields: dict[str, Any]
 
 
 class Story(NamedTuple):
-    """What became of a request.
+    """What happened to a request.
 
     Args:
-        request_id: Its id.
+        request_id: Id of the request.
         meaning: What its outcome means.
         lines: One text for each thing that happened, in order of time.
     """
@@ -63,7 +71,7 @@
 
 
 def parse(lines: Iterable[str]) -> Iterator[Line]:
-    """Return the structured lines among others; what is none is passed over.
+    """Yield the structured lines among others.
 
     Args:
         lines: Lines of one or more logs, each with or without a prefix such as the VM's name.
@@ -76,13 +84,14 @@
             fields = msgspec.json.decode(brace + rest, type=dict[str, Any])
             time, event = float(fields["time"]), str(fields["event"])
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError):
+            # Logs hold lines of other programs and broken ones; none of them belongs to a request.
             continue
         words = prefix.split()
         yield Line(words[-1] if words else "", time, event, fields)
 
 
-def tell(lines: Iterable[Line], request_id: str) -> Story:
-    """Tell the story of a request.
+def reconstruct(lines: Iterable[Line], request_id: str) -> Story:
+    """Return the story of a request.
 
     Args:
         lines: Parsed lines, in any order.
@@ -96,11 +105,11 @@
     servers = _servers(request)
     texts = [_text(line, request.time) for line in held if _belongs(line, request, servers)]
     outcome = str(request.fields.get("outcome", ""))
-    return Story(str(request.fields["id"]), _MEANING.get(outcome, outcome), tuple(texts))
+    return Story(str(request.fields["id"]), _MEANINGS.get(outcome, outcome), tuple(texts))
 
 
-def read(paths: Iterable[str], request_id: str) -> Story:
-    """Tell the story of a request from log files.
+def read_story(paths: Iterable[str], request_id: str) -> Story:
+    """Return the story of a request from log files.
 
     Args:
         paths: The files.
@@ -116,7 +125,7 @@
                 lines += parse(file)
         except OSError as error:
             raise LogError(f"{path}: {error.strerror}", "give the path of a log") from None
-    return tell(lines, request_id)
+    return reconstruct(lines, request_id)
 
 
 def _find(lines: list[Line], request_id: str) -> Line:
@@ -126,7 +135,7 @@
         if line.event == "request" and str(line.fields.get("id", "")).startswith(request_id)
     }
     if not request_id or not found:
-        remedy = "look in the logs of all machines; `lines_dropped` counts lines that are missing"
+        remedy = "look in the logs of all VMs; `lines_dropped` counts lines that are missing"
         raise LogError(f"no line tells of request {request_id!r}", remedy)
     if len(found) > 1 and request_id not in found:
         raise LogError(f"{len(found)} requests begin with {request_id!r}", "give the whole id")
@@ -134,7 +143,7 @@
 
 
 def _servers(request: Line) -> set[str]:
-    """Return the backend servers that a request touched or was kept from."""
+    """Return the backend servers that a request was sent to, or that had no room for it."""
     servers = {str(send[0]) for send in request.fields.get("sends", [])}
     blocked = request.fields.get("blocked") or {}
     return servers | {str(blocked.get("server_id", ""))} - {""}
@@ -147,9 +156,9 @@
         return False
     if line.fields.get("id") == request.fields["id"]:
         return True
-    if line.machine != request.machine:
+    if line.vm != request.vm:
         return False
-    if line.event in _STATES:
+    if line.event in _VM_EVENTS:
         return True
     key = str(line.fields.get("key", ""))
     return line.fields.get("server") in servers or key.rpartition("/")[2] in servers
@@ -169,7 +178,7 @@
     parts.append(f"after {fields.get('ms')} ms")
     parts.append(f"route {fields.get('route') or 'none'}, version {fields.get('version')}")
     for server, verdict, why, ms in fields.get("sends", []):
-        parts.append(f"{server} {_SEND_WORDS.get(verdict, verdict)} ({why}, {ms} ms)")
+        parts.append(f"{server} {_ATTEMPT_WORDS.get(verdict, verdict)} ({why}, {ms} ms)")
     blocked = _blocked_text(fields.get("blocked"))
     return "; ".join([*parts, *blocked])
 
--- a/tools/small.py
+++ b/tools/small.py
@@ -7,7 +7,8 @@
 from collections.abc import Sequence
 from typing import Any
 
-from sprucewinch.config.configuration import Configuration, parse_configuration
+from sprucewinch.config.configuration import Configuration
+from sprucewinch.config.loading import parse_configuration
 from tools.fleet import free_ports
 
 _SERVICES = ("rates", "booking")
