--- a/sprucewinch/hall/metrics.py
+++ b/sprucewinch/hall/metrics.py
@@ -1,4 +1,8 @@
-"""Measures of what happened: counters, and histograms of latency, headroom and drain time."""
+"""Metrics of one daemon: counters, and histograms of latency and headroom.
+
+Owns every counter that the operators' port reports and bounds the size of each table. Relies on
+`hdrh` for histograms; callers pass durations, so nothing here reads a clock.
+"""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -7,21 +11,49 @@
 from hdrh.histogram import HdrHistogram
 
 _LOWEST = 1
+"""Lowest value of a histogram, in microseconds or thousandths; HDR histograms start at 1."""
+
 _HIGHEST_US = 3_600_000_000
+"""Highest latency that a histogram holds, in microseconds: an hour. A guess, never measured."""
+
 _DIGITS = 2
+"""Significant decimal digits that a histogram keeps, so that a value is off by at most 1%. A guess
+at what readers of a quantile need, never measured."""
+
 _QUANTILES = (50.0, 99.0, 99.9)
+"""Quantiles in a report, in percent: those usual for service levels, not chosen by measurement."""
+
 _MAX_REFUSALS = 5000
+"""Most pairs of label and reason that are counted; beyond it the oldest is dropped. Commit 0fe265c
+bounds the table; the figure itself is a guess, never measured."""
+
 _MAX_LABELS = 200
-"""Most labels with histograms; beyond it the oldest is dropped."""
+"""Most labels with histograms; beyond it the oldest is dropped. Commit 0fe265c bounds the table,
+which grew with each change before; the figure itself is a guess, never measured."""
+
+SMOOTHING_S = 3.0
+"""Time constant of a smoothed rate, in seconds. A guess, never measured."""
+
+_US_PER_S = 1e6
+"""Microseconds in a second."""
+
+_US_PER_MS = 1000.0
+"""Microseconds in a millisecond."""
+
+_HEADROOM_SCALE = 1000
+"""Headroom is kept in thousandths, since histograms hold whole numbers: one step is 0.1%."""
+
+_DRAIN_DIGITS = 3
+"""Decimal digits of a drain's seconds in a report: milliseconds."""
 
 
 class Label(NamedTuple):
-    """What a measure is kept for.
+    """The label of a metric.
 
     Args:
         service: Service.
         hall: Data hall that ran the request.
-        policy: Policy in force, with a digest of its program.
+        policy: Policy in force, with a digest of its program; `none` for an unknown service.
     """
 
     service: str
@@ -30,7 +62,7 @@
 
 
 class RateMeter:
-    """Requests a second, smoothed over some seconds.
+    """An exponentially smoothed rate, in requests a second.
 
     Args:
         smooth_s: Time constant, in seconds.
@@ -38,13 +70,17 @@
 
     __slots__ = ("count", "per_s", "smooth_s")
 
-    def __init__(self, *, smooth_s: float = 3.0) -> None:
+    def __init__(self, *, smooth_s: float = SMOOTHING_S) -> None:
         self.smooth_s = smooth_s
         self.count = 0
         self.per_s = 0.0
 
     def tick(self, elapsed_s: float) -> None:
-        """Fold in what was counted since the last tick."""
+        """Add the count since the last tick to the rate, and start a new count.
+
+        Args:
+            elapsed_s: Time since the last tick, in seconds; nothing happens unless it is above 0.
+        """
         if elapsed_s <= 0:
             return
         weight = min(1.0, elapsed_s / self.smooth_s)
@@ -53,7 +89,10 @@
 
 
 class Metrics:
-    """All measures of one daemon."""
+    """All metrics of one daemon.
+
+    `counters` is open to every part of the daemon; the other tables are filled by the methods.
+    """
 
     def __init__(self) -> None:
         self.counters: Counter[str] = Counter()
@@ -63,9 +102,9 @@
         self.drains: dict[str, float] = {}
 
     def answered(self, label: Label, seconds: float) -> None:
-        """Record a complete answer and how long it took, in seconds."""
+        """Record a complete answer and its latency, in seconds."""
         self.counters["answered"] += 1
-        _of(self.latency, label).record_value(max(_LOWEST, int(seconds * 1e6)))
+        _of(self.latency, label).record_value(max(_LOWEST, int(seconds * _US_PER_S)))
 
     def refused(self, label: Label, reason: str) -> None:
         """Count a refusal."""
@@ -75,14 +114,14 @@
 
     def room(self, label: Label, headroom: float) -> None:
         """Record the free part of the usable slots, in `[0, 1]`."""
-        _of(self.headroom, label).record_value(max(_LOWEST, int(headroom * 1000)))
+        _of(self.headroom, label).record_value(max(_LOWEST, int(headroom * _HEADROOM_SCALE)))
 
     def drained(self, thing: str, seconds: float) -> None:
-        """Record how long a drain took, from the change to the last request, in seconds."""
+        """Record the duration of a drain, from the change to the last request, in seconds."""
         self.drains[thing] = seconds
 
     def report(self) -> dict[str, Any]:
-        """Return all measures as plain values; latency in milliseconds."""
+        """Return all metrics as plain values; latency in milliseconds, drains in seconds."""
         return {
             "counters": dict(self.counters),
             "refusals": [
@@ -90,15 +129,15 @@
                 for (label, reason), count in sorted(self.refusals.items())
             ],
             "latency_ms": [
-                {**label._asdict(), **_quantiles(histogram, 1000.0)}
+                {**label._asdict(), **_quantiles(histogram, _US_PER_MS)}
                 for label, histogram in sorted(self.latency.items())
             ],
             "headroom": [
-                {**label._asdict(), "least": histogram.get_min_value() / 1000.0}
+                {**label._asdict(), "least": histogram.get_min_value() / _HEADROOM_SCALE}
                 for label, histogram in sorted(self.headroom.items())
             ],
             "drains": [
-                {"thing": thing, "seconds": round(seconds, 3)}
+                {"thing": thing, "seconds": round(seconds, _DRAIN_DIGITS)}
                 for thing, seconds in sorted(self.drains.items())
             ],
         }
--- a/sprucewinch/hall/slots.py
+++ b/sprucewinch/hall/slots.py
@@ -1,9 +1,22 @@
-"""Division of a data hall's backend server slots among the hall's entry VMs.
+"""The rule of slots: how many requests may this VM run on each backend server of its data hall?
 
-Each slot of each backend server belongs to one entry VM of the hall, by a rule that every VM
-works out from the list of the hall's VMs. A VM gives up a slot as soon as its own list says so.
-It takes a slot only when every listed VM has confirmed the same list, and when no VM that might
-still believe in an older list was dropped within the last `hold_s`.
+Owns the slots that this VM holds; relies on the caller for the list of the hall's VMs (names), the
+pools (slots a server) and the time (monotonic seconds), and does no I/O.
+
+The rule: each slot of each server has one owner, which every VM computes from the list of the
+hall's VMs: the members, in the order of a hash of server and member, take slots in turn. A VM
+gives up a slot in the same round in which its own list names another owner. It takes a slot only
+once every listed VM has confirmed the same list and `HOLD_S` has passed since a VM that did not
+announce its end was dropped. A list that is older than `TRUST_S` gives no slots at all, so a
+process that was paused holds nothing when it goes on.
+
+Why this way: leases in the store for each VM are 930 writes a second at 2,800 VMs, of 400 that the
+store bears; and without a division the servers' own refusals would be the usual way to find their
+limit (docs/DESIGN.md, "Slots"). Not covered: a partition inside a hall in which both sides take the
+other for gone; there only the servers' own refusals bound the load (docs/PROMISES.md).
+
+Constants: `HOLD_S`, `TRUST_S`. The result shows as `capacity` in a VM's loads, and a request that
+finds no slot is refused as `no-room`. Tests: `tests.test_slots`.
 """
 
 import math
@@ -11,9 +24,18 @@
 from .._hash import hash64
 from ..config.configuration import Pool
 
+HOLD_S = 5.0
+"""Time for which slots of a dropped VM are left alone, in seconds: the 3 s of silence after which
+the other side drops this VM too (`peers.membership.SILENT_S`), plus `TRUST_S`, plus 0.5 s. The
+margin of 0.5 s is one round of `loops.TICK_S`; whether it suffices is a guess, never measured."""
+
+TRUST_S = 1.5
+"""Time for which a list of VMs counts without being renewed, in seconds: three rounds of
+`loops.TICK_S`. That three are enough on a busy host is a guess, never measured."""
+
 
 def slot_owner(server: str, index: int, members: tuple[str, ...]) -> str:
-    """Return which member owns one slot of a backend server.
+    """Return the member that owns one slot of a backend server.
 
     Args:
         server: Address of the backend server.
@@ -21,7 +43,8 @@
         members: Members of the hall; not empty.
 
     Returns:
-        A member. For each server the slots go round the members, so shares differ by one at most.
+        A member. The slots of one server are dealt out in turn, so that the members' counts differ
+        by at most one.
     """
     order = sorted(members, key=lambda member: hash64(f"{server}|{member}"))
     return order[index % len(order)]
@@ -37,13 +60,12 @@
 
     Args:
         me: This member.
-        hold_s: How long slots that a dropped member may still use are left alone, in seconds.
-            Longer than the time after which a silent member is dropped plus `trust_s`.
-        trust_s: How long the list is trusted without being renewed, in seconds. A process that
-            was paused for longer holds no slots when it goes on.
+        hold_s: Time for which slots that a dropped member may still use are left alone, in
+            seconds. Must be longer than the silence after which a member is dropped plus `trust_s`.
+        trust_s: Time for which the list counts without being renewed, in seconds.
     """
 
-    def __init__(self, me: str, *, hold_s: float = 5.0, trust_s: float = 1.5) -> None:
+    def __init__(self, me: str, *, hold_s: float = HOLD_S, trust_s: float = TRUST_S) -> None:
         self.me = me
         self.hold_s = hold_s
         self.trust_s = trust_s
@@ -62,14 +84,14 @@
         confirmed: bool,
         finished: frozenset[str] = frozenset(),
     ) -> None:
-        """Take over the present list of members and pools.
+        """Apply the current list of members and pools.
 
         Args:
             members: Members of the hall that hold slots.
             pools: Pools of the hall.
             now: Monotonic time, in seconds.
-            confirmed: True when every other member says that it has the same list.
-            finished: Members that said themselves that they hold no slots any more.
+            confirmed: True when every other member reports the same list.
+            finished: Members that reported that they hold no slots any more.
         """
         members = tuple(sorted(members))
         self._forget_when_paused(now)
@@ -109,13 +131,7 @@
         self._held = self._owned()
 
     def usable(self, server: str, now: float) -> int:
-        """Return how many slots of a backend server may be used now."""
+        """Return the number of slots of a backend server that may be used now."""
         if now - self._renewed_at > self.trust_s:
             return 0
         return sum(self._held.get(server, ()))
-
-    def total(self, now: float) -> int:
-        """Return how many slots of all backend servers may be used now."""
-        if now - self._renewed_at > self.trust_s:
-            return 0
-        return sum(sum(held) for held in self._held.values())
--- a/sprucewinch/hall/store/documents.py
+++ b/sprucewinch/hall/store/documents.py
@@ -1,4 +1,8 @@
-"""Versioned documents that entry VMs hand on to each other; only a higher revision counts."""
+"""Versioned documents that entry VMs pass on to each other; only a higher revision counts.
+
+Owns the newest revision of each document that this VM has accepted, and the names of the store's
+keys. Relies on the caller to check and apply a document before it replaces an older one.
+"""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple, Optional
@@ -9,7 +13,11 @@
 """Start of the keys that every entry VM holds."""
 
 CONFIGURATION_KEY = "steer/configuration"
+"""Key of the configuration in force."""
+
 PLAN_PREFIX = "steer/plan/"
+"""Start of the keys of plans; the client region's name follows."""
+
 AUDIT_PREFIX = "audit/"
 """Start of the keys under which older parts of the audit trail are kept."""
 
@@ -31,6 +39,7 @@
     try:
         return Revisioned(key, msgspec.json.decode(value, type=_Envelope).revision, value)
     except msgspec.MsgspecError:
+        # None is the typed result: `PlatformReader.take` logs the key as `event=unreadable`.
         return None
 
 
@@ -50,10 +59,10 @@
         self.documents: dict[str, Revisioned] = {}
 
     def offer(self, document: Revisioned) -> bool:
-        """Take over a document when it is newer and usable.
+        """Accept a document when it is newer and usable.
 
         Returns:
-            True when it was taken over.
+            True when the document replaces the one held.
         """
         if document.revision <= self.revision(document.key):
             return False
@@ -76,11 +85,11 @@
         return {key: document.revision for key, document in self.documents.items()}
 
     def newer_than(self, revisions: dict[str, int]) -> list[Revisioned]:
-        """Return the documents that are newer than somebody else's."""
+        """Return the documents that are newer than another VM's."""
         return [d for d in self.documents.values() if d.revision > revisions.get(d.key, 0)]
 
     def older_than(self, revisions: dict[str, int]) -> list[str]:
-        """Return the keys of which somebody else has a newer document."""
+        """Return the keys of which another VM has a newer document."""
         return [key for key, revision in revisions.items() if revision > self.revision(key)]
 
     def select(self, keys: Iterable[str]) -> list[Revisioned]:
--- a/sprucewinch/hall/store/http_store.py
+++ b/sprucewinch/hall/store/http_store.py
@@ -1,4 +1,8 @@
-"""The platform's service over HTTP, as the stand-in in `standins/platform.py` offers it."""
+"""Client of the store over HTTP and JSON, with values in base64.
+
+Owns one HTTP session and the count of calls. Relies on `net.http_client`, which never resends a
+request, and turns every failure into `PlatformError`, or `WriteUnknownError` after a lost write.
+"""
 
 import base64
 from typing import Any, Optional, Union
@@ -11,11 +15,20 @@
 from .store import Entry, Mismatch, Platform, VmListing, Written
 
 _TIMEOUT_S = 3.0
+"""Longest wait for an answer, in seconds, on top of a watch's own wait. A guess, never measured."""
+
 _REMEDY = "check that the platform's service runs and try again"
 _MISMATCH = 409
+"""HTTP status: the key holds another version."""
+
 _TOO_MANY = 429
+"""HTTP status: the rate limit is reached."""
+
 _OK = 200
+"""HTTP status: done."""
+
 _NOT_FOUND = 404
+"""HTTP status: the key holds no value."""
 
 
 class HttpPlatform(Platform):
@@ -60,7 +73,7 @@
         return bool(self._expect(status, body)["held"])
 
     async def release(self, name: str, holder: str) -> None:
-        """Give a lease up."""
+        """Release a lease."""
         status, body = await self._call("DELETE", f"/v1/leases/{name}", {"holder": holder})
         self._expect(status, body)
 
--- a/sprucewinch/hall/store/store.py
+++ b/sprucewinch/hall/store/store.py
@@ -1,4 +1,8 @@
-"""The platform's service as this system needs it; nothing else here knows its protocol."""
+"""Interface of the store: values with compare-and-swap, leases, watches, the list of VMs.
+
+Owns the interface and its result types. Relies on nothing; `http_store` implements it, and no other
+module knows the store's protocol.
+"""
 
 import abc
 from typing import NamedTuple, Optional, Union
@@ -31,7 +35,7 @@
 
 
 class VmListing(NamedTuple):
-    """One row of the platform's list of live and leaving VMs, which lags.
+    """One row of the platform's list of live and leaving VMs; the list lags behind.
 
     Args:
         kind: `entry` for an entry VM, `backend` for a backend server.
@@ -45,13 +49,13 @@
 
 
 class Platform(abc.ABC):
-    """Values with compare-and-swap, leases, watches, and the list of VMs.
+    """A client of the platform's service.
 
     Every method raises `PlatformError` when the service does not answer or refuses the call.
     """
 
     calls = 0
-    """Calls made so far; the service counts and limits them."""
+    """Calls made so far; the service limits their rate."""
 
     @abc.abstractmethod
     async def get(self, key: str) -> Optional[Entry]:
@@ -84,7 +88,7 @@
 
     @abc.abstractmethod
     async def release(self, name: str, holder: str) -> None:
-        """Give a lease up."""
+        """Release a lease."""
 
     @abc.abstractmethod
     async def members(self) -> list[VmListing]:
