--- a/sprucewinch/hall/planning/_share_history.py
+++ b/sprucewinch/hall/planning/_share_history.py
@@ -1,4 +1,9 @@
-"""Which shares measures may still reflect, since they lag behind decisions."""
+"""The shares that measures may still reflect, since measures lag behind decisions.
+
+Owns the shares that were in force within the last `settle_s` for one service and client region.
+Relies on the planner to report each change with its time. Without this history a planner uses the
+same headroom again in each round (commit f6fd5b2, `tests.test_guard.NoDecisionOverloads`).
+"""
 
 from collections import deque
 from typing import NamedTuple
@@ -12,10 +17,10 @@
 
 
 class ShareHistory:
-    """The shares that were in force lately.
+    """The shares that were in force within the last seconds.
 
     Args:
-        settle_s: How long a change takes to show in measures at the most, in seconds.
+        settle_s: Longest time until a change shows in measures, in seconds.
     """
 
     __slots__ = ("_past", "settle_s")
@@ -25,7 +30,12 @@
         self._past: deque[_Past] = deque()
 
     def replaced(self, shares: Shares, now: float) -> None:
-        """Note that shares were in force until now."""
+        """Record that shares were in force until now.
+
+        Args:
+            shares: Shares that another set replaces.
+            now: Monotonic time of the replacement, in seconds.
+        """
         self._past.append(_Past(now, shares))
 
     def low(self, region: str, current: Shares, now: float) -> float:
--- a/sprucewinch/hall/planning/lookup.py
+++ b/sprucewinch/hall/planning/lookup.py
@@ -1,4 +1,19 @@
-"""Look-up: which entry VMs a caller should use, answered from tables built once a round."""
+"""The rule of look-ups: which entry VMs should a caller use for a service, in which order?
+
+Owns the encoded answers and a bounded cache of callers' keys; relies on `Topology` for regions and
+distances (milliseconds), on `Steering` for the shares in force, and on the caller for the VMs that
+serve. A new table is built when the configuration or the serving VMs change.
+
+The rule: the caller's address gives its client region and its block, the block's key and the shares
+give the region. The answer names VMs of that region first, rotated by a byte of the key so that
+blocks spread over them, then those of other regions, nearest to the caller first. When the region
+has no VM, those of the nearest region that has some come first.
+
+Why this way: all callers of one block get the same region from any VM that holds the same plan, and
+an answer is a table access: 2.6 us at the target's tables (commit 5a446ba). Constants:
+`MAX_ENTRY_VMS`, `_MAX_KEYS`, `_RETRY_MS`. Refusals are `no-such-service`, `malformed`,
+`unknown-client` and `no-entry-vm`. Tests: `tests.test_callers`, `tests.test_formats_own`.
+"""
 
 from collections.abc import Sequence
 from typing import NamedTuple, Optional, Union
@@ -12,17 +27,22 @@
 from .topology import Topology
 
 MAX_ENTRY_VMS = 4
-"""Most entry VMs named in one answer."""
+"""Most entry VMs named in one answer. A guess at what a caller tries, never measured."""
 
 _MAX_KEYS = 8192
-"""Most clients whose keys are kept; each takes some 300 bytes."""
+"""Most pairs of client and service whose keys are cached, some 300 bytes each; beyond it the cache
+starts empty. Commit 5a446ba adds the bound; the figure itself is a guess, never measured."""
 
 _RETRY_MS = 1000
+"""Time after which a caller may ask again when no VM serves, in milliseconds: one round of
+`loops.EXCHANGE_S`, in which VMs learn of each other. A guess, never measured."""
+
 _V4_SUFFIX = ".0"
+"""Last part of a /24 block's address, which stands for all callers of the block."""
 
 
 class EntryVm(msgspec.Struct, frozen=True):
-    """An entry VM as callers are told of it."""
+    """An entry VM in the answer to a look-up."""
 
     vm: str
     hall: str
@@ -36,8 +56,8 @@
     Args:
         service: Service asked for.
         region: Region that the client block is steered to.
-        entry_vms: Entry VMs, the first to be used first.
-        ttl_ms: How long the answer may be kept, in milliseconds.
+        entry_vms: Entry VMs, in the order in which to use them.
+        ttl_ms: Time for which the answer may be cached, in milliseconds.
         revision: Configuration revision in force.
     """
 
@@ -49,7 +69,7 @@
 
 
 class Place(NamedTuple):
-    """Where a client block stands for a service.
+    """The region of a client block for a service, with what it follows from.
 
     Args:
         client_region: Region of the callers.
@@ -70,7 +90,7 @@
 
 
 class LookupTable:
-    """Answers look-ups without asking anyone.
+    """Answers look-ups from tables, without I/O.
 
     Args:
         topology: The configuration in force.
@@ -108,7 +128,7 @@
         return answers[place.key[0] % len(answers)]
 
     def place(self, client: str, service: str) -> Union[Place, Refusal]:
-        """Return where a client block is steered to."""
+        """Return the region that a client block is steered to, or a refusal."""
         found = self._keys.get((client, service))
         if found is None:
             located = self._locate(client, service)
@@ -123,12 +143,13 @@
         return Place(client_region, key, shares.region_at(key))
 
     def _locate(self, client: str, service: str) -> Union[tuple[str, bytes], Refusal]:
-        """Return a client's region and key, which only a new configuration changes."""
+        """Return a client's region and key; only a new configuration changes them."""
         if service not in self.topology.services:
             return not_run(Reason.NO_SUCH_SERVICE)
         try:
             client_region = self.topology.client_region(client)
         except ValueError:
+            # The refusal is the typed result; it is counted by its reason.
             return not_run(Reason.MALFORMED)
         if client_region is None:
             return not_run(Reason.UNKNOWN_CLIENT)
--- a/sprucewinch/hall/planning/plan_rounds.py
+++ b/sprucewinch/hall/planning/plan_rounds.py
@@ -1,4 +1,20 @@
-"""Planning for one region's callers, while this VM holds the lease."""
+"""The rule of the planner's lease: does this VM plan for its region's callers now?
+
+Owns the planner while this VM holds the lease, and the time of its last renewal. Relies on the
+store for the lease and for compare-and-swap of plans, on `planner` for the plan itself, and on the
+node for the configuration, the members and the measures.
+
+The rule: only a VM that serves and is among the first `_CANDIDATES` of its region by name asks for
+the lease, and renews it every `_LEASE_RENEW_S`. The lease is an optimization, not a lock: a plan
+takes effect by compare-and-swap, and a planner whose write fails or stays unknown starts again from
+the stored plan. Without the store nobody plans and the shares in force stay.
+
+Why this way: a lock would have to be trusted by a VM that was paused; compare-and-swap needs no
+trust (docs/DESIGN.md, "Who plans"). Constants: `LEASE_S`, `_LEASE_RENEW_S`, `_CANDIDATES`. The
+result shows as `event=planner`, and in the counters `plan_rounds_without_store`,
+`plan_writes_unknown` and `plan_writes_overtaken`. Tests: `tests.test_formats_own_lines`,
+`tests.test_plan_rounds`, `tests.test_process_faults`.
+"""
 
 import random
 from collections.abc import Callable
@@ -20,21 +36,28 @@
 from .steering import Plan
 
 LEASE_S = 6.0
+"""Duration of the lease, in seconds: three renewals, so that two may be lost. A guess, never
+measured."""
+
 _LEASE_RENEW_S = 2.0
+"""Time between two renewals, in seconds. docs/CAPACITY.md computes 52 writes a second from it at
+2,800 VMs, of 400 that the store bears; the figure itself is a guess, never measured."""
+
 _CANDIDATES = 2
-"""How many VMs of a region ask for its lease."""
+"""VMs of a region that ask for its lease: one that plans and one that replaces it. Bounded for the
+store's writes (docs/CAPACITY.md); the figure itself is a guess, never measured."""
 
 
 class PlanRounds:
-    """Makes this region's plans and writes them to the platform.
+    """Makes this region's plans and writes them to the store.
 
     Args:
-        node: This VM's view.
-        platform: The platform's service.
-        reader: Knows the versions that the platform holds.
+        node: This VM's state.
+        platform: Client of the store.
+        reader: Keeps the versions that the store holds.
         clock: Source of time.
         rng: Source of randomness.
-        changed: Called when a new plan was written.
+        changed: Called after a new plan was written.
     """
 
     def __init__(
@@ -56,13 +79,18 @@
         self._planner: Optional[Planner] = None
 
     async def step(self) -> None:
-        """Plan once, if this VM holds the lease; without the platform plans rest."""
+        """Plan once if this VM holds the lease; without the store the shares in force stay."""
         try:
             await self._plan()
         except PlatformError:
+            # The counter is enough: the reader logs the outage and its reason as `event=platform`.
+            self._count("plan_rounds_without_store")
             self._planner = None
             self._lease_at = float("-inf")
 
+    def _count(self, name: str) -> None:
+        self.node.metrics.counters[name] += 1
+
     async def _plan(self) -> None:
         topology = self.node.topology
         now = self.clock.monotonic()
@@ -84,7 +112,7 @@
             await self._write_plan(key, plan)
 
     def _may_plan(self, now: float) -> bool:
-        """Few VMs ask for the lease: the first of the region by name."""
+        """Return whether this VM is among the first of its region by name."""
         topology = self.node.topology
         region = self.node.settings.region
         if topology is None or region not in topology.order:
@@ -121,9 +149,12 @@
         try:
             result = await self.platform.put(key, value, self.reader.versions.get(key, 0))
         except WriteUnknownError:
+            # The next round reads the stored plan, so the counter is enough.
+            self._count("plan_writes_unknown")
             self._planner = None
             return
         if not isinstance(result, Written):
+            self._count("plan_writes_overtaken")
             self._planner = None
             return
         self.reader.versions[key] = result.version
--- a/sprucewinch/hall/planning/planner.py
+++ b/sprucewinch/hall/planning/planner.py
@@ -1,8 +1,24 @@
-"""Planning: policy and guard turn measures into the plan of one client region."""
+"""The rule of plans: which part of one region's callers should each region serve, by service?
+
+Owns the last confirmed plan, one shift limiter and one history of shares for each service. Relies
+on the caller for policies, snapshots (slots, milliseconds, requests a second) and time (monotonic
+seconds), and does no I/O: `plan_rounds` reads and writes the store.
+
+The rule, for each service: the policy turns the snapshot into weights; a policy that fails keeps
+the shares in force and is noted as a fault. The guard grants what free slots, links and drains
+allow. A change below `_DEAD_BAND` is dropped, unless it leaves a region. The shift cap bounds the
+step, and a step counts as spent once the store has confirmed its write.
+
+Why this way: one planner for each client region costs a write a second at most, while every VM
+planning by itself would send callers that ask two VMs back and forth (docs/DESIGN.md, "Who plans").
+Constants: `_DEAD_BAND`, `_MEASURE_LAG_S`; the guard's and the cap's come from the configuration.
+The result shows in the plan's notes and faults and in `event=policy-fault`. Tests:
+`tests.test_guard`, `tests.test_shift`.
+"""
 
 import dataclasses
 from collections.abc import Mapping
-from typing import Optional
+from typing import NamedTuple, Optional
 
 from ...steering.guard import GuardLimits, grant
 from ...steering.measures import Snapshot
@@ -14,22 +30,42 @@
 from .topology import Topology
 
 _DEAD_BAND = 0.005
-"""Changes of shares smaller than this are not worth a write and a relay to every VM."""
+"""Part of the callers, in `[0, 1]`, below which a change is not worth a write and its spread to
+every VM. A guess, never measured; commit 5a446ba exempts the leaving of a region."""
 
 _MEASURE_LAG_S = 6.0
-"""How long measures take to be smoothed and to reach the planner, in seconds."""
+"""Time that measures take to be smoothed and to reach the planner, in seconds: twice the time
+constant `metrics.SMOOTHING_S`. A guess, never measured; commit f6fd5b2 shows that some lag has to
+be counted (`tests.test_guard.NoDecisionOverloads`)."""
+
+
+class _ServiceDraft(NamedTuple):
+    """The next plan's part for one service.
+
+    Args:
+        shares: Weights by region.
+        notes: Limits that took effect.
+        fault: Failure of the policy; None when it worked.
+    """
+
+    shares: dict[str, float]
+    notes: tuple[str, ...]
+    fault: Optional[str]
 
 
 class Planner:
     """Makes the plans of one client region while this entry VM holds its lease.
 
-    A plan takes effect when the platform has taken it by compare-and-swap, so of several planners
-    that believe in their lease only one moves a plan on. Each starts with the whole shift cap
-    counted as spent and counts a step when its write is confirmed.
+    A plan takes effect when the store accepts it by compare-and-swap, so of several planners that
+    consider themselves holders of the lease only one succeeds. Each starts with the whole shift cap
+    counted as spent.
 
     Args:
         client_region: Region of the callers.
-        me: This incarnation.
+        me: Name of this incarnation of the VM.
+
+    Attributes:
+        faults: Failures of a policy so far, by service.
     """
 
     def __init__(self, client_region: str, me: str) -> None:
@@ -41,10 +77,10 @@
         self.faults: dict[str, int] = {}
 
     def adopt(self, plan: Optional[Plan], topology: Topology, now: float) -> None:
-        """Start from what the platform holds; the shift cap counts as spent now.
+        """Start from the plan that the store holds; the shift cap counts as spent now.
 
         Args:
-            plan: The plan held; None when there is none yet.
+            plan: The stored plan; None when there is none yet.
             topology: The configuration in force.
             now: Monotonic time, in seconds.
         """
@@ -61,7 +97,7 @@
         snapshots: Mapping[str, Snapshot],
         now: float,
     ) -> Optional[Plan]:
-        """Work out the next plan.
+        """Compute the next plan.
 
         Args:
             topology: The configuration in force.
@@ -72,27 +108,38 @@
         Returns:
             The next plan; None when nothing changes.
         """
-        shares: dict[str, dict[str, float]] = {}
-        notes: dict[str, tuple[str, ...]] = {}
-        faults: dict[str, str] = {}
-        for service, snapshot in snapshots.items():
-            limiter = self._limiter(service, topology, now)
-            wanted = self._wanted(service, topology, policies, snapshot)
-            if isinstance(wanted, PolicyFault):
-                faults[service] = wanted.problem
-                self.faults[service] = self.faults.get(service, 0) + 1
-                wanted = limiter.current.as_dict()
-            measured = self._with_history(service, topology, snapshot, limiter.current, now)
-            granted = grant(wanted, limiter.current, measured, guard_limits(topology))
-            notes[service] = granted.notes
-            target = granted.shares
-            if _near(limiter.current, target):
-                target = limiter.current
-            shares[service] = limiter.propose(target, now).as_dict()
-        return self._next(topology, shares, notes, faults)
+        drafts = {
+            service: self._draft(service, topology, policies, snapshot, now)
+            for service, snapshot in snapshots.items()
+        }
+        plan = self._next(topology, drafts)
+        if self.base is not None and _same(self.base, plan):
+            return None
+        return plan
+
+    def _draft(
+        self,
+        service: str,
+        topology: Topology,
+        policies: Mapping[str, Policy],
+        snapshot: Snapshot,
+        now: float,
+    ) -> _ServiceDraft:
+        limiter = self._limiter(service, topology, now)
+        current = limiter.current
+        wanted = self._wanted(service, topology, policies, snapshot)
+        fault = None
+        if isinstance(wanted, PolicyFault):
+            fault = wanted.problem
+            self.faults[service] = self.faults.get(service, 0) + 1
+            wanted = current.as_dict()
+        measured = self._with_history(service, topology, snapshot, current, now)
+        granted = grant(wanted, current, measured, guard_limits(topology))
+        target = current if _near(current, granted.shares) else granted.shares
+        return _ServiceDraft(limiter.propose(target, now).as_dict(), granted.notes, fault)
 
     def confirm(self, plan: Plan, topology: Topology, now: float) -> None:
-        """Note that the platform has taken a plan.
+        """Record that the store has accepted a plan.
 
         Args:
             plan: The plan that was proposed.
@@ -129,7 +176,7 @@
     def _with_history(
         self, service: str, topology: Topology, snapshot: Snapshot, current: Shares, now: float
     ) -> Snapshot:
-        """Add which shares the measures may reflect, so that no headroom is used twice."""
+        """Add the shares that the measures may reflect, so that no headroom is used twice."""
         history = self._history(service, topology)
         regions = snapshot.order
         return dataclasses.replace(
@@ -150,30 +197,20 @@
             limiter.reorder(topology.order)
         return limiter
 
-    def _next(
-        self,
-        topology: Topology,
-        shares: dict[str, dict[str, float]],
-        notes: dict[str, tuple[str, ...]],
-        faults: dict[str, str],
-    ) -> Optional[Plan]:
-        revision = self.base.revision if self.base else 0
-        plan = Plan(
-            self.client_region,
-            revision + 1,
-            self.me,
-            topology.document.revision,
-            shares,
-            notes,
-            faults,
+    def _next(self, topology: Topology, drafts: Mapping[str, _ServiceDraft]) -> Plan:
+        return Plan(
+            client_region=self.client_region,
+            revision=self.base.revision + 1 if self.base else 1,
+            planner=self.me,
+            configuration_revision=topology.document.revision,
+            shares={service: draft.shares for service, draft in drafts.items()},
+            notes={service: draft.notes for service, draft in drafts.items()},
+            faults={s: draft.fault for s, draft in drafts.items() if draft.fault is not None},
         )
-        if self.base is not None and _same(self.base, plan):
-            return None
-        return plan
 
 
 def _near(current: Shares, target: Shares) -> bool:
-    """Tell whether a change is too small to be made; leaving a region never is."""
+    """Return whether a change is too small to be made; leaving a region never is."""
     left = any(a > 0 and b <= 0 for a, b in zip(current.weights, target.weights, strict=True))
     return not left and moved_part(current, target) < _DEAD_BAND
 
--- a/sprucewinch/hall/planning/steering.py
+++ b/sprucewinch/hall/planning/steering.py
@@ -1,4 +1,8 @@
-"""Steering at one entry VM: shares in force here, moved under the shift cap."""
+"""Shares in force at one entry VM, moved towards the plans under the shift cap.
+
+Owns the newest plan of each client region and one shift limiter for each client region and service.
+Relies on `steering.shift` for the cap and on the caller for plans, configuration and time.
+"""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple, Optional
@@ -16,11 +20,11 @@
     Args:
         client_region: Region of the callers.
         revision: Grows with every plan of this client region.
-        planner: Incarnation that made it.
+        planner: Incarnation of the VM that made it.
         configuration_revision: Configuration it was made under.
         shares: Weights by service and region.
         notes: Limits that took effect, by service.
-        faults: What went wrong with the policy, by service.
+        faults: Failure of the policy, by service.
     """
 
     client_region: str
@@ -33,7 +37,7 @@
 
 
 class SteeringKey(NamedTuple):
-    """What shares are kept for."""
+    """The callers and the service that a set of shares is for."""
 
     client_region: str
     service: str
@@ -42,8 +46,14 @@
 class Steering:
     """Shares in force at this entry VM.
 
-    What does not change between two rounds is not worked out again: targets follow plans and the
-    configuration, and only shares that have not reached their target are moved.
+    Targets are computed when a plan or the configuration changes; a round moves only the shares
+    that have not reached their target.
+
+    Attributes:
+        limiters: Shift limiter of each set of shares.
+        plans: Newest plan by client region.
+        answered: Client regions whose look-ups this VM has answered; shares of the others move to
+            their target at once, since no caller holds an answer from here.
     """
 
     def __init__(self) -> None:
@@ -55,7 +65,7 @@
         self._changed: set[str] = set()
 
     def offer(self, plan: Plan) -> None:
-        """Take over a newer plan of a client region."""
+        """Store a newer plan of a client region; the next tick follows it."""
         self.plans[plan.client_region] = plan
         self._changed.add(plan.client_region)
 
--- a/sprucewinch/hall/planning/topology.py
+++ b/sprucewinch/hall/planning/topology.py
@@ -1,4 +1,9 @@
-"""Questions about a configuration's places, answered from tables built once per revision."""
+"""A configuration's regions, halls, links and drains, as tables built once for each revision.
+
+Owns the document in force and a bounded cache of callers' regions. Relies on `config.configuration`
+for the document and on `steering.placement` for client blocks. A `Topology` never changes after its
+construction but for that cache, so a new revision is a new object.
+"""
 
 import math
 from collections.abc import Mapping
@@ -9,12 +14,19 @@
 from ...steering.shift import ShiftCap
 
 _FAR_MS = 1000.0
+"""Distance between regions without a link, in milliseconds one way: above that of any real link, so
+that such a region is last. A guess, never measured."""
+
 _MAX_REMEMBERED = 8192
+"""Most callers whose region is cached; beyond it the cache starts empty. Commit a9e783f adds the
+cache after a profile; the figure itself is a guess, never measured."""
+
 _HOME_MS = 1.0
+"""Distance of a region to itself, in milliseconds one way. A guess, never measured."""
 
 
 class Topology:
-    """A document with look-up tables over it.
+    """A configuration document with tables over it.
 
     Args:
         document: The configuration in force.
@@ -50,13 +62,13 @@
         return self._client_regions[client]
 
     def distance_ms(self, client_region: str, region: str) -> float:
-        """Return the time one way between two regions, in milliseconds; far when unlinked."""
+        """Return the one-way time between two regions, in milliseconds; far without a link."""
         if client_region == region:
             return _HOME_MS
         return self._links.get(frozenset((client_region, region)), (_FAR_MS, 0.0))[0]
 
     def link_per_s(self, client_region: str, region: str) -> float:
-        """Return the most requests a second between two regions; 0 when they are not linked."""
+        """Return the limit between two regions, in requests a second; 0 without a link."""
         if client_region == region:
             return math.inf
         return self._links.get(frozenset((client_region, region)), (_FAR_MS, 0.0))[1]
@@ -70,18 +82,18 @@
         return tuple(pool for pool in self.configuration.pool if pool.hall == hall)
 
     def hall_drained(self, hall: str) -> bool:
-        """Tell whether operators are draining a data hall."""
+        """Return whether operators drain a data hall."""
         return drain_key("hall", hall) in self.drained
 
     def region_drained(self, region: str) -> bool:
-        """Tell whether operators are draining a region, or every data hall of it."""
+        """Return whether operators drain a region, or every data hall of it."""
         halls = [hall for hall, where in self.region_of_hall.items() if where == region]
         if halls and all(map(self.hall_drained, halls)):
             return True
         return drain_key("region", region) in self.drained
 
     def drained_servers(self, hall: str) -> frozenset[str]:
-        """Return the backend servers of a hall that get no new work by an operator's word."""
+        """Return the backend servers of a hall that operators drain: they get no new work."""
         servers = [server for pool in self.pools_of(hall) for server in pool.servers]
         if self.hall_drained(hall):
             return frozenset(servers)
--- a/sprucewinch/hall/store/store_reader.py
+++ b/sprucewinch/hall/store/store_reader.py
@@ -1,4 +1,10 @@
-"""Reading the platform: its documents and its list of VMs."""
+"""Reads the store: its documents and its list of VMs.
+
+Owns the versions read so far, the listed VMs and whether the store is reachable. Relies on the
+store's client for calls and on the node for the documents in force. One VM of each hall watches,
+the others poll rarely: at 2,800 VMs watches of all would exceed the store's reads
+(docs/CAPACITY.md, "Platform use").
+"""
 
 import asyncio
 import random
@@ -15,22 +21,40 @@
 from .store import Entry, Platform, VmListing
 
 WATCH_S = 20.0
+"""Longest wait of one watch, in seconds. A guess, never measured."""
+
 POLL_S = 30.0
-"""How often a VM that does not watch reads the platform by itself, in seconds."""
+"""Longest time between two reads of a VM that does not watch, in seconds. docs/CAPACITY.md computes
+the calls at 2,800 VMs from it; the figure itself is a guess, never measured."""
+
+_POLL_LEAST = 0.5
+"""Shortest time between two such reads, as a part of `POLL_S`: spreads the VMs' reads. A guess,
+never measured."""
+
+_LISTING_HOLD = 2
+"""Polls for which the list's mark of a leaving server counts, so that one lost poll does not undo
+it. A guess, never measured."""
 
 READ_ALL_S = 60.0
-"""How often everything is read again, in seconds."""
+"""Time between two reads of everything, in seconds. Commit 11fc8b9 adds it for a restored store
+that counts versions anew; the figure itself is a guess, never measured."""
 
 
 class PlatformReader:
-    """Learns documents, and which VMs there are, from the platform.
+    """Takes documents and the list of VMs from the store into the node.
 
     Args:
-        node: This VM's view.
-        platform: The platform's service.
+        node: This VM's state.
+        platform: Client of the store.
         clock: Source of time.
         rng: Source of randomness.
-        changed: Called when a newer document was learnt.
+        changed: Called after a newer document was accepted.
+
+    Attributes:
+        seen: Highest version read since everything was read last.
+        up: Whether the store answered last; None before the first call.
+        versions: Version of each key that was read.
+        listed: Peer addresses of the other entry VMs in the store's list.
     """
 
     def __init__(
@@ -53,7 +77,7 @@
         self._read_all_at = float("-inf")
 
     async def run(self) -> None:
-        """Read the platform: by a watch on one VM of each hall, now and then on the others."""
+        """Read the store for ever: by watches on one VM of each hall, by polls on the others."""
         failures = 0
         while True:
             try:
@@ -72,10 +96,10 @@
         self._is_up(True)
         self.take(entries)
         if not watching:
-            await asyncio.sleep(POLL_S * self.rng.uniform(0.5, 1.0))
+            await asyncio.sleep(POLL_S * self.rng.uniform(_POLL_LEAST, 1.0))
 
     async def _entries(self, wait_s: float) -> list[Entry]:
-        """Return newer entries; now and then all, since a restored platform may count anew."""
+        """Return newer entries, or all every `READ_ALL_S`: a restored store may count anew."""
         now = self.clock.monotonic()
         if now - self._read_all_at >= READ_ALL_S:
             entries = await self.platform.watch(WATCH_PREFIX, 0, 0.0)
@@ -85,20 +109,20 @@
         return await self.platform.watch(WATCH_PREFIX, self.seen, wait_s)
 
     def _take_listing(self, listing: list[VmListing]) -> None:
-        """Learn entry VMs to ask, and backend servers that the platform says are leaving."""
+        """Store the entry VMs to exchange with, and mark the listed leaving backend servers."""
         own = self.node.settings.peer_address
         self.listed = tuple(r.address for r in listing if r.kind == "entry" and r.address != own)
         leaving = [r.address for r in listing if r.kind == "backend" and r.leaving]
-        self.node.hall.mark_leaving(leaving, self.clock.monotonic() + 2 * POLL_S)
+        self.node.hall.mark_leaving(leaving, self.clock.monotonic() + _LISTING_HOLD * POLL_S)
 
     def _watches(self) -> bool:
-        """Tell whether this VM watches for its hall: the first by name that is live."""
+        """Return whether this VM watches for its hall: it is the first live one by name."""
         now = self.clock.monotonic()
         hall = [m.vm for m in self.node.membership.of_hall(now) if m.state in (SERVING, LEAVING)]
         return self.node.own.vm <= min(hall, default=self.node.own.vm)
 
     def take(self, entries: list[Entry]) -> None:
-        """Take over newer documents, and tell of a platform that shows older ones."""
+        """Offer entries to the node, and log unreadable ones and a store that shows older ones."""
         for entry in entries:
             self.seen = max(self.seen, entry.version)
             self.versions[entry.key] = entry.version
--- /dev/null
+++ b/tests/test_plan_rounds.py
@@ -0,0 +1,57 @@
+"""The planner's lease and its writes: what a round does when the store fails it."""
+
+import random
+import unittest
+
+from sprucewinch.hall.planning.plan_rounds import PlanRounds
+from sprucewinch.hall.store.store_reader import PlatformReader
+
+from .fakes import FakePlatform
+from .formats_own import Lost, OwnVm, StillClock
+from .test_formats import DOCUMENT
+
+PLAN_KEY = "steer/plan/east"
+
+
+def rounds_at(vm: OwnVm) -> PlanRounds:
+    """Return the planning rounds of a VM."""
+    rng = random.Random(1)
+    clock = StillClock()
+    reader = PlatformReader(vm.node, vm.platform, clock, rng, lambda: None)
+    return PlanRounds(vm.node, vm.platform, reader, clock, rng, lambda: None)
+
+
+class FailedRounds(unittest.IsolatedAsyncioTestCase):
+    def vm(self, platform: FakePlatform) -> OwnVm:
+        """Return a VM that serves."""
+        return OwnVm(platform).configure(DOCUMENT, 7)
+
+    def failures(self, vm: OwnVm) -> dict[str, int]:
+        """Return the counters of failed rounds."""
+        counters = vm.node.metrics.counters
+        return {name: count for name, count in counters.items() if name.startswith("plan_")}
+
+    async def test_the_store_is_away(self) -> None:
+        vm = self.vm(FakePlatform())
+        vm.platform.down = True
+        await rounds_at(vm).step()
+        self.assertEqual(self.failures(vm), {"plan_rounds_without_store": 1})
+
+    async def test_the_answer_to_a_write_is_lost(self) -> None:
+        vm = self.vm(Lost())
+        await rounds_at(vm).step()
+        self.assertEqual(self.failures(vm), {"plan_writes_unknown": 1})
+        self.assertEqual(vm.node.shelf.revision(PLAN_KEY), 0)
+
+    async def test_another_planner_writes_first(self) -> None:
+        vm = self.vm(FakePlatform())
+        vm.platform.before_put = lambda: vm.platform.write(PLAN_KEY, b"{}")
+        await rounds_at(vm).step()
+        self.assertEqual(self.failures(vm), {"plan_writes_overtaken": 1})
+        self.assertEqual(vm.node.shelf.revision(PLAN_KEY), 0)
+
+    async def test_a_written_plan_is_in_force_here(self) -> None:
+        vm = self.vm(FakePlatform())
+        await rounds_at(vm).step()
+        self.assertEqual(self.failures(vm), {})
+        self.assertEqual(vm.node.shelf.revision(PLAN_KEY), 1)
