--- /dev/null
+++ b/sprucewinch/hall/in_force.py
@@ -0,0 +1,87 @@
+"""Puts documents in force: the configuration with its policies, and the plans.
+
+Owns the topology, the loaded policies and their labels. Relies on the shelf to offer only newer
+documents, and passes a configuration on to the admissions and a plan to `Steering`. A document that
+cannot be used changes nothing, and is logged with its key and problem.
+"""
+
+from typing import Optional
+
+import msgspec
+
+from .._hash import hash32
+from ..config.configuration import Document, decode_document
+from ..errors import ConfigurationError, PolicyError
+from ..steering.policy import Policy, ProgramPolicy, shipped_policies
+from .metrics import Label
+from .own_entry import LineLog
+from .planning.steering import Plan, Steering
+from .planning.topology import Topology
+from .requests.admissions import HallDispatch
+from .store.documents import CONFIGURATION_KEY, PLAN_PREFIX, Revisioned
+
+
+class DocumentsInForce:
+    """The configuration and the policies that this VM follows.
+
+    Args:
+        hall: Admissions of this VM's data hall.
+        steering: Follows the plans.
+        log: Called with a line for each configuration in force and each rejected document.
+
+    Attributes:
+        topology: Configuration in force; None before the first.
+        policies: Loaded policies by name.
+    """
+
+    def __init__(self, hall: HallDispatch, steering: Steering, log: LineLog) -> None:
+        self.hall = hall
+        self.steering = steering
+        self.log = log
+        self.topology: Optional[Topology] = None
+        self.policies: dict[str, Policy] = {}
+        self._policy_labels: dict[str, str] = {}
+
+    def accept(self, document: Revisioned) -> bool:
+        """Put a document in force; return False when it cannot be used."""
+        try:
+            if document.key == CONFIGURATION_KEY:
+                self._apply(decode_document(document.value), document.revision)
+            elif document.key.startswith(PLAN_PREFIX):
+                self.steering.offer(msgspec.json.decode(document.value, type=Plan))
+            else:
+                return False
+        except (ConfigurationError, PolicyError, msgspec.MsgspecError) as error:
+            self.log(f"event=rejected key={document.key} problem={str(error)!r}")
+            return False
+        return True
+
+    def _apply(self, document: Document, revision: int) -> None:
+        if document.revision != revision:
+            raise ConfigurationError(
+                f"stored configuration says revision {document.revision}, its envelope {revision}",
+                "apply the configuration again",
+            )
+        sources = {**shipped_policies(), **{p.name: p.source for p in document.policies}}
+        policies = {name: ProgramPolicy(name, source) for name, source in sources.items()}
+        topology = Topology(document)
+        self.policies = policies
+        self._policy_labels = {
+            name: _policy_label(service.policy, sources)
+            for name, service in topology.services.items()
+        }
+        self.topology = topology
+        self.hall.apply(topology)
+        self.log(f"event=in-force revision={revision}")
+
+    def label(self, service: str) -> Label:
+        """Return the label of a service's metrics here; all unknown services share one."""
+        policy = self._policy_labels.get(service)
+        if policy is None:
+            return Label("unknown", self.hall.hall, "none")
+        return Label(service, self.hall.hall, policy)
+
+
+def _policy_label(name: str, sources: dict[str, str]) -> str:
+    """Return a policy's name with a digest that changes only when its program does."""
+    return f"{name}@{hash32(sources.get(name, '')):08x}"
--- a/sprucewinch/hall/slots.py
+++ b/sprucewinch/hall/slots.py
@@ -75,6 +75,10 @@
         self._renewed_at = -math.inf
         self._settled_at = math.inf
 
+    def identify(self, me: str) -> None:
+        """Set this member's name, which is final once the VM serves."""
+        self.me = me
+
     def renew(
         self,
         members: tuple[str, ...],
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -47,7 +47,7 @@
     def make(self, index: int):
         hall, region = HALLS[index]
         made = node(self.now, self.incarnation, vm=f"vm{index}", hall=hall, region=region)
-        made.shelf = self.shelf_class(made._accept)
+        made.shelf = self.shelf_class(made.in_force.accept)
         return made
 
     def exchange(self, a: int, b: int) -> None:
