--- a/sprucewinch/daemon.py
+++ b/sprucewinch/daemon.py
@@ -1,6 +1,12 @@
-"""The daemon `sprucewinchd`: one process for each entry VM."""
+"""The daemon `sprucewinchd`: one process for each entry VM; builds, starts and stops its parts.
+
+Owns the composition of the parts that do I/O, the three listeners and the order of a stop. Relies
+on `hall.node` for every decision, on `hall.loops` for the periodic work, and on `net.http_server`
+for bounded listeners. A stop cuts no request off: it ends when the last one has ended.
+"""
 
 import asyncio
+import contextlib
 import random
 import secrets
 import signal
@@ -29,17 +35,39 @@
 from .operators.port import OperatorsApp
 
 _INCARNATION_RANDOM_BITS = 12
-_LAST_WORDS = 8
-"""How many VMs of other halls a stopping VM tells."""
+"""Random low bits of an incarnation, below the wall clock's milliseconds: two processes of one name
+that start in the same millisecond differ but for one case in 4096. A guess, never measured."""
+
+_TICKET_KEY_BYTES = 32
+"""Length of the key of this process's tickets, in bytes: 256 bits, as is usual for such keys."""
+
+_LEAVING_FANOUT = 8
+"""VMs of other halls that a stopping VM informs at once. A guess, never measured."""
 
 _START_POLL_S = 0.01
+"""Time between two checks that the listeners have started, in seconds. A guess, never measured."""
+
 _STOP_POLL_S = 0.1
+"""Time between two checks of a stop's progress or of a newer process of this name, in seconds. A
+guess, never measured."""
+
 _SPREAD_S = 1.5
-"""How long a stopping VM waits until others have heard of it, in seconds."""
+"""Time until the other VMs know that this one leaves, in seconds, on top of the time for which
+callers cache look-ups: one and a half rounds of `loops.EXCHANGE_S`. A guess, never measured."""
+
+_MS_PER_S = 1000
+"""Milliseconds in a second."""
+
+
+def _new_incarnation(clock: Clock) -> int:
+    """Return a number above that of any earlier process, by the wall clock."""
+    milliseconds = int(clock.wall() * _MS_PER_S)
+    low = secrets.randbits(_INCARNATION_RANDOM_BITS)
+    return (milliseconds << _INCARNATION_RANDOM_BITS) | low
 
 
 class Daemon:
-    """One entry VM.
+    """One entry VM. The constructor needs a running event loop and opens no socket.
 
     Args:
         settings: Its settings.
@@ -54,23 +82,27 @@
         clock: Optional[Clock] = None,
         rng: Optional[random.Random] = None,
     ) -> None:
+        clock = clock or SystemClock()
+        rng = rng or random.Random()
         self.settings = settings
-        self.clock = clock or SystemClock()
-        self.rng = rng or random.Random()
+        self.clock = clock
+        self.stopping = asyncio.Event()
         self.node = Node(
             settings,
-            incarnation=self._incarnation(),
-            ticket_key=secrets.token_bytes(32),
-            rng=self.rng,
-            now=self.clock.monotonic(),
+            incarnation=_new_incarnation(clock),
+            ticket_key=secrets.token_bytes(_TICKET_KEY_BYTES),
+            rng=rng,
+            now=clock.monotonic(),
             log=log.state,
         )
-        self.stopping = asyncio.Event()
-
-    def _incarnation(self) -> int:
-        milliseconds = int(self.clock.wall() * 1000)
-        low = secrets.randbits(_INCARNATION_RANDOM_BITS)
-        return (milliseconds << _INCARNATION_RANDOM_BITS) | low
+        self.platform = HttpPlatform(settings.platform_address)
+        self.backend = BackendClient()
+        self.peers = PeerClient(settings.region, clock)
+        self.dispatcher = Dispatcher(self.node, self.backend, self.peers, clock)
+        self.loops = Loops(self.node, self.platform, self.peers, self.backend, clock, rng)
+        self.servers = self._http_servers()
+        self.peer_listener = self._peer_listener()
+        self.serving: list[asyncio.Task] = []
 
     async def run(self) -> None:
         """Serve until the daemon is told to stop, then stop without cutting anything off.
@@ -78,11 +110,6 @@
         Raises:
             SettingsError: When an address cannot be listened on.
         """
-        self.platform = HttpPlatform(self.settings.platform_address)
-        self.backend = BackendClient()
-        self.peers = PeerClient(self.settings.region, self.clock)
-        self.dispatcher = Dispatcher(self.node, self.backend, self.peers, self.clock)
-        self.loops = Loops(self.node, self.platform, self.peers, self.backend, self.clock, self.rng)
         await self._listen()
         self._take_signals()
         self.loops.start()
@@ -91,23 +118,15 @@
         await self._leave()
         await self._close()
 
-    async def _listen(self) -> None:
+    def _http_servers(self) -> dict[str, uvicorn.Server]:
+        """Return the servers of callers and operators, by the setting of their address."""
         limits = self.settings.limits
         callers = CallerApp(self.node, self.dispatcher, self.clock)
         operators = OperatorsApp(self.settings, self.node, self.platform, self.clock, self._applied)
-        apps = {"caller_address": callers, "operators_address": operators.routes()}
-        sockets = {key: bind(key, getattr(self.settings, key)) for key in apps}
-        peer_socket = bind("peer_address", self.settings.peer_address)
-        self.servers: list[uvicorn.Server] = []
-        self.serving: list[asyncio.Task] = []
-        for key, app in apps.items():
-            server = make_server(app, limits)
-            self.servers.append(server)
-            self.serving.append(asyncio.create_task(server.serve(sockets=[sockets[key]])))
-        self.peer_listener = self._peer_listener()
-        await self.peer_listener.start(sock=peer_socket)
-        while not all(server.started for server in self.servers):
-            await asyncio.sleep(_START_POLL_S)
+        return {
+            "caller_address": make_server(callers, limits),
+            "operators_address": make_server(operators.routes(), limits),
+        }
 
     def _peer_listener(self) -> PeerListener:
         peer = PeerServer(
@@ -119,6 +138,16 @@
         )
         return PeerListener(peer, connections=self.settings.limits.connections)
 
+    async def _listen(self) -> None:
+        sockets = {key: bind(key, getattr(self.settings, key)) for key in self.servers}
+        peer_socket = bind("peer_address", self.settings.peer_address)
+        for key, server in self.servers.items():
+            serve = server.serve(sockets=[sockets[key]])
+            self.serving.append(asyncio.create_task(serve))
+        await self.peer_listener.start(sock=peer_socket)
+        while not all(server.started for server in self.servers.values()):
+            await asyncio.sleep(_START_POLL_S)
+
     def _take_signals(self) -> None:
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -140,22 +169,21 @@
             if self.node.membership.superseded:
                 log.trouble("event=superseded note='a newer process has this name'")
                 return
-            try:
+            # The time limit is a poll: its end is no error, the loop looks again.
+            with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_STOP_POLL_S):
                     await self.stopping.wait()
-            except TimeoutError:
-                continue
 
     async def _leave(self) -> None:
-        """Leave look-ups, wait out cached answers, then finish every request in flight."""
+        """Leave look-ups, wait until cached answers expire, then finish every request in flight."""
         self.node.leave()
-        await self.loops.exchange_with(self.loops.partners(_LAST_WORDS))
+        await self.loops.exchange_with(self.loops.partners(_LEAVING_FANOUT))
         ttl_s = 0.0
         if self.node.topology is not None:
-            ttl_s = self.node.topology.configuration.lookup.ttl_ms / 1000
+            ttl_s = self.node.topology.configuration.lookup.ttl_ms / _MS_PER_S
         await self._finish_requests(until=self.clock.monotonic() + ttl_s + _SPREAD_S)
         self.node.finish()
-        await self.loops.exchange_with(self.loops.partners(_LAST_WORDS))
+        await self.loops.exchange_with(self.loops.partners(_LEAVING_FANOUT))
 
     async def _finish_requests(self, *, until: float) -> None:
         reported = self.clock.monotonic()
@@ -168,7 +196,7 @@
 
     async def _close(self) -> None:
         await self.loops.stop()
-        for server in self.servers:
+        for server in self.servers.values():
             server.should_exit = True
         await asyncio.gather(*self.serving)
         self.peer_listener.close()
--- a/sprucewinch/hall/loops.py
+++ b/sprucewinch/hall/loops.py
@@ -1,4 +1,9 @@
-"""The daemon's periodic work: rounds, exchanges, the platform, plans and probes."""
+"""The daemon's periodic work: rounds, exchanges, the store, plans and probes of backend servers.
+
+Owns the tasks of these loops and the event that a newer document is held here. Relies on the node
+for every decision, and on clients of peers, store and backend servers for I/O. A round of a loop
+that fails is logged as `event=loop-fault` and does not end the loop.
+"""
 
 import asyncio
 import random
@@ -17,20 +22,46 @@
 from .store.store_reader import PlatformReader
 
 TICK_S = 0.5
+"""Time between two rounds of the node, in seconds. A guess, never measured; `slots.TRUST_S` and
+`slots.HOLD_S` depend on it."""
+
 EXCHANGE_S = 1.0
+"""Mean time between two exchanges with peers, in seconds. A guess, never measured; it has to stay
+well below the 3 s of silence after which a VM counts as gone."""
+
 PLAN_S = 1.0
+"""Mean time between two planning rounds, in seconds. docs/CAPACITY.md computes the store's writes
+from it; the figure itself is a guess, never measured."""
+
 PROBE_S = 1.0
+"""Time between two probes of a backend server, in seconds: three within the 3 s in which a leaving
+server has to be noticed (docs/PROMISES.md, promise 6)."""
+
+_JITTER = 0.2
+"""Part by which the time between two exchanges or plans varies, either way, so that VMs that start
+together drift apart. A guess, never measured."""
+
+_FAR_PARTNERS = 2
+"""VMs of other halls in one exchange. A guess, never measured."""
+
 _CHANGE_FANOUT = 4
+"""VMs of other halls that learn of a newer document at once. A guess, never measured."""
+
+_SEED_PARTNERS = 2
+"""Listed VMs that are asked while no peer is known. A guess, never measured."""
+
+_MESSAGES = 2
+"""Messages of one exchange: what is known here, then what the other VM lacks."""
 
 
 class Loops:
-    """Runs everything of a daemon that happens by itself.
+    """Runs the periodic work of a daemon.
 
     Args:
-        node: This VM's view.
-        platform: The platform's service.
-        peers: Calls to other entry VMs.
-        backend: Calls to backend servers.
+        node: This VM's state.
+        platform: Client of the store.
+        peers: Client of other entry VMs.
+        backend: Client of backend servers.
         clock: Source of time.
         rng: Source of randomness.
     """
@@ -77,7 +108,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def changed(self) -> None:
-        """Tell others at once that a newer document is held here."""
+        """Send a newer document that is held here to other VMs at once."""
         self._changed.set()
 
     async def _tick_loop(self) -> None:
@@ -89,8 +120,8 @@
         await asyncio.sleep(TICK_S)
 
     async def _exchange_loop(self) -> None:
-        await self.exchange_with(self.partners(2))
-        await asyncio.sleep(EXCHANGE_S * self.rng.uniform(0.8, 1.2))
+        await self.exchange_with(self.partners(_FAR_PARTNERS))
+        await asyncio.sleep(self._jittered(EXCHANGE_S))
 
     async def _change_loop(self) -> None:
         await self._changed.wait()
@@ -98,19 +129,23 @@
         await self.exchange_with(self.partners(_CHANGE_FANOUT))
 
     def partners(self, others: int) -> list[str]:
-        """Return the peer addresses to exchange with now; listed ones when none are known."""
+        """Return the peer addresses to exchange with now; listed ones when none are known.
+
+        Args:
+            others: VMs of other halls to choose.
+        """
         partners = choose_partners(self.node, self.rng, self.clock.monotonic(), others=others)
         unknown = [address for address in self.reader.listed if address not in partners]
-        return partners or self.rng.sample(unknown, min(2, len(unknown)))
+        return partners or self.rng.sample(unknown, min(_SEED_PARTNERS, len(unknown)))
 
     async def exchange_with(self, addresses: list[str]) -> None:
-        """Exchange what is known with some entry VMs at once."""
+        """Exchange members and documents with some entry VMs at once."""
         await asyncio.gather(*(self._exchange_one(address) for address in addresses))
 
     async def _exchange_one(self, address: str) -> None:
         before = self.node.shelf.revisions()
         message = self.exchange.ask()
-        for _ in range(2):
+        for _ in range(_MESSAGES):
             reply = await self.peers.exchange(address, message)
             if reply is None:
                 return
@@ -123,10 +158,13 @@
 
     async def _plan_loop(self) -> None:
         await self.plans.step()
-        await asyncio.sleep(PLAN_S * self.rng.uniform(0.8, 1.2))
+        await asyncio.sleep(self._jittered(PLAN_S))
+
+    def _jittered(self, mean_s: float) -> float:
+        return mean_s * self.rng.uniform(1.0 - _JITTER, 1.0 + _JITTER)
 
     async def _probe_loop(self) -> None:
-        """Ask the backend servers of this hall how they are."""
+        """Probe the backend servers of this hall for a report that they are leaving."""
         admissions = self.node.hall.admissions.values()
         work = [(a, server) for a in admissions for server in list(a.servers)]
         await asyncio.gather(*(self._probe(a, server) for a, server in work))
