--- a/sprucewinch/hall/metrics.py
+++ b/sprucewinch/hall/metrics.py
@@ -116,9 +116,9 @@
         """Record the free part of the usable slots, in `[0, 1]`."""
         _of(self.headroom, label).record_value(max(_LOWEST, int(headroom * _HEADROOM_SCALE)))
 
-    def drained(self, thing: str, seconds: float) -> None:
+    def drained(self, key: str, seconds: float) -> None:
         """Record the duration of a drain, from the change to the last request, in seconds."""
-        self.drains[thing] = seconds
+        self.drains[key] = seconds
 
     def report(self) -> dict[str, Any]:
         """Return all metrics as plain values; latency in milliseconds, drains in seconds."""
@@ -137,8 +137,8 @@
                 for label, histogram in sorted(self.headroom.items())
             ],
             "drains": [
-                {"thing": thing, "seconds": round(seconds, _DRAIN_DIGITS)}
-                for thing, seconds in sorted(self.drains.items())
+                {"thing": key, "seconds": round(seconds, _DRAIN_DIGITS)}
+                for key, seconds in sorted(self.drains.items())
             ],
         }
 
--- a/sprucewinch/hall/planning/plan_rounds.py
+++ b/sprucewinch/hall/planning/plan_rounds.py
@@ -1,19 +1,10 @@
-"""The rule of the planner's lease: does this VM plan for its region's callers now?
+"""Planning rounds: keeps the planner's lease, makes plans with `planner` and writes them.
 
-Owns the planner while this VM holds the lease, and the time of its last renewal. Relies on the
-store for the lease and for compare-and-swap of plans, on `planner` for the plan itself, and on the
-node for the configuration, the members and the measures.
-
-The rule: only a VM that serves and is among the first `_CANDIDATES` of its region by name asks for
-the lease, and renews it every `_LEASE_RENEW_S`. The lease is an optimization, not a lock: a plan
-takes effect by compare-and-swap, and a planner whose write fails or stays unknown starts again from
-the stored plan. Without the store nobody plans and the shares in force stay.
-
-Why this way: a lock would have to be trusted by a VM that was paused; compare-and-swap needs no
-trust (docs/DESIGN.md, "Who plans"). Constants: `LEASE_S`, `_LEASE_RENEW_S`, `_CANDIDATES`. The
-result shows as `event=planner`, and in the counters `plan_rounds_without_store`,
-`plan_writes_unknown` and `plan_writes_overtaken`. Tests: `tests.test_formats_own_lines`,
-`tests.test_plan_rounds`, `tests.test_process_faults`.
+Owns the planner while this VM holds the lease. Relies on `planner_lease` for when to ask, on
+`planner` for the plan, on the store for the lease and for compare-and-swap, and on the node for
+configuration, members and measures. A round that comes to nothing shows in the counters
+`plan_rounds_without_store`, `plan_writes_unknown` and `plan_writes_overtaken`. Tests:
+`tests.test_plan_rounds`, `tests.test_formats_own_lines`.
 """
 
 import random
@@ -33,20 +24,9 @@
 from ..store.store import Platform, Written
 from ..store.store_reader import PlatformReader
 from .planner import Planner
+from .planner_lease import LEASE_S, LeaseRenewal, is_candidate
 from .steering import Plan
 
-LEASE_S = 6.0
-"""Duration of the lease, in seconds: three renewals, so that two may be lost. A guess, never
-measured."""
-
-_LEASE_RENEW_S = 2.0
-"""Time between two renewals, in seconds. docs/CAPACITY.md computes 52 writes a second from it at
-2,800 VMs, of 400 that the store bears; the figure itself is a guess, never measured."""
-
-_CANDIDATES = 2
-"""VMs of a region that ask for its lease: one that plans and one that replaces it. Bounded for the
-store's writes (docs/CAPACITY.md); the figure itself is a guess, never measured."""
-
 
 class PlanRounds:
     """Makes this region's plans and writes them to the store.
@@ -75,7 +55,7 @@
         self.clock = clock
         self.rng = rng
         self.changed = changed
-        self._lease_at = float("-inf")
+        self._renewal = LeaseRenewal()
         self._planner: Optional[Planner] = None
 
     async def step(self) -> None:
@@ -86,7 +66,7 @@
             # The counter is enough: the reader logs the outage and its reason as `event=platform`.
             self._count("plan_rounds_without_store")
             self._planner = None
-            self._lease_at = float("-inf")
+            self._renewal.forget()
 
     def _count(self, name: str) -> None:
         self.node.metrics.counters[name] += 1
@@ -112,23 +92,24 @@
             await self._write_plan(key, plan)
 
     def _may_plan(self, now: float) -> bool:
-        """Return whether this VM is among the first of its region by name."""
+        """Return whether this VM may ask for its region's lease."""
         topology = self.node.topology
         region = self.node.settings.region
         if topology is None or region not in topology.order:
             return False
         members = self.node.membership.serving(now)
-        names = sorted(m.vm for m in members if m.region == region)
-        return self.node.own.vm in names[:_CANDIDATES]
+        return is_candidate(self.node.own.vm, (m.vm for m in members if m.region == region))
 
     async def _hold_lease(self, now: float) -> bool:
-        if now - self._lease_at < _LEASE_RENEW_S:
+        """Return whether this VM holds the lease; renew it when that is due."""
+        if not self._renewal.due(now):
             return self._planner is not None
-        self._lease_at = now
+        self._renewal.asked(now)
         name = f"planner/{self.node.settings.region}"
         return await self.platform.lease(name, member_id(self.node.own), LEASE_S)
 
     async def _adopt(self, key: str, region: str) -> None:
+        """Start a planner from the newest plan: the stored one, or the one in force here."""
         entry = await self.platform.get(key)
         held = None
         if entry is not None:
--- a/sprucewinch/hall/store/http_store.py
+++ b/sprucewinch/hall/store/http_store.py
@@ -5,7 +5,7 @@
 """
 
 import base64
-from typing import Any, Optional, Union
+from typing import Any, Optional, TypeVar, Union
 
 import aiohttp
 import msgspec
@@ -14,6 +14,8 @@
 from ...net.http_client import make_session
 from .store import Entry, Mismatch, Platform, VmListing, Written
 
+_Answer = TypeVar("_Answer")
+
 _TIMEOUT_S = 3.0
 """Longest wait for an answer, in seconds, on top of a watch's own wait. A guess, never measured."""
 
@@ -31,6 +33,49 @@
 """HTTP status: the key holds no value."""
 
 
+class _StoredValue(msgspec.Struct):
+    """One value as the service sends it; `value` is base64 text on the wire."""
+
+    key: str
+    version: int
+    value: str
+
+    def entry(self) -> Entry:
+        return Entry(self.key, self.version, base64.b64decode(self.value))
+
+
+class _StoredValues(msgspec.Struct):
+    """The answer to a watch."""
+
+    entries: list[_StoredValue]
+
+
+class _Version(msgspec.Struct):
+    """The answer to a write: the version written, or the one that the key holds."""
+
+    version: int
+
+
+class _LeaseAnswer(msgspec.Struct):
+    """The answer to a request for a lease."""
+
+    held: bool
+
+
+class _VmRow(msgspec.Struct):
+    """One row of the list of VMs."""
+
+    kind: str
+    address: str
+    leaving: bool
+
+
+class _Vms(msgspec.Struct):
+    """The list of VMs."""
+
+    vms: list[_VmRow]
+
+
 class HttpPlatform(Platform):
     """A client of the platform's service.
 
@@ -50,37 +95,38 @@
         status, body = await self._call("GET", f"/v1/values/{key}")
         if status == _NOT_FOUND:
             return None
-        return _entry(self._expect(status, body))
+        return self._expect(status, body, _StoredValue).entry()
 
     async def put(self, key: str, value: bytes, expected: int) -> Union[Written, Mismatch]:
         """Write a value if the key holds the expected version."""
         params = {"expected": str(expected)}
         status, body = await self._call("PUT", f"/v1/values/{key}", params, value, writes=True)
         if status == _MISMATCH:
-            return Mismatch(body["version"])
-        return Written(self._expect(status, body)["version"])
+            return Mismatch(msgspec.convert(body, _Version).version)
+        return Written(self._expect(status, body, _Version).version)
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> list[Entry]:
         """Wait for entries under a prefix that are newer than a version."""
         params = {"prefix": prefix, "after": str(after), "wait_s": str(wait_s)}
         status, body = await self._call("GET", "/v1/watch", params, wait_s=wait_s)
-        return [_entry(row) for row in self._expect(status, body)["entries"]]
+        return [row.entry() for row in self._expect(status, body, _StoredValues).entries]
 
     async def lease(self, name: str, holder: str, ttl_s: float) -> bool:
         """Take or renew a lease."""
         params = {"holder": holder, "ttl_s": str(ttl_s)}
         status, body = await self._call("POST", f"/v1/leases/{name}", params)
-        return bool(self._expect(status, body)["held"])
+        return self._expect(status, body, _LeaseAnswer).held
 
     async def release(self, name: str, holder: str) -> None:
         """Release a lease."""
         status, body = await self._call("DELETE", f"/v1/leases/{name}", {"holder": holder})
-        self._expect(status, body)
+        self._expect(status, body, object)
 
     async def members(self) -> list[VmListing]:
         """Return the list of live and leaving VMs."""
         status, body = await self._call("GET", "/v1/vms")
-        return [VmListing(**row) for row in self._expect(status, body)["vms"]]
+        rows = self._expect(status, body, _Vms).vms
+        return [VmListing(row.kind, row.address, row.leaving) for row in rows]
 
     async def close(self) -> None:
         """Close all connections."""
@@ -115,13 +161,14 @@
                 raise WriteUnknownError(problem, "read the value back") from None
             raise PlatformError(problem, _REMEDY) from None
 
-    def _expect(self, status: int, body: Any) -> Any:
+    def _expect(self, status: int, body: Any, answer: type[_Answer]) -> _Answer:
+        """Return the body of an answer as its type.
+
+        Raises:
+            PlatformError: When the service refuses the call.
+        """
         if status == _OK:
-            return body
+            return msgspec.convert(body, answer)
         retry_after_s = float(body.get("retry_after_s", 0)) if isinstance(body, dict) else 0.0
         problem = "the platform's rate limit is reached" if status == _TOO_MANY else "refused"
         raise PlatformError(f"{problem} (status {status})", _REMEDY, retry_after_s)
-
-
-def _entry(row: Any) -> Entry:
-    return Entry(row["key"], row["version"], base64.b64decode(row["value"]))
--- a/sprucewinch/hall/store/store_reader.py
+++ b/sprucewinch/hall/store/store_reader.py
@@ -1,9 +1,13 @@
-"""Reads the store: its documents and its list of VMs.
+"""Reads the store: its documents and its list of VMs. The rule of who watches stands here.
 
 Owns the versions read so far, the listed VMs and whether the store is reachable. Relies on the
-store's client for calls and on the node for the documents in force. One VM of each hall watches,
-the others poll rarely: at 2,800 VMs watches of all would exceed the store's reads
-(docs/CAPACITY.md, "Platform use").
+store's client for calls and on the node for the documents in force and the members of the hall.
+
+The rule: does this VM watch the store, or poll it rarely? The first live VM of each hall by name
+watches, since changes spread from it to its hall by exchange; the others poll every `POLL_S`.
+Fewer watches mean fewer calls to the store for each change (docs/CAPACITY.md, "Platform use"). The
+log does not show which VM watches; it shows an outage as `event=platform`. Tests:
+`tests.test_formats_own_lines`, `tests.test_process_configuration`.
 """
 
 import asyncio
