--- a/sprucewinch/hall/loops.py
+++ b/sprucewinch/hall/loops.py
@@ -84,7 +84,7 @@
         self.exchange = Exchange(node)
         self._changed = asyncio.Event()
         self.reader = PlatformReader(node, platform, clock, rng, self.changed)
-        self.plans = PlanRounds(node, platform, self.reader, clock, rng, self.changed)
+        self.plans = PlanRounds(node, platform, self.reader, clock, self.changed)
         self._tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
--- a/sprucewinch/hall/planning/plan_rounds.py
+++ b/sprucewinch/hall/planning/plan_rounds.py
@@ -7,7 +7,6 @@
 `tests.test_plan_rounds`, `tests.test_formats_own_lines`.
 """
 
-import random
 from collections.abc import Callable
 from typing import Optional
 
@@ -36,7 +35,6 @@
         platform: Client of the store.
         reader: Keeps the versions that the store holds.
         clock: Source of time.
-        rng: Source of randomness.
         changed: Called after a new plan was written.
     """
 
@@ -46,14 +44,12 @@
         platform: Platform,
         reader: PlatformReader,
         clock: Clock,
-        rng: random.Random,
         changed: Callable[[], None],
     ) -> None:
         self.node = node
         self.platform = platform
         self.reader = reader
         self.clock = clock
-        self.rng = rng
         self.changed = changed
         self._renewal = LeaseRenewal()
         self._planner: Optional[Planner] = None
--- a/tests/test_formats_own_lines.py
+++ b/tests/test_formats_own_lines.py
@@ -55,8 +55,7 @@
 
 def rounds_of(vm: OwnVm) -> PlanRounds:
     """Return what plans at a VM."""
-    rng = random.Random(1)
-    return PlanRounds(vm.node, vm.platform, reader_of(vm), StillClock(), rng, no_change)
+    return PlanRounds(vm.node, vm.platform, reader_of(vm), StillClock(), no_change)
 
 
 def full_listener() -> PeerListener:
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -15,10 +15,9 @@
 
 def rounds_at(vm: OwnVm) -> PlanRounds:
     """Return the planning rounds of a VM."""
-    rng = random.Random(1)
     clock = StillClock()
-    reader = PlatformReader(vm.node, vm.platform, clock, rng, lambda: None)
-    return PlanRounds(vm.node, vm.platform, reader, clock, rng, lambda: None)
+    reader = PlatformReader(vm.node, vm.platform, clock, random.Random(1), lambda: None)
+    return PlanRounds(vm.node, vm.platform, reader, clock, lambda: None)
 
 
 class FailedRounds(unittest.IsolatedAsyncioTestCase):
