--- a/sprucewinch/hall/planning/plan_rounds.py
+++ b/sprucewinch/hall/planning/plan_rounds.py
@@ -1,6 +1,12 @@
-"""Planning for one region's callers, while this VM holds the lease."""
+"""Planning rounds: keeps the planner's lease, makes plans with `planner` and writes them.
+
+Owns the planner while this VM holds the lease. Relies on `planner_lease` for when to ask, on
+`planner` for the plan, on the store for the lease and for compare-and-swap, and on the node for
+configuration, members and measures. A round that comes to nothing shows in the counters
+`plan_rounds_without_store`, `plan_writes_unknown` and `plan_writes_overtaken`. Tests:
+`tests.test_plan_rounds`, `tests.test_formats_own_lines`.
+"""
 
-import random
 from collections.abc import Callable
 from typing import Optional
 
@@ -17,24 +23,19 @@
 from ..store.store import Platform, Written
 from ..store.store_reader import PlatformReader
 from .planner import Planner
+from .planner_lease import LEASE_S, LeaseRenewal, is_candidate
 from .steering import Plan
 
-LEASE_S = 6.0
-_LEASE_RENEW_S = 2.0
-_CANDIDATES = 2
-"""How many VMs of a region ask for its lease."""
-
 
 class PlanRounds:
-    """Makes this region's plans and writes them to the platform.
+    """Makes this region's plans and writes them to the store.
 
     Args:
-        node: This VM's view.
-        platform: The platform's service.
-        reader: Knows the versions that the platform holds.
+        node: This VM's state.
+        platform: Client of the store.
+        reader: Keeps the versions that the store holds.
         clock: Source of time.
-        rng: Source of randomness.
-        changed: Called when a new plan was written.
+        changed: Called after a new plan was written.
     """
 
     def __init__(
@@ -43,25 +44,28 @@
         platform: Platform,
         reader: PlatformReader,
         clock: Clock,
-        rng: random.Random,
         changed: Callable[[], None],
     ) -> None:
         self.node = node
         self.platform = platform
         self.reader = reader
         self.clock = clock
-        self.rng = rng
         self.changed = changed
-        self._lease_at = float("-inf")
+        self._renewal = LeaseRenewal()
         self._planner: Optional[Planner] = None
 
     async def step(self) -> None:
-        """Plan once, if this VM holds the lease; without the platform plans rest."""
+        """Plan once if this VM holds the lease; without the store the shares in force stay."""
         try:
             await self._plan()
         except PlatformError:
+            # The counter is enough: the reader logs the outage and its reason as `event=platform`.
+            self._count("plan_rounds_without_store")
             self._planner = None
-            self._lease_at = float("-inf")
+            self._renewal.forget()
+
+    def _count(self, name: str) -> None:
+        self.node.metrics.counters[name] += 1
 
     async def _plan(self) -> None:
         topology = self.node.topology
@@ -84,23 +88,24 @@
             await self._write_plan(key, plan)
 
     def _may_plan(self, now: float) -> bool:
-        """Few VMs ask for the lease: the first of the region by name."""
+        """Return whether this VM may ask for its region's lease."""
         topology = self.node.topology
         region = self.node.settings.region
         if topology is None or region not in topology.order:
             return False
         members = self.node.membership.serving(now)
-        names = sorted(m.vm for m in members if m.region == region)
-        return self.node.own.vm in names[:_CANDIDATES]
+        return is_candidate(self.node.own.vm, (m.vm for m in members if m.region == region))
 
     async def _hold_lease(self, now: float) -> bool:
-        if now - self._lease_at < _LEASE_RENEW_S:
+        """Return whether this VM holds the lease; renew it when that is due."""
+        if not self._renewal.due(now):
             return self._planner is not None
-        self._lease_at = now
+        self._renewal.asked(now)
         name = f"planner/{self.node.settings.region}"
         return await self.platform.lease(name, member_id(self.node.own), LEASE_S)
 
     async def _adopt(self, key: str, region: str) -> None:
+        """Start a planner from the newest plan: the stored one, or the one in force here."""
         entry = await self.platform.get(key)
         held = None
         if entry is not None:
@@ -121,9 +126,12 @@
         try:
             result = await self.platform.put(key, value, self.reader.versions.get(key, 0))
         except WriteUnknownError:
+            # The next round reads the stored plan, so the counter is enough.
+            self._count("plan_writes_unknown")
             self._planner = None
             return
         if not isinstance(result, Written):
+            self._count("plan_writes_overtaken")
             self._planner = None
             return
         self.reader.versions[key] = result.version
