--- a/sprucewinch/hall/requests/admission.py
+++ b/sprucewinch/hall/requests/admission.py
@@ -1,4 +1,19 @@
-"""Admission: which backend server runs a request, or why none does now."""
+"""The rule on admission: which backend server runs a request now, or why does none?
+
+Inputs: for each server of the service the slots that this VM may use, the slots in use, and the
+monotonic times in seconds until which it is paused, leaving or cold; the servers that the request
+has tried.
+The rule: draining, leaving, paused and tried servers are passed over. Of the others the one with
+the smallest used part of its slots takes the request; ties are broken at random. A cold server
+counts as having one slot. A freed slot goes to the request that waits longest.
+Why: each slot belongs to one VM (`slots`), so the choice needs no word from another VM. Counting
+on a server's own refusals alone would make overload the usual way to find the limit
+(docs/DESIGN.md, "Requests").
+Constants: `SHED_PAUSE_S`, `FAIL_PAUSE_S`, `COLD_S`, `MAX_WAITING` and `_LATENCY_WEIGHT` below, all
+guesses.
+Where it shows: refusals counted as `no-room` or `no-backend-server`, the counter `shed`.
+Tests: `tests.test_admission`.
+"""
 
 import random
 from collections import deque
@@ -8,17 +23,31 @@
 from ...net.outcome import Reason, Refusal, not_run
 
 SHED_PAUSE_S = 0.25
-"""How long a backend server that shed a request is left alone."""
+"""Time for which a backend server that shed a request gets no new one, in seconds. A guess, never
+measured."""
 
 FAIL_PAUSE_S = 1.0
-"""How long a backend server that could not be reached is left alone."""
+"""Time for which a backend server that could not be reached gets no request, in seconds. A guess,
+never measured."""
 
 COLD_S = 3.0
-"""How long a backend server that starts afresh is given fewer requests."""
+"""Time for which a server that was unreachable gets one request at once, in seconds, counted from
+the end of its pause. A guess, never measured."""
+
+MAX_WAITING = 64
+"""Most requests of one service that wait for a slot at this VM. A guess, never measured."""
+
+_LATENCY_WEIGHT = 0.1
+"""Weight of the newest request in a server's mean time, in [0, 1]. A guess, never measured."""
+
+_COLD_SLOTS = 1
+"""Slots of a cold server: the smallest number that still shows whether it answers."""
 
 
 class ServerState:
-    """What this entry VM knows of one backend server of its hall.
+    """The state of one backend server of this hall, as this entry VM knows it.
+
+    Times are monotonic, in seconds.
 
     Args:
         address: `IP:PORT`.
@@ -44,6 +73,35 @@
         self.warm_from = float("-inf")
         self.latency_ms: Optional[float] = None
 
+    def is_open(self, now: float) -> bool:
+        """Return whether the server takes new requests: it is neither paused nor leaving."""
+        return self.paused_until <= now and self.leaving_until <= now
+
+    def allowed(self, usable: int, now: float) -> int:
+        """Return how many of the usable slots may be in use now; fewer while it is cold."""
+        if now - self.warm_from >= COLD_S:
+            return usable
+        return min(usable, _COLD_SLOTS)
+
+    def record_latency(self, latency_ms: float) -> None:
+        """Record a complete answer and the time it took, in milliseconds."""
+        if self.latency_ms is None:
+            self.latency_ms = latency_ms
+        self.latency_ms += _LATENCY_WEIGHT * (latency_ms - self.latency_ms)
+
+    def mark_shed(self, now: float) -> None:
+        """Pause the server after it refused a request for want of room."""
+        self.paused_until = now + SHED_PAUSE_S
+
+    def mark_failed(self, now: float) -> None:
+        """Pause the server after it could not be reached; it is cold afterwards."""
+        self.paused_until = now + FAIL_PAUSE_S
+        self.warm_from = self.paused_until
+
+    def mark_leaving(self, until: float) -> None:
+        """Give the server no new request until some time; a later time stands."""
+        self.leaving_until = max(self.leaving_until, until)
+
 
 class Slot:
     """A slot of a backend server, held by one request until it is released."""
@@ -58,8 +116,6 @@
 Waiter = Callable[[Slot], bool]
 """Takes a freed slot; returns False when the request has gone and the slot is free again."""
 
-_LATENCY_WEIGHT = 0.1
-
 
 class Admission:
     """Gives out the slots of one service that this entry VM may use.
@@ -75,7 +131,7 @@
         usable: Callable[[str, float], int],
         rng: random.Random,
         *,
-        max_waiting: int = 64,
+        max_waiting: int = MAX_WAITING,
     ) -> None:
         self.usable = usable
         self.rng = rng
@@ -85,7 +141,7 @@
         self.waiting: deque[Waiter] = deque()
 
     def set_servers(self, service: str, addresses: Iterable[str]) -> None:
-        """Take over the list of backend servers; requests on removed ones go on."""
+        """Set the list of backend servers; requests on removed ones go on."""
         kept = self.servers
         self.servers = {a: kept.get(a) or ServerState(a, service) for a in addresses}
 
@@ -151,54 +207,31 @@
                 free.released = True
                 free.server.in_use -= 1
 
-    def succeeded(self, server: ServerState, latency_ms: float) -> None:
-        """Note a complete answer and the time it took, in milliseconds."""
-        if server.latency_ms is None:
-            server.latency_ms = latency_ms
-        server.latency_ms += _LATENCY_WEIGHT * (latency_ms - server.latency_ms)
-
-    def shed(self, server: ServerState, now: float) -> None:
-        """Note that a backend server refused a request for want of room."""
-        server.paused_until = now + SHED_PAUSE_S
-
-    def failed(self, server: ServerState, now: float) -> None:
-        """Note that a backend server could not be reached; it comes back cold."""
-        server.paused_until = now + FAIL_PAUSE_S
-        server.warm_from = server.paused_until
-
     def leaving(self, address: str, until: float) -> None:
-        """Note that a backend server takes no new work until some time."""
+        """Mark a backend server as leaving until some time; an unknown address is passed over."""
         server = self.servers.get(address)
         if server is not None:
-            server.leaving_until = max(server.leaving_until, until)
+            server.mark_leaving(until)
 
     def leaving_servers(self, now: float) -> list[str]:
-        """Return the backend servers that said themselves that they are leaving."""
+        """Return the addresses of the backend servers that are marked as leaving."""
         return [s.address for s in self.servers.values() if s.leaving_until > now]
 
     def _open(self, now: float) -> list[ServerState]:
         return [
             server
             for server in self.servers.values()
-            if server.address not in self.drained
-            and server.paused_until <= now
-            and server.leaving_until <= now
+            if server.address not in self.drained and server.is_open(now)
         ]
 
     def _least_used(self, servers: list[ServerState], now: float) -> Optional[ServerState]:
         best: Optional[ServerState] = None
         least = (1.0, 0.0)
         for server in servers:
-            allowed = self._allowed(server, now)
+            allowed = server.allowed(self.usable(server.address, now), now)
             if server.in_use >= allowed:
                 continue
             key = (server.in_use / allowed, self.rng.random())
             if best is None or key < least:
                 best, least = server, key
         return best
-
-    def _allowed(self, server: ServerState, now: float) -> int:
-        usable = self.usable(server.address, now)
-        if now - server.warm_from >= COLD_S:
-            return usable
-        return min(usable, 1)
--- a/sprucewinch/hall/requests/local.py
+++ b/sprucewinch/hall/requests/local.py
@@ -93,9 +93,9 @@
         if attempt.leaving:
             admission.leaving(server.address, now + LEAVING_S)
         if attempt.shed:
-            admission.shed(server, now)
+            server.mark_shed(now)
             self.node.metrics.counters["shed"] += 1
         elif attempt.refusal is None:
-            admission.succeeded(server, (now - started) * 1000)
+            server.record_latency((now - started) * 1000)
         elif not attempt.leaving and attempt.refusal.reason is Reason.BACKEND_FAILED:
-            admission.failed(server, now)
+            server.mark_failed(now)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -72,11 +72,11 @@
     def end(self, index: int, fate: str) -> None:
         slot = self.running.pop(index % len(self.running))
         if fate == "shed":
-            self.admission.shed(slot.server, self.now)
+            slot.server.mark_shed(self.now)
         elif fate == "failed":
-            self.admission.failed(slot.server, self.now)
+            slot.server.mark_failed(self.now)
         else:
-            self.admission.succeeded(slot.server, 10.0)
+            slot.server.record_latency(10.0)
         self.admission.release(slot, self.now)
         self.admission.release(slot, self.now)
 
@@ -142,7 +142,7 @@
 
     def test_server_that_shed_rests(self) -> None:
         made = admission()
-        made.shed(made.servers[SERVERS[0]], 0.0)
+        made.servers[SERVERS[0]].mark_shed(0.0)
         self.assertEqual(made.capacity(0.1), 4)
         self.assertEqual(made.capacity(SHED_PAUSE_S), 6)
 
@@ -150,7 +150,7 @@
         made = admission()
         made.set_servers("rates", SERVERS[:1])
         server = made.servers[SERVERS[0]]
-        made.failed(server, 0.0)
+        server.mark_failed(0.0)
         self.assertEqual(made.acquire(0.5).reason, Reason.NO_BACKEND_SERVER)
         back = FAIL_PAUSE_S + 0.1
         self.assertIsInstance(made.acquire(back), Slot)
