--- a/sprucewinch/hall/requests/once.py
+++ b/sprucewinch/hall/requests/once.py
@@ -1,4 +1,16 @@
-"""The filter that lets an operation that must not run twice run at most once."""
+"""The filter that lets an operation that must not run twice run at most once.
+
+Inputs: the request with its ticket, and the home that the ticket names.
+The rule: at the home the ticket is claimed, the operation runs, and the claim is settled whatever
+happens; a repeat gets the recorded answer. Elsewhere the request goes to the home, and is
+`ticket-home-lost` (*unknown*) without it. A refusal given before the home has seen the ticket is
+*unknown* too.
+Why: only the home knows whether the operation ran, so no other process may say that it did not.
+Constants: none here; those of `tickets` hold.
+Where it shows: refusals counted by their `ticket-...` and `already-...` reasons.
+Tests: `tests.test_callers.NotRunIsTrue`, `tests.test_process_requests.Requests`,
+`tests.test_process_faults.Faults`.
+"""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple, Optional, Union
@@ -13,7 +25,7 @@
 from .tickets import Answer, Claim, Ticket, TicketBook, parse_ticket
 
 Run = Callable[[Request, Responder], Awaitable[Attempt]]
-"""Runs a request and says what came of it."""
+"""Runs a request and returns the result."""
 
 
 class Away(NamedTuple):
@@ -26,7 +38,7 @@
     """Claims an operation's ticket, runs the operation, and settles the claim.
 
     Args:
-        node: This VM's view.
+        node: This VM's state.
         peers: Sends requests to other entry VMs.
         clock: Source of time.
         run: Runs a request that may run now.
@@ -54,10 +66,11 @@
         return await self._run_claim(claimed, request, responder)
 
     def certain(self, refusal: Refusal, text: Optional[str]) -> Refusal:
-        """Return a refusal that is true also when the operation came before.
+        """Return a refusal that is true also when the operation ran before.
 
-        A refusal given before the ticket's home has looked at the ticket says nothing about an
-        earlier request under it. At the home an unused ticket is closed, so that it never runs.
+        A refusal given before the ticket's home has seen the ticket holds for this request only,
+        not for an earlier one under it. At the home an unused ticket is closed, so that it never
+        runs.
 
         Args:
             refusal: The refusal of this request alone.
@@ -104,7 +117,7 @@
     async def _to_home(
         self, ticket: Ticket, request: Request, responder: Responder
     ) -> Optional[Refusal]:
-        """Hand an operation to its ticket's home; without the home its fate is unknown."""
+        """Hand an operation to its ticket's home; without the home its outcome is unknown."""
         home = self.node.membership.find(ticket.vm)
         if home is None or home.incarnation != ticket.incarnation or home is self.node.own:
             return unknown(Reason.TICKET_HOME_LOST)
@@ -119,7 +132,7 @@
 
 
 def _fingerprint(request: Request) -> str:
-    """Return what tells two different operations under one ticket apart."""
+    """Return a text that differs for different operations under one ticket."""
     lengths = [value for name, value in request.headers if name.lower() == "content-length"]
     return f"{request.method} {request.target} {':'.join(lengths)} {hash(request.body.first)}"
 
--- a/sprucewinch/hall/requests/tickets.py
+++ b/sprucewinch/hall/requests/tickets.py
@@ -1,9 +1,17 @@
-"""Tickets: at most one run of an operation that must not run twice.
-
-A ticket names one entry VM and one incarnation of it, its home. Only the home may dispatch the
-operation, and it remembers every ticket it has seen until the ticket has expired. Whatever is
-lost, cut off or replaced, no second process can run the operation; what is given up is an answer
-better than *unknown* when the home itself is gone.
+"""The rule on tickets: may an operation that must not run twice run now under its ticket?
+
+Inputs: the ticket, the service and the fingerprint of the request, and the monotonic time in
+seconds.
+The rule: a ticket names one entry VM and one incarnation of it, its home. Only the home may run the
+operation, once, within the ticket's lifetime. It keeps the outcome for the retention after that and
+answers each repeat with it; a ticket that was refused never runs later.
+Why: whatever is lost, cut off or replaced, no second process can run the operation. A write to the
+platform for each operation and an owner by hash with a lease were weighed (docs/DESIGN.md, "At most
+once"). The price: when the home is gone, its operations are *unknown*.
+Constants: `LIFETIME_S`, `RETENTION_S`, `MAX_OPEN`, `KEPT_ANSWER_BYTES` and `MAX_BATCH` below, all
+guesses.
+Where it shows: refusals counted by their `ticket-...` and `already-...` reasons.
+Tests: `tests.test_tickets`, `tests.test_callers.NotRunIsTrue`, `tests.test_process_requests`.
 """
 
 import hashlib
@@ -14,10 +22,31 @@
 from ...net.outcome import Outcome, Reason, Refusal, not_run, unknown
 
 _SEPARATOR = ":"
+
 _MAC_BYTES = 10
-_FIELDS = 5
+"""Length of a ticket's keyed digest, in bytes: a guessed digest is right once in 2**80 times."""
+
 MAX_BATCH = 64
-"""Most tickets given out in one answer."""
+"""Most tickets issued in one answer. A guess, never measured."""
+
+LIFETIME_S = 300.0
+"""Time within which a ticket may be used, in seconds. A guess, never measured."""
+
+RETENTION_S = 600.0
+"""Time after the lifetime for which a ticket's outcome is kept, in seconds. A guess, never
+measured."""
+
+MAX_OPEN = 50_000
+"""Most tickets kept at once. A guess, never measured."""
+
+KEPT_ANSWER_BYTES = 4 << 20
+"""Most bytes of answers kept for repeats. A guess, never measured."""
+
+_RUNNING_RETRY_AFTER_MS = 1000
+"""Retry-After of an operation that still runs, in milliseconds. A guess, never measured."""
+
+_SHORTEST_TABLE_WAIT_S = 1.0
+"""Shortest Retry-After of a full table, in seconds. A guess, never measured."""
 
 
 class Ticket(NamedTuple):
@@ -38,22 +67,25 @@
     mac: str
 
     def __str__(self) -> str:
-        return _SEPARATOR.join((self.vm, f"{self.incarnation:x}", f"{self.number:x}", *self[3:]))
+        numbers = (f"{self.incarnation:x}", f"{self.number:x}")
+        return _SEPARATOR.join((self.vm, *numbers, self.service, self.mac))
 
 
 def parse_ticket(text: str) -> Optional[Ticket]:
     """Parse a ticket's text; None when it is no ticket."""
     parts = text.split(_SEPARATOR)
-    if len(parts) != _FIELDS:
+    if len(parts) != len(Ticket._fields):
         return None
+    vm, incarnation, number, service, mac = parts
     try:
-        return Ticket(parts[0], int(parts[1], 16), int(parts[2], 16), parts[3], parts[4])
+        return Ticket(vm, int(incarnation, 16), int(number, 16), service, mac)
     except ValueError:
+        # None is the result for any text that is no ticket; callers refuse it as `ticket-invalid`.
         return None
 
 
 class Answer(NamedTuple):
-    """A complete answer kept so that a caller's repeated request can be given it again."""
+    """A complete answer, kept for repeats of its request."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -78,20 +110,55 @@
 
 
 class _Batch(NamedTuple):
+    """Tickets issued in one answer.
+
+    Args:
+        expires_at: Monotonic time at which their lifetime ends, in seconds.
+        end: Number after that of its last ticket.
+    """
+
     expires_at: float
     end: int
 
 
+class _AnswerCache:
+    """The answers kept for repeats; beyond its limit the oldest are dropped.
+
+    Args:
+        limit_bytes: Most bytes of bodies.
+    """
+
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
+        self.kept_bytes = 0
+        self.claims: OrderedDict[int, Claim] = OrderedDict()
+
+    def keep(self, claim: Claim, answer: Answer) -> None:
+        """Keep the answer of a claim that has none yet."""
+        claim.answer = answer
+        self.claims[claim.number] = claim
+        self.kept_bytes += len(answer.body)
+        while self.kept_bytes > self.limit_bytes:
+            self.drop(next(iter(self.claims)))
+
+    def drop(self, number: int) -> None:
+        """Drop the answer of a ticket's number, if one is kept."""
+        claim = self.claims.pop(number, None)
+        if claim is not None and claim.answer is not None:
+            self.kept_bytes -= len(claim.answer.body)
+            claim.answer = None
+
+
 class TicketBook:
-    """Issues tickets and remembers what became of them.
+    """Issues tickets and keeps the outcome of each.
 
     Args:
         vm: Name of this entry VM.
         incarnation: Incarnation of this process.
         key: Secret of this process; never leaves it.
-        lifetime_s: How long a ticket may be used, in seconds.
-        retention_s: How long after that its fate is remembered, in seconds.
-        max_open: Most tickets remembered at once.
+        lifetime_s: Time within which a ticket may be used, in seconds.
+        retention_s: Time after that for which its outcome is kept, in seconds.
+        max_open: Most tickets kept at once.
         answer_bytes: Most bytes of answers kept.
     """
 
@@ -101,24 +168,22 @@
         incarnation: int,
         key: bytes,
         *,
-        lifetime_s: float = 300.0,
-        retention_s: float = 600.0,
-        max_open: int = 50_000,
-        answer_bytes: int = 4 << 20,
+        lifetime_s: float = LIFETIME_S,
+        retention_s: float = RETENTION_S,
+        max_open: int = MAX_OPEN,
+        answer_bytes: int = KEPT_ANSWER_BYTES,
     ) -> None:
         self.vm = vm
         self.incarnation = incarnation
         self.lifetime_s = lifetime_s
         self.retention_s = retention_s
         self.max_open = max_open
-        self.answer_bytes = answer_bytes
         self.claims: dict[int, Claim] = {}
         self._key = key
         self._batches: deque[_Batch] = deque()
         self._issued = 0
         self._forgotten = 0
-        self._kept: OrderedDict[int, int] = OrderedDict()
-        self._kept_bytes = 0
+        self._answers = _AnswerCache(answer_bytes)
 
     def issue(self, service: str, count: int, now: float) -> Union[list[str], Refusal]:
         """Issue tickets.
@@ -134,14 +199,14 @@
         self._forget(now)
         if self._issued - self._forgotten + count > self.max_open:
             wait = self._batches[0].expires_at + self.retention_s - now
-            return not_run(Reason.TICKET_TABLE_FULL, int(max(wait, 1.0) * 1000))
+            return not_run(Reason.TICKET_TABLE_FULL, int(max(wait, _SHORTEST_TABLE_WAIT_S) * 1000))
         start = self._issued
         self._issued += count
         self._batches.append(_Batch(now + self.lifetime_s, self._issued))
         return [str(self._ticket(number, service)) for number in range(start, self._issued)]
 
     def is_home(self, ticket: Ticket) -> bool:
-        """Tell whether this process is a ticket's home."""
+        """Return whether this process is a ticket's home."""
         return ticket.vm == self.vm and ticket.incarnation == self.incarnation
 
     def claim(
@@ -156,8 +221,7 @@
             now: Monotonic time, in seconds.
 
         Returns:
-            A claim, which must be settled; the answer of the run that took place before; or a
-            refusal.
+            A claim, which must be settled; the answer of the earlier run; or a refusal.
         """
         if not self._genuine(ticket):
             return not_run(Reason.TICKET_INVALID)
@@ -175,14 +239,14 @@
         return claim
 
     def close(self, ticket: Ticket, now: float) -> bool:
-        """Make sure that a ticket is never run from now on, if it has not been run.
+        """Refuse a ticket for good, if its operation has not run.
 
         Args:
             ticket: A ticket whose home is this process.
             now: Monotonic time, in seconds.
 
         Returns:
-            True when its operation has certainly not run and never will.
+            True when its operation certainly has not run and never runs later.
         """
         if not self._genuine(ticket):
             return True
@@ -196,7 +260,7 @@
         return claim.outcome is Outcome.NOT_RUN
 
     def settle(self, claim: Claim, outcome: Outcome, answer: Optional[Answer] = None) -> None:
-        """Record what became of a claim; the first record stands.
+        """Record the outcome of a claim; the first record stands.
 
         Args:
             claim: The claim.
@@ -207,7 +271,7 @@
             return
         claim.outcome = outcome
         if answer is not None and claim.number in self.claims:
-            self._keep(claim, answer)
+            self._answers.keep(claim, answer)
 
     def _ticket(self, number: int, service: str) -> Ticket:
         return Ticket(self.vm, self.incarnation, number, service, self._mac(number, service))
@@ -227,7 +291,7 @@
         if claim.fingerprint != fingerprint:
             return unknown(Reason.TICKET_REUSED)
         if claim.outcome is None:
-            return unknown(Reason.ALREADY_RUNNING, 1000)
+            return unknown(Reason.ALREADY_RUNNING, _RUNNING_RETRY_AFTER_MS)
         return claim.answer or unknown(Reason.ALREADY_RAN)
 
     def _expired(self, number: int, now: float) -> bool:
@@ -241,20 +305,7 @@
                 claim = self.claims.get(self._forgotten)
                 if claim is not None and claim.outcome is None:
                     return
-                self._drop(self._forgotten)
+                self.claims.pop(self._forgotten, None)
+                self._answers.drop(self._forgotten)
                 self._forgotten += 1
             self._batches.popleft()
-
-    def _drop(self, number: int) -> None:
-        self.claims.pop(number, None)
-        self._kept_bytes -= self._kept.pop(number, 0)
-
-    def _keep(self, claim: Claim, answer: Answer) -> None:
-        size = len(answer.body)
-        claim.answer = answer
-        self._kept[claim.number] = size
-        self._kept_bytes += size
-        while self._kept_bytes > self.answer_bytes:
-            number, dropped = self._kept.popitem(last=False)
-            self._kept_bytes -= dropped
-            self.claims[number].answer = None
