--- a/sprucewinch/hall/peers/exchange.py
+++ b/sprucewinch/hall/peers/exchange.py
@@ -1,51 +1,71 @@
-"""Exchange of members and documents between entry VMs, each sending only what is newer."""
+"""Exchange of members and documents between entry VMs; each sends only newer versions.
+
+Makes and answers the messages of an anti-entropy round and chooses its partners. Owns no state: the
+members belong to `membership`, the documents to the node's shelf. Relies on both to reject versions
+that are not newer, so a lost or repeated message does no harm.
+"""
 
 import random
-from collections.abc import Sequence
+from collections.abc import Iterable, Sequence
 
 from ..node import Node
 from ..store.documents import Revisioned
-from .peer_pb2 import GONE, Document, DocumentRevision, ExchangeReply, ExchangeRequest, Member
+from .membership import Membership, version_of
+from .peer_pb2 import (
+    GONE,
+    Document,
+    DocumentRevision,
+    ExchangeReply,
+    ExchangeRequest,
+    Known,
+    Member,
+)
+
+OTHER_HALL_PARTNERS = 2
+"""VMs of other halls in a round of exchange. A guess, never measured."""
+
+_NO_VERSION = (0, 0)
+"""Version of a member of which the other VM has no entry: below any that is sent."""
 
 
 class Exchange:
-    """Makes and answers the messages by which views and documents spread.
+    """Makes and answers the messages by which members and documents spread.
 
     Args:
-        node: This VM's view.
+        node: This VM's state.
     """
 
     def __init__(self, node: Node) -> None:
         self.node = node
 
     def ask(self) -> ExchangeRequest:
-        """Return a message that says what is known here."""
+        """Return a message with the versions held here and this VM's own entry."""
         return ExchangeRequest(
-            known=self.node.membership.known(),
+            known=_known(self.node.membership),
             members=[self.node.own],
             revisions=_revisions(self.node.shelf.revisions()),
         )
 
     def answer(self, message: ExchangeRequest, now: float) -> ExchangeReply:
-        """Take over what is newer in a message, and answer with what is newer here."""
-        self._take(message.members, message.documents, now)
+        """Store what is newer in a message, and answer with what is newer here."""
+        self._store(message.members, message.documents, now)
         theirs = {row.key: row.revision for row in message.revisions}
         membership = self.node.membership
         return ExchangeReply(
-            members=membership.newer_than(message.known),
-            wanted_members=membership.older_than(message.known),
+            members=_newer_than(membership, message.known),
+            wanted_members=_older_than(membership, message.known),
             documents=_documents(self.node.shelf.newer_than(theirs)),
             wanted_documents=self.node.shelf.older_than(theirs),
         )
 
     def learn(self, reply: ExchangeReply, now: float) -> ExchangeRequest | None:
-        """Take over a reply.
+        """Store what is newer in a reply.
 
         Returns:
             A message with what the other VM lacks; None when it lacks nothing.
         """
-        self._take(reply.members, reply.documents, now)
-        members = self.node.membership.select(reply.wanted_members)
+        self._store(reply.members, reply.documents, now)
+        members = _select(self.node.membership, reply.wanted_members)
         documents = _documents(self.node.shelf.select(reply.wanted_documents))
         if not members and not documents:
             return None
@@ -55,24 +75,27 @@
         message.documents.extend(documents)
         return message
 
-    def _take(self, members: Sequence[Member], documents: Sequence[Document], now: float) -> None:
+    def _store(self, members: Sequence[Member], documents: Sequence[Document], now: float) -> None:
         for member in members:
             self.node.membership.observe(member, now)
         for document in documents:
             self.node.shelf.offer(Revisioned(document.key, document.revision, document.value))
 
 
-def choose_partners(node: Node, rng: random.Random, now: float, *, others: int = 2) -> list[str]:
+def choose_partners(
+    node: Node, rng: random.Random, now: float, *, others: int = OTHER_HALL_PARTNERS
+) -> list[str]:
     """Return the peer addresses to exchange with this round.
 
     Args:
-        node: This VM's view.
+        node: This VM's state.
         rng: Source of randomness.
         now: Monotonic time, in seconds.
-        others: How many VMs of other data halls.
+        others: Most VMs of other data halls.
 
     Returns:
-        All live VMs of this hall, so that slots are divided by a fresh list, and a few others.
+        All live VMs of this hall, so that slots are divided by a fresh list, some VMs of other
+        halls, and one listed address that no member has, if there is one.
     """
     members = [m for m in node.membership.live(now) if m is not node.own and m.state != GONE]
     near = [m.peer_address for m in members if m.hall == node.own.hall]
@@ -83,6 +106,34 @@
     return chosen + rng.sample(seeds, min(1, len(seeds)))
 
 
+def _known(membership: Membership) -> list[Known]:
+    """Return the versions held here."""
+    return [
+        Known(vm=m.vm, incarnation=m.incarnation, version=m.version) for m in membership.entries()
+    ]
+
+
+def _newer_than(membership: Membership, known: Iterable[Known]) -> list[Member]:
+    """Return the entries held here that are newer than another VM's versions."""
+    theirs = {k.vm: (k.incarnation, k.version) for k in known}
+    return [m for m in membership.entries() if version_of(m) > theirs.get(m.vm, _NO_VERSION)]
+
+
+def _older_than(membership: Membership, known: Iterable[Known]) -> list[str]:
+    """Return the members of which another VM has a newer version."""
+    wanted = []
+    for k in known:
+        member = membership.find(k.vm)
+        if member is None or (k.incarnation, k.version) > version_of(member):
+            wanted.append(k.vm)
+    return wanted
+
+
+def _select(membership: Membership, vms: Iterable[str]) -> list[Member]:
+    """Return the entries of some members; those that are gone from the table are left out."""
+    return [m for m in map(membership.find, vms) if m is not None]
+
+
 def _revisions(revisions: dict[str, int]) -> list[DocumentRevision]:
     return [DocumentRevision(key=key, revision=value) for key, value in revisions.items()]
 
--- a/sprucewinch/hall/peers/membership.py
+++ b/sprucewinch/hall/peers/membership.py
@@ -1,23 +1,30 @@
-"""Membership: which entry VMs there are, as far as this one knows."""
+"""Membership: which entry VMs exist, as far as this one knows, and which of them are live.
+
+Owns the table of members, this VM's own entry and the time at which each entry was last replaced by
+a newer one; that time is the failure detector. Relies on `exchange` to bring entries in. Entries of
+this hall are also kept apart, since `slots` divides the hall's slots by them on every tick.
+"""
 
-from collections.abc import Iterable
 from typing import Optional
 
 from ..slots import view_digest
-from .peer_pb2 import GONE, JOINING, LEAVING, SERVING, Known, Member
+from .peer_pb2 import GONE, JOINING, LEAVING, SERVING, Member
 
 SILENT_S = 3.0
-"""Silence after which a member is no longer counted as live, in seconds."""
+"""Time without a newer entry after which a member is not live, in seconds: three rounds of exchange
+of 1 s. With the 1.5 s for which a VM trusts its list it stays under `slots.SlotShare`'s `hold_s` of
+5 s. A guess within that bound, never measured."""
 
 FORGET_S = 60.0
-"""Silence after which a member is dropped from the table, in seconds."""
+"""Time without a newer entry after which a member is dropped from the table, in seconds. A guess,
+never measured."""
 
 
 class MemberRecord:
-    """A member and when this VM last heard something newer of it.
+    """A member's newest entry and the time at which it arrived here.
 
     Args:
-        member: What it said of itself.
+        member: Its entry.
         heard_at: Monotonic time, in seconds.
     """
 
@@ -37,15 +44,15 @@
     """The table of members.
 
     Args:
-        own: What this entry VM says of itself; its version grows with `touch`.
-        silent_s: Silence after which a member is not live, in seconds.
+        own: This entry VM's own entry; its version grows with `touch`.
+        silent_s: Time without a newer entry after which a member is not live, in seconds.
     """
 
     def __init__(self, own: Member, *, silent_s: float = SILENT_S) -> None:
         self.own = own
         self.silent_s = silent_s
         self.records: dict[str, MemberRecord] = {}
-        self.neighbours: dict[str, MemberRecord] = {}
+        self.hall_records: dict[str, MemberRecord] = {}
         self.superseded = False
 
     def touch(self) -> None:
@@ -53,33 +60,37 @@
         self.own.version += 1
 
     def observe(self, member: Member, now: float) -> bool:
-        """Take over what a member said, when it is newer.
+        """Store a member's entry if it is newer.
 
         Args:
             member: Its entry.
             now: Monotonic time, in seconds.
 
         Returns:
-            True when it was newer.
+            True when it was newer; False also for an entry of this VM's own name.
         """
         if member.vm == self.own.vm:
-            self._observe_namesake(member)
+            self._observe_own_name(member)
             return False
         known = self.records.get(member.vm)
-        if known is not None and _age(member) <= _age(known.member):
+        if known is not None and version_of(member) <= version_of(known.member):
             return False
         # A copy of its own, since a part of a message would keep the whole message in memory.
         own_copy = Member()
         own_copy.CopyFrom(member)
         record = self.records[member.vm] = MemberRecord(own_copy, now)
         if member.hall == self.own.hall:
-            self.neighbours[member.vm] = record
+            self.hall_records[member.vm] = record
         else:
-            self.neighbours.pop(member.vm, None)
+            self.hall_records.pop(member.vm, None)
         return True
 
-    def _observe_namesake(self, member: Member) -> None:
-        """A newer process of the same name has taken over; an older one is taken over."""
+    def _observe_own_name(self, member: Member) -> None:
+        """Compare with another process of this VM's name; the higher incarnation stays.
+
+        A process that still joins takes a higher incarnation, since its clock may be slow. One that
+        serves already is superseded.
+        """
         if member.incarnation <= self.own.incarnation:
             return
         if self.own.state == JOINING:
@@ -89,18 +100,18 @@
             self.superseded = True
 
     def live(self, now: float) -> list[Member]:
-        """Return all members heard of lately, this VM included."""
-        return [self.own, *self._heard(self.records, now)]
+        """Return all live members, this VM included."""
+        return [self.own, *self._live_of(self.records, now)]
 
     def serving(self, now: float) -> list[Member]:
-        """Return the live members that callers may be sent to."""
+        """Return the live members that take callers."""
         return [m for m in self.live(now) if m.state == SERVING]
 
     def of_hall(self, now: float) -> list[Member]:
         """Return the live members of this VM's data hall, this VM included."""
-        return [self.own, *self._heard(self.neighbours, now)]
+        return [self.own, *self._live_of(self.hall_records, now)]
 
-    def _heard(self, records: dict[str, MemberRecord], now: float) -> list[Member]:
+    def _live_of(self, records: dict[str, MemberRecord], now: float) -> list[Member]:
         since = now - self.silent_s
         return [r.member for r in records.values() if r.heard_at >= since]
 
@@ -110,14 +121,14 @@
         return tuple(sorted(member_id(m) for m in self.of_hall(now) if m.state in holding))
 
     def view_confirmed(self, now: float) -> bool:
-        """Tell whether every other slot holder of the hall lists the same slot holders."""
+        """Return whether every other slot holder of the hall lists the same slot holders."""
         view = view_digest(self.slot_holders(now))
         others = [m for m in self.of_hall(now) if m is not self.own]
         return all(m.hall_view == view for m in others if m.state in (SERVING, LEAVING))
 
     def finished(self) -> frozenset[str]:
-        """Return the incarnations of this hall that said that they have finished."""
-        gone = (r.member for r in self.neighbours.values() if r.member.state == GONE)
+        """Return the incarnations of this hall that report that they have finished."""
+        gone = (r.member for r in self.hall_records.values() if r.member.state == GONE)
         return frozenset(member_id(member) for member in gone)
 
     def find(self, vm: str) -> Optional[Member]:
@@ -128,43 +139,24 @@
         return record.member if record else None
 
     def age_s(self, vm: str, now: float) -> Optional[float]:
-        """Return how long ago a member was heard of, in seconds; None when never."""
+        """Return the time since a member's newest entry arrived, in seconds; None without one."""
         if vm == self.own.vm:
             return 0.0
         record = self.records.get(vm)
         return now - record.heard_at if record else None
 
-    def known(self) -> list[Known]:
-        """Return the versions held, for an exchange."""
-        members = [self.own, *(record.member for record in self.records.values())]
-        return [Known(vm=m.vm, incarnation=m.incarnation, version=m.version) for m in members]
-
-    def newer_than(self, known: Iterable[Known]) -> list[Member]:
-        """Return the entries that are newer than somebody else's."""
-        theirs = {k.vm: (k.incarnation, k.version) for k in known}
-        members = [self.own, *(record.member for record in self.records.values())]
-        return [m for m in members if _age(m) > theirs.get(m.vm, (0, 0))]
-
-    def older_than(self, known: Iterable[Known]) -> list[str]:
-        """Return the members of which somebody else has a newer entry."""
-        wanted = []
-        for k in known:
-            member = self.find(k.vm)
-            if member is None or (k.incarnation, k.version) > _age(member):
-                wanted.append(k.vm)
-        return wanted
-
-    def select(self, vms: Iterable[str]) -> list[Member]:
-        """Return the entries of some members."""
-        return [m for m in map(self.find, vms) if m is not None]
+    def entries(self) -> list[Member]:
+        """Return all entries held, live or not; this VM's own comes first."""
+        return [self.own, *(record.member for record in self.records.values())]
 
     def forget(self, now: float) -> None:
-        """Drop members that have not been heard of for long."""
+        """Drop members without a newer entry for `FORGET_S`."""
         old = [vm for vm, record in self.records.items() if now - record.heard_at > FORGET_S]
         for vm in old:
             del self.records[vm]
-            self.neighbours.pop(vm, None)
+            self.hall_records.pop(vm, None)
 
 
-def _age(member: Member) -> tuple[int, int]:
+def version_of(member: Member) -> tuple[int, int]:
+    """Return what orders the entries of one member: incarnation, then version."""
     return (member.incarnation, member.version)
