--- a/sprucewinch/hall/peers/peer_server.py
+++ b/sprucewinch/hall/peers/peer_server.py
@@ -2,8 +2,8 @@
 
 Refuses requests beyond this VM's limits, runs the others through the dispatcher and sends each
 answer back as frames. Owns no state but the count of requests in flight at the node. Relies on
-`exchange`, `frames` and `requests.dispatch`. A request handed on for this hall's slots is not handed
-on again; one handed to its ticket's home is decided as if it came from a caller.
+`exchange`, `frames` and `requests.dispatch`. A request handed on for this hall's slots is not
+handed on again; one handed to its ticket's home is decided as if it came from a caller.
 """
 
 from collections.abc import Callable
