--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -134,8 +134,14 @@
         run_virtual(main)
 
     def test_a_machine_that_is_no_watcher_is_cut_off_from_all_others(self) -> None:
+        """Several seeds: with some, heartbeats stop so early that it is elected in time."""
+        for seed in range(1, 7):
+            with self.subTest(seed=seed):
+                self._cut_off_follower(seed)
+
+    def _cut_off_follower(self, seed: int) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _fleet(loop)
+            fleet = await _fleet(loop, 12, seed)
             watchers = {machine.name for machine in fleet.watchers()}
             other = next(m for m in fleet.machines if m.name not in watchers)
             fleet.isolate(other)
