--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -49,6 +49,7 @@
         settings: Its settings.
         adapter: The platform's translation.
         reread: Returns the settings as they are now, or None when they are unchanged.
+        stop_asked: Returns whether the process was told to stop before the gateway ran.
         clock: Source of time.
         rng: Source of randomness.
 
@@ -62,12 +63,14 @@
         adapter: PlatformAdapter,
         *,
         reread: Callable[[], Optional[GatewaySettings]] = lambda: None,
+        stop_asked: Callable[[], bool] = lambda: False,
         clock: Optional[Clock] = None,
         rng: Optional[random.Random] = None,
     ) -> None:
         self.settings = settings
         self.adapter = adapter
         self.reread = reread
+        self.stop_asked = stop_asked
         self.clock = clock or SystemClock()
         self.stopping = asyncio.Event()
         self.incarnation = int(self.clock.wall() * 1000)
@@ -92,8 +95,15 @@
         return self.state.view.has_configuration and not self.stopping.is_set()
 
     async def run(self) -> None:
-        """Serve until told to stop, then stop without cutting a request off."""
+        """Serve until told to stop, then stop without cutting a request off.
+
+        A process that was told to stop before this runs serves nobody and ends at once.
+        """
         self._take_signals()
+        if self.stop_asked():
+            self._ignore_signals()
+            self.events.state("stop", in_flight=0)
+            return
         await self._listen()
         self._start_loops()
         self.events.state("start", name=self.settings.name, incarnation=self.incarnation)
--- /dev/null
+++ b/tests/test_process_gateway_start.py
@@ -0,0 +1,92 @@
+"""Signals that reach the platform's program while it starts, before its gateway runs.
+
+A process says by `-X importtime` how far its imports have come, so that a signal meets a chosen
+part of the start. What comes before the program's first line, the interpreter's own start, no
+program can cover.
+"""
+
+import asyncio
+import os
+import signal
+import sys
+import tempfile
+import unittest
+from collections.abc import Iterator
+from pathlib import Path
+
+from tools.entry_vm import PROGRAM, ROOT, EntryVm, free_port
+
+_IP = "127.0.0.41"
+_PROGRAMS = (PROGRAM, "tools/soak_vm.py")
+_MOMENTS = ("asyncio", "consortium", "sprucewinch.gateway.daemon")
+"""Modules whose import has just ended when the signal is sent: the first, one between, the last."""
+
+_START_S = 30.0
+
+
+class Starting(unittest.IsolatedAsyncioTestCase):
+    def setUp(self) -> None:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        nobody = f"{_IP}:{free_port(_IP)}"
+        self.vm = EntryVm("vm1", _IP, nobody, free_port(_IP), Path(folder.name))
+
+    def moments(self) -> Iterator[tuple[str, str]]:
+        """Return each program with each moment of its start."""
+        return ((program, moment) for program in _PROGRAMS for moment in _MOMENTS)
+
+    async def _signalled(
+        self, program: str, moment: str, number: signal.Signals
+    ) -> asyncio.subprocess.Process:
+        """Start a process, and send it a signal once it has imported some module."""
+        process = await asyncio.create_subprocess_exec(
+            *(sys.executable, "-X", "importtime", program),
+            cwd=ROOT,
+            env={**os.environ, "SPRUCEWINCH_CONFIG": str(self.vm.settings)},
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
+        self.addAsyncCleanup(self._kill, process)
+        assert process.stderr is not None
+        await self._until_line(process.stderr, f"| {moment}")
+        process.send_signal(number)
+        drained = asyncio.create_task(process.stderr.read())
+        self.addCleanup(drained.cancel)
+        return process
+
+    async def _until_line(self, stream: asyncio.StreamReader, end: str) -> None:
+        async with asyncio.timeout(_START_S):
+            async for line in stream:
+                if " ".join(line.decode().split()).endswith(end):
+                    return
+        self.fail(f"the process ended before it wrote {end!r}")
+
+    async def _kill(self, process: asyncio.subprocess.Process) -> None:
+        if process.returncode is None:
+            process.kill()
+            await process.wait()
+
+    async def test_a_reload_before_the_gateway_runs_does_not_end_the_process(self) -> None:
+        for program, moment in self.moments():
+            with self.subTest(program=program, moment=moment):
+                process = await self._signalled(program, moment, signal.SIGHUP)
+                assert process.stdout is not None
+                async with asyncio.timeout(_START_S):
+                    line = await process.stdout.readline()
+                self.assertIn(b'"event":"start"', line)
+                await self._kill(process)
+
+    async def test_a_stop_before_the_gateway_runs_ends_in_order(self) -> None:
+        for program, moment in self.moments():
+            for number in (signal.SIGTERM, signal.SIGINT):
+                with self.subTest(program=program, moment=moment, signal=number.name):
+                    process = await self._signalled(program, moment, number)
+                    assert process.stdout is not None
+                    async with asyncio.timeout(_START_S):
+                        lines = (await process.stdout.read()).splitlines()
+                        self.assertEqual(await process.wait(), 0)
+                    self.assertIn(b'"event":"stop"', lines[-1])
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tools/soak_vm.py
+++ b/tools/soak_vm.py
@@ -1,19 +1,27 @@
 """One entry VM whose time of day a file sets off; else the same as `platform/main.py`."""
 
-import asyncio
-import contextlib
 import os
 import sys
-import time
-from pathlib import Path
 
-_ROOT = Path(__file__).resolve().parent.parent
+_ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+
+if __name__ == "__main__":  # before the slow imports, in which a signal may well arrive
+    sys.path += [_ROOT, os.path.join(_ROOT, "platform")]
+    from start_signals import StartSignals
+
+    SIGNALS = StartSignals()
+    SIGNALS.take()
+
+import asyncio  # noqa: E402
+import contextlib  # noqa: E402
+import time  # noqa: E402
+from pathlib import Path  # noqa: E402
+
 CLOCK_SUFFIX = ".clock"
 
 
 def main() -> None:
     """Run until told to stop."""
-    sys.path += [str(_ROOT), str(_ROOT / "platform")]
     from consortium import ConsortiumAdapter
     from main import SETTINGS_VARIABLE
     from node_settings import SettingsFile
@@ -37,7 +45,13 @@
 
     log.configure_lines()
     file = SettingsFile(path)
-    gateway = Gateway(file.settings, ConsortiumAdapter(), reread=file.reread, clock=OffsetClock())
+    gateway = Gateway(
+        file.settings,
+        ConsortiumAdapter(),
+        reread=file.reread,
+        stop_asked=SIGNALS.stop_asked,
+        clock=OffsetClock(),
+    )
     asyncio.run(gateway.run())
 
 
