--- a/sprucewinch/gateway/regions/policies.py
+++ b/sprucewinch/gateway/regions/policies.py
@@ -1,4 +1,18 @@
-"""Policies in force: programs and the choice for each service, as the store holds them."""
+"""Rule: which policy steers a service?
+
+Question: the program that turns measures into wanted shares of regions. Owns the compiled programs
+and the choices, both from the store. Relies on `steering.policy` to compile and run programs, and
+on `StoreView` for changes.
+
+Inputs: programs and choices of the store, the default policy of the settings. Rule: the service's
+own choice, else the choice for all services (`*`), else the default; a choice of a program that is
+not there counts as none, as there is nothing to run. A program that cannot be compiled leaves the
+last good one of its name in force.
+
+Constants: `DEFAULT_POLICY`, `ALL_SERVICES`, `_MEASURED`. The result shows as `policy` of a service
+on `/state`; a program that cannot be used shows in the event `unreadable`. Tests:
+`test_gateway_policies`, `test_gateway_region_reports`.
+"""
 
 from collections.abc import Callable
 
@@ -8,6 +22,8 @@
 from ..state.store_view import Change, StoreView
 
 DEFAULT_POLICY = "capacity"
+"""Shipped policy of services without a choice: it reads the slots alone, so no reports are sent."""
+
 _MEASURED = ("in_use", "headroom", "latency_ms", "demand_per_s")
 """Fields of a snapshot that have to be measured."""
 
@@ -22,7 +38,7 @@
 
     Args:
         store_view: What this VM holds of the store.
-        on_unreadable: Told of a program that cannot be used, with the cause.
+        on_unreadable: Called with the key of a program that cannot be used and the cause.
         default: Shipped policy of services without a choice.
 
     Raises:
@@ -45,7 +61,7 @@
         self.default = default
         self.programs: dict[str, Policy] = {n: ProgramPolicy(n, s) for n, s in shipped.items()}
         self.choices: dict[str, str] = {}
-        store_view.listeners.append(self._learn)
+        store_view.listeners.append(self._on_change)
 
     def name_for(self, service: str) -> str:
         """Return the name of the policy in force for a service."""
@@ -58,16 +74,16 @@
 
     @property
     def reads_measures_anywhere(self) -> bool:
-        """Tell whether a policy that may be in force reads measures of load or latency."""
+        """Return whether a policy that may be in force reads measures of load or latency."""
         names = {self.default, *self.choices.values()}
         programs = (self.programs[name] for name in names if name in self.programs)
         return any(reads_measures(program) for program in programs)
 
     def service_reads_measures(self, service: str) -> bool:
-        """Tell whether the policy in force for a service reads measures."""
+        """Return whether the policy in force for a service reads measures."""
         return reads_measures(self.policy_for(service))
 
-    def _learn(self, change: Change) -> None:
+    def _on_change(self, change: Change) -> None:
         if isinstance(change.after, PolicyProgram):
             self._compile(change.key, change.after)
         elif isinstance(change.after, PolicyChoice):
@@ -83,5 +99,5 @@
 
 
 def reads_measures(policy: Policy) -> bool:
-    """Tell whether a program names a field that has to be measured."""
+    """Return whether a program names a field that has to be measured."""
     return isinstance(policy, ProgramPolicy) and any(name in policy.source for name in _MEASURED)
--- a/sprucewinch/gateway/regions/region_reporter.py
+++ b/sprucewinch/gateway/regions/region_reporter.py
@@ -73,8 +73,8 @@
     """Sends reports while this VM is elected to follow the store.
 
     Args:
-        region_reports: Told of this VM's own reports too.
-        follow_role: Says whether this VM reports, and to whom.
+        region_reports: Holds the reports, this VM's own among them.
+        follow_role: Decides whether this VM reports, and to whom.
         datagrams: The endpoint between VMs.
         timing: Sources of time and randomness.
         own_report: Returns the report to send at a monotonic time; None for none.
@@ -94,7 +94,7 @@
         self.datagrams = datagrams
         self.timing = timing
         self.own_report = own_report
-        datagrams.register(RegionReport, region_reports.take)
+        datagrams.register(RegionReport, region_reports.on_region_report)
 
     async def run(self) -> None:
         """Send a report again and again."""
@@ -106,6 +106,6 @@
                 self._send(report, now)
 
     def _send(self, report: RegionReport, now: float) -> None:
-        self.region_reports.take(report, now)
+        self.region_reports.on_region_report(report, now)
         recipients = self.follow_role.recipients(changed=True)
         self.datagrams.send(report, [member.peer_address for member in recipients])
--- a/sprucewinch/gateway/regions/region_reports.py
+++ b/sprucewinch/gateway/regions/region_reports.py
@@ -1,8 +1,19 @@
-"""What regions tell each other of their load and latency, for policies that steer by them.
+"""Rule: what is known of the load and latency of each region, and for how long does it count?
 
-One VM of each region, a store follower, tells all others what it has seen of its region's backend
-servers. Everybody steers by the same figures, so that an object has the same region at every
-VM of a region. Nothing is told while no policy reads them (`PolicyTable.steers_by_measures`).
+Question: the measures that policies which steer by load or latency get of a region. Owns the newest
+report of each region and service, and the messages `RegionReport` and `ServiceReport`. Relies on
+`BackendRegistry` for this VM's own region.
+
+Inputs: what this VM sees of the backend servers of its region (load in requests, latency in
+seconds, age of the last answer in seconds), reports of other regions, monotonic time in seconds.
+
+Rule: the newest report of a region counts until it is `REPORT_MAX_AGE_S` old, with its age, so that
+the guard can treat old figures as missing. One VM of each region reports, the one that follows the
+store, so that every VM steers by the same figures and an object has the same region at each of
+them. Figures of each VM's own are ruled out for that reason.
+
+Constants: `REPORT_S`, `REPORT_MAX_AGE_S`, `_SEEN_S`. The result shows in `shares` and `limits` on
+`/state`; no log event carries it. Tests: `test_gateway_region_reports`.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,15 +26,26 @@
 from ..servers.backend_server import BackendServer
 
 REPORT_S = 1.0
-"""How often a region's figures are told, in seconds."""
+"""Time between two reports of a region, in seconds. A guess, never measured (1a1fbf8)."""
 
 REPORT_MAX_AGE_S = 10.0
-"""How long figures are kept, in seconds; the guard treats old ones as missing long before."""
+"""Age up to which a report is held, in seconds. A guess, never measured.
+
+Twice the age at which the guard treats figures as missing (`GuardLimits.stale_s`), so the guard
+decides first.
+"""
 
 _SEEN_S = 5.0
-"""Age of a backend server's last answer up to which its latency counts, in seconds."""
+"""Age of a backend server's last answer up to which its latency counts, in seconds.
+
+A guess, never measured.
+"""
 
-_MS = 1000.0
+_MS_PER_S = 1000.0
+"""Milliseconds in a second."""
+
+_UNKNOWN_MS = -1.0
+"""Latency on the wire when no server of the region has answered lately, in milliseconds."""
 
 
 class ServiceReport(msgspec.Struct, array_like=True, frozen=True):
@@ -32,7 +54,7 @@
     Args:
         service: Its name.
         in_use: Requests that its backend servers hold there.
-        latency_ms: Mean time of a request there, in milliseconds; -1 when unknown.
+        latency_ms: Mean time of a request there, in milliseconds; `_UNKNOWN_MS` when unknown.
         demand_per_s: Requests a second of the region's own callers.
     """
 
@@ -43,7 +65,7 @@
 
 
 class RegionReport(msgspec.Struct, array_like=True, frozen=True, tag="measured"):
-    """What a store follower has seen of its own region.
+    """What a store follower has seen of its own region; its tag on the wire is `measured`.
 
     Args:
         sender: Name of the store follower.
@@ -57,10 +79,10 @@
 
 
 class HeldReport(NamedTuple):
-    """A measure and when it was heard, as monotonic time in seconds."""
+    """A report on one service and when it arrived, as monotonic time in seconds."""
 
-    measure: ServiceReport
-    at: float
+    service_report: ServiceReport
+    received_at: float
 
 
 class RegionReports:
@@ -77,7 +99,7 @@
         self.name = name
         self.region = region
         self.held: dict[tuple[str, str], HeldReport] = {}
-        self.heard = 0
+        self.received = 0
 
     def measure(self, demand_per_s: Callable[[str], float], now: float) -> RegionReport:
         """Return what this VM has seen of its own region.
@@ -87,55 +109,78 @@
             now: Monotonic time, in seconds.
         """
         services = tuple(
-            _measure(service, self._near(servers), demand_per_s(service), now)
+            _service_report(service, self._in_region(servers), demand_per_s(service), now)
             for service, servers in sorted(self.registry.by_service.items())
         )
         return RegionReport(self.name, self.region, services)
 
-    def take(self, report: RegionReport, now: float) -> None:
-        """Take over what a region's store follower says."""
-        self.heard += 1
-        for measure in report.services:
-            self.held[report.region, measure.service] = HeldReport(measure, now)
+    def on_region_report(self, report: RegionReport, now: float) -> None:
+        """Hold a region's newest report.
+
+        Args:
+            report: From the region's store follower, or this VM's own.
+            now: Monotonic time, in seconds.
+        """
+        self.received += 1
+        for service_report in report.services:
+            self.held[report.region, service_report.service] = HeldReport(service_report, now)
 
-    def changes(self, now: float) -> tuple[int, int]:
-        """Return something that differs whenever policies may see other figures than before.
+    def generation(self, now: float) -> tuple[int, int]:
+        """Drop old reports; return a value that differs when policies may see other figures.
 
-        Figures grow old without anything being heard, so while any are held it differs every
+        Figures grow old without a report arriving, so while any are held the value differs every
         second.
+
+        Args:
+            now: Monotonic time, in seconds.
         """
-        self.held = {
-            key: held for key, held in self.held.items() if now - held.at <= REPORT_MAX_AGE_S
-        }
-        return self.heard, int(now) if self.held else 0
+        self.held = {key: held for key, held in self.held.items() if _counts(held, now)}
+        return self.received, int(now) if self.held else 0
 
     def region_measures(
         self, region: str, service: str, capacity: float, now: float
     ) -> Optional[RegionMeasures]:
-        """Return what a policy is told of a region; None where nothing was heard lately."""
+        """Return the measures of a region that a policy gets; None without a report that counts.
+
+        Args:
+            region: The region.
+            service: The service.
+            capacity: Slots of the region's usable servers.
+            now: Monotonic time, in seconds.
+        """
         held = self.held.get((region, service))
-        if held is None or now - held.at > REPORT_MAX_AGE_S:
+        if held is None or not _counts(held, now):
             return None
-        latency_ms = held.measure.latency_ms
+        latency_ms = held.service_report.latency_ms
         return RegionMeasures(
             capacity,
-            in_use=min(held.measure.in_use, capacity),
+            in_use=min(held.service_report.in_use, capacity),
             latency_ms=None if latency_ms < 0 else latency_ms,
-            age_s=now - held.at,
+            age_s=now - held.received_at,
         )
 
     def demand_per_s(self, service: str, now: float) -> float:
-        """Return the requests a second of this region's callers; 0 where nothing was heard."""
+        """Return the requests a second of this region's callers; 0 without a report that counts.
+
+        Args:
+            service: The service.
+            now: Monotonic time, in seconds.
+        """
         held = self.held.get((self.region, service))
-        fresh = held is not None and now - held.at <= REPORT_MAX_AGE_S
-        return held.measure.demand_per_s if held is not None and fresh else 0.0
+        if held is None or not _counts(held, now):
+            return 0.0
+        return held.service_report.demand_per_s
 
-    def _near(self, servers: Iterable[BackendServer]) -> list[BackendServer]:
+    def _in_region(self, servers: Iterable[BackendServer]) -> list[BackendServer]:
         regions = self.registry.regions
         return [s for s in servers if regions.get(s.backend.hall) == self.region]
 
 
-def _measure(
+def _counts(held: HeldReport, now: float) -> bool:
+    return now - held.received_at <= REPORT_MAX_AGE_S
+
+
+def _service_report(
     service: str, servers: list[BackendServer], demand_per_s: float, now: float
 ) -> ServiceReport:
     in_use = sum(server.load(now) for server in servers)
@@ -143,7 +188,7 @@
     return ServiceReport(
         service,
         round(in_use, 1),
-        -1.0 if latency_ms is None else latency_ms,
+        _UNKNOWN_MS if latency_ms is None else latency_ms,
         round(demand_per_s, 1),
     )
 
@@ -154,4 +199,4 @@
         for server in servers
         if server.latency_s is not None and now - server.answered_at <= _SEEN_S
     ]
-    return round(_MS * sum(seen) / len(seen), 1) if seen else None
+    return round(_MS_PER_S * sum(seen) / len(seen), 1) if seen else None
--- a/sprucewinch/gateway/regions/shares.py
+++ b/sprucewinch/gateway/regions/shares.py
@@ -1,18 +1,73 @@
-"""Shares of regions in force at this VM: policy, guard, then the shift cap."""
+"""Rule: which part of the callers of this VM's region runs in which region now?
 
-from ...steering.guard import GuardLimits, grant
+Question: the shares in force of each service. Owns the shares in force, their targets and the
+shift limiters. Relies on `share_target` for where they move (policy, then guard), on
+`steering.shift.ShiftLimiter` for how fast, on `BackendRegistry` for the slots of each region and on
+`RegionReports` for its load and latency.
+
+Inputs: slots of the usable backend servers by region, reports of the regions, the policies in
+force, monotonic time in seconds.
+
+Rule: the first request of a service starts with its target, as nobody has been steered before it.
+From then on each tick plans a new target when an input has changed, and moves the shares towards
+the target as far as the shift cap allows. Each VM applies the cap to its own shares: when every
+VM stays under it, the fleet does, whatever each VM knows. A planner with a lease in the store is
+ruled out: the default policy needs nothing but the slots in the store, which all VMs see alike.
+
+Constants: `SHIFT_WINDOW_S`, `_CAP_SAFETY`, `_HOME_MS`, `_AWAY_MS` below; the cap is a setting
+(`Bounds.shift_cap`). The result shows as `shares` of a service on `/state`; no log event carries
+it. Tests: `test_gateway_policies`, `test_gateway_region_reports`.
+"""
+
+from typing import NamedTuple
+
+from ...steering.guard import GuardLimits
 from ...steering.measures import RegionMeasures, Snapshot
 from ...steering.placement import Shares, make_shares
-from ...steering.policy import PolicyFault
 from ...steering.shift import ShiftCap, ShiftLimiter
 from ..servers.backend_registry import BackendRegistry
 from .policies import PolicyTable
 from .region_reports import RegionReports
+from .share_target import share_target
 
 SHIFT_WINDOW_S = 2.0
+"""Window of the shift cap, in seconds: the platform's bound on shifts counts in such windows."""
+
 _CAP_SAFETY = 0.8
+"""Safety margin on the shift cap: the part of it that changes of shares may use.
+
+A guess, never measured; in use since the first played day (3e61232), which broke no bound.
+"""
+
 _HOME_MS = 1.0
+"""Distance that policies are given for the callers' own region, in milliseconds one way.
+
+A guess, never measured: distances between regions are not measured on the platform.
+"""
+
 _AWAY_MS = 10.0
+"""Distance that policies are given for every other region, in milliseconds one way.
+
+A guess, never measured, as `_HOME_MS`; all other regions count as equally far.
+"""
+
+
+class PlanInputs(NamedTuple):
+    """Generations of what a target is planned from; a new target is due when one differs.
+
+    Args:
+        store: Generation of what is held of the store; policies are a part of it.
+        servers: Generation of the backend servers.
+        reports: Generation of the region reports, see `RegionReports.generation`.
+    """
+
+    store: int
+    servers: int
+    reports: tuple[int, int]
+
+
+_NEVER_PLANNED = PlanInputs(-1, -1, (-1, -1))
+"""Differs from all inputs: generations start at 0."""
 
 
 class RegionShares:
@@ -21,7 +76,7 @@
     Args:
         registry: Backend servers.
         policies: Policies in force.
-        region_reports: Load and latency of the regions, as far as they were told.
+        region_reports: Load and latency of the regions, as far as reports have arrived.
         regions: Region of each data hall.
         home: Region of this VM's callers.
         shift_cap: Most callers that may move within a window.
@@ -48,10 +103,15 @@
         self.limiters: dict[str, ShiftLimiter] = {}
         self.targets: dict[str, Shares] = {}
         self.notes: dict[str, tuple[str, ...]] = {}
-        self._planned_for: tuple[int, int, tuple[int, int]] = (-1, -1, (-1, -1))
+        self._planned_from = _NEVER_PLANNED
 
     def shares(self, service: str, now: float) -> Shares:
-        """Return the shares in force of a service."""
+        """Return the shares in force of a service; they add up to 1.
+
+        Args:
+            service: Its name.
+            now: Monotonic time, in seconds.
+        """
         limiter = self.limiters.get(service)
         if limiter is None:
             self._plan(service, now)
@@ -59,11 +119,18 @@
         return limiter.current
 
     def tick(self, now: float) -> None:
-        """Follow what has changed, then move all shares towards their targets."""
-        told = self.region_reports.changes(now)
-        facts = (self.registry.store_view.generation, self.registry.generation, told)
-        if self._planned_for != facts:
-            self._planned_for = facts
+        """Plan again when an input has changed, then move all shares towards their targets.
+
+        Args:
+            now: Monotonic time, in seconds.
+        """
+        inputs = PlanInputs(
+            self.registry.store_view.generation,
+            self.registry.generation,
+            self.region_reports.generation(now),
+        )
+        if self._planned_from != inputs:
+            self._planned_from = inputs
             for service in list(self.limiters):
                 self._plan(service, now)
         for service, limiter in self.limiters.items():
@@ -73,14 +140,10 @@
         snapshot = self._snapshot(service, now)
         limiter = self.limiters.get(service)
         current = limiter.current if limiter else self._by_capacity(snapshot)
-        wanted = self.policies.policy_for(service).weights(snapshot)
-        if isinstance(wanted, PolicyFault):
-            self.notes[service] = (f"policy-fault:{wanted.problem}",)
-            self.targets.setdefault(service, current)
-        else:
-            granted = grant(wanted, current, snapshot, self.limits)
-            self.targets[service] = granted.shares
-            self.notes[service] = granted.notes
+        policy = self.policies.policy_for(service)
+        target = share_target(policy, snapshot, current, self.targets.get(service), self.limits)
+        self.targets[service] = target.shares
+        self.notes[service] = target.notes
         if limiter is None:
             self.limiters[service] = ShiftLimiter(self.targets[service], self.cap)
 
@@ -107,12 +170,12 @@
     def _measures(self, service: str, region: str, slots: float, now: float) -> RegionMeasures:
         """Return what is known of a region.
 
-        A policy that reads measures gets none where none were told, so that the guard lets the
-        region gain nobody; for any other policy the slots are all there is to know.
+        A policy that reads measures gets none where no report has arrived, so that the guard
+        lets the region gain nobody; any other policy needs nothing but the slots.
         """
-        told = self.region_reports.region_measures(region, service, slots, now)
-        if told is not None:
-            return told
+        reported = self.region_reports.region_measures(region, service, slots, now)
+        if reported is not None:
+            return reported
         return RegionMeasures(
             slots, age_s=None if self.policies.service_reads_measures(service) else 0.0
         )
--- a/tests/test_gateway_journal.py
+++ b/tests/test_gateway_decision_log.py
@@ -1,4 +1,4 @@
-"""Lines of the journal: what they say of a request, and that their number is bounded."""
+"""Lines of the decision log: what they say of a request, and that their number is bounded."""
 
 import json
 import unittest
@@ -11,7 +11,7 @@
 
 
 class Lines:
-    """A journal whose lines are kept."""
+    """A decision log whose lines are kept."""
 
     def __init__(self) -> None:
         self.rows: list[dict[str, Any]] = []
--- a/tests/test_gateway_measured.py
+++ b/tests/test_gateway_region_reports.py
@@ -1,4 +1,4 @@
-"""Load and latency of regions on the routed path: who tells them, what policies do with them."""
+"""Load and latency of regions on the routed path: who reports them, what policies do with them."""
 
 import unittest
 
@@ -26,7 +26,9 @@
     """Let both regions tell their load: the east has 12 slots, the west 36."""
     for region, in_use, latency_ms in (("east", east, east_ms), ("west", west, west_ms)):
         measure = ServiceReport("rates", in_use, latency_ms, 20.0)
-        steered.region_reports.take(RegionReport("vm9", region, (measure,)), steered.now)
+        steered.region_reports.on_region_report(
+            RegionReport("vm9", region, (measure,)), steered.now
+        )
 
 
 def _steer(steered: Steered, seconds: float, **load: float) -> float:
@@ -72,7 +74,7 @@
         slow = _steer(steered, 60, east=3.0, west=3.0, east_ms=900.0)
         self.assertLess(slow, 0.3)
 
-    def test_figures_that_are_no_longer_told_move_nobody(self) -> None:
+    def test_figures_that_are_no_longer_reported_move_nobody(self) -> None:
         steered = _choose("headroom")
         _steer(steered, 60, east=_EMPTY, west=_EMPTY)
         _tell(steered, east=_FULL, west=_EMPTY)
@@ -91,8 +93,8 @@
             PolicyTable(World().store_view, default="nobody-wrote-it")
 
 
-class Board(unittest.TestCase):
-    def test_a_watcher_tells_of_its_own_region_alone(self) -> None:
+class Reports(unittest.TestCase):
+    def test_a_report_is_of_its_own_region_alone(self) -> None:
         steered = Steered("east")
         registry = steered.world.registry
         for server in registry.servers.values():
@@ -109,7 +111,7 @@
 
 
 class Fleet(unittest.TestCase):
-    def test_all_machines_hold_the_figures_of_one_watcher_of_each_region(self) -> None:
+    def test_all_machines_hold_the_figures_of_one_reporter_of_each_region(self) -> None:
         async def play(loop: VirtualLoop) -> None:
             store = StoreStandIn(loop)
             store.put("op/config", configuration(3))
@@ -120,10 +122,12 @@
                 )
                 machine.own_report = measured
             await pass_time(15.0)
-            counts = [machine.region_reports.heard for machine in fleet.machines]
+            counts = [machine.region_reports.received for machine in fleet.machines]
             begun = list(counts)
             await pass_time(10.0)
-            told = [m.region_reports.heard - b for m, b in zip(fleet.machines, begun, strict=True)]
+            told = [
+                m.region_reports.received - b for m, b in zip(fleet.machines, begun, strict=True)
+            ]
             self.assertTrue(all(24 <= count <= 36 for count in told), told)
             self.assertTrue(all(len(m.region_reports.held) == 3 for m in fleet.machines))
 
--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -312,7 +312,7 @@
         f"{_GATEWAY}/regions/shares.py",
         "age_s=None if self.policies.service_reads_measures(service) else 0.0",
         "age_s=0.0",
-        ("tests.test_gateway_measured.PoliciesThatMeasure",),
+        ("tests.test_gateway_region_reports.PoliciesThatMeasure",),
     ),
 )
 
