--- a/sprucewinch/gateway/servers/load.py
+++ b/sprucewinch/gateway/servers/load.py
@@ -31,7 +31,8 @@
 (see above); not measured alone."""
 
 _LEAST_LIMIT = 1.0
-"""Least limit, in requests: without any request a server's load would never be heard of again."""
+"""Least limit, in requests: with less, this VM would send the server nothing and get no load
+figure of it any more."""
 
 
 class LoadEstimate:
--- a/sprucewinch/gateway/servers/room_queue.py
+++ b/sprucewinch/gateway/servers/room_queue.py
@@ -10,7 +10,8 @@
 for longer than one round of work (a guess, never measured).
 
 The result is a `WaitEnd`, which says why a wait ended. Shows in: `blocked` of the event `request`
-of a refused request. Tests: `test_gateway_admit`. Owns the waiting requests; relies on asyncio.
+of a refused request. Tests: `test_gateway_usability.WaitsForRoom`,
+`test_gateway_admit.Priorities`. Owns the waiting requests; relies on asyncio.
 """
 
 import asyncio
--- /dev/null
+++ b/tests/test_gateway_usability.py
@@ -0,0 +1,96 @@
+"""Why a backend server gets no new request, and why a wait for room there ends."""
+
+import asyncio
+import unittest
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from sprucewinch.gateway.resources import BackendEntry
+from sprucewinch.gateway.servers.backend_server import BackendServer
+from sprucewinch.gateway.servers.room_queue import RoomQueue, WaitEnd
+from sprucewinch.gateway.servers.usability import (
+    UnusableReason,
+    unlisted_reason,
+    unusable_reason,
+)
+from standins.virtual import VirtualLoop, pass_time, run_virtual
+
+_ENTRY = BackendEntry("s0", "rates", "10.0.0.1:80", "east-a", 6)
+_NOW = 100.0
+
+
+class Offered(unittest.TestCase):
+    @given(st.booleans(), st.booleans())
+    def test_a_server_is_offered_unless_it_drains_or_its_hall_is_evacuated(
+        self, draining: bool, evacuated: bool
+    ) -> None:
+        entry = _ENTRY._replace(draining=draining)
+        reason = unlisted_reason(entry, {"east-a"} if evacuated else {"west-a"})
+        if draining:
+            self.assertIs(reason, UnusableReason.DRAINING)
+        else:
+            self.assertIs(reason, UnusableReason.EVACUATED if evacuated else None)
+
+
+class PassedOver(unittest.TestCase):
+    @given(st.booleans(), st.booleans(), st.booleans(), st.booleans())
+    def test_the_first_reason_that_holds_is_the_answer(
+        self, resting: bool, silent: bool, ejected: bool, cold: bool
+    ) -> None:
+        server = BackendServer(_ENTRY)
+        if resting:
+            server.record_failure(_NOW)
+        if silent:
+            server.started.append(_NOW - 1.0)
+        if cold:
+            server.cold_until = _NOW + 1.0
+        holds = {
+            UnusableReason.RESTING: resting,
+            UnusableReason.SILENT: silent,
+            UnusableReason.EJECTED: ejected,
+            UnusableReason.COLD: cold,
+        }
+        expected = next((reason for reason, held in holds.items() if held), None)
+        reason = unusable_reason(server, _NOW, lambda *_: ejected, lambda _: 0)
+        self.assertIs(reason, expected)
+
+    def test_a_cold_server_gets_its_allowance(self) -> None:
+        server = BackendServer(_ENTRY)
+        server.cold_until = _NOW + 1.0
+        self.assertIsNone(unusable_reason(server, _NOW, lambda *_: False, lambda _: 1))
+        server.cold_sends.record(_NOW)
+        reason = unusable_reason(server, _NOW, lambda *_: False, lambda _: 1)
+        self.assertIs(reason, UnusableReason.COLD)
+
+
+class WaitsForRoom(unittest.TestCase):
+    def test_the_longest_wait_ends_a_wait(self) -> None:
+        async def main(loop: VirtualLoop) -> None:
+            queue = RoomQueue()
+            end = await queue.wait(0.1, 1, 1)
+            self.assertIs(end, WaitEnd.TIMED_OUT)
+            self.assertTrue(end.may_look)
+            self.assertEqual(queue.waiters, [])
+
+        run_virtual(main)
+
+    def test_the_most_urgent_wakes_first_and_takes_the_place_of_the_last(self) -> None:
+        async def main(loop: VirtualLoop) -> None:
+            queue = RoomQueue()
+            waits = [loop.create_task(queue.wait(1.0, rank, 2)) for rank in (2, 2, 0, 2)]
+            await pass_time(0.01)
+            self.assertTrue(queue.more_urgent_waits(1))
+            self.assertFalse(queue.more_urgent_waits(0))
+            queue.wake_next()
+            queue.wake_next()
+            ends = await asyncio.gather(*waits)
+            expected = [WaitEnd.WOKEN, WaitEnd.DISPLACED, WaitEnd.WOKEN, WaitEnd.QUEUE_FULL]
+            self.assertEqual(ends, expected)
+            self.assertEqual([end.may_look for end in ends], [True, False, True, False])
+
+        run_virtual(main)
+
+
+if __name__ == "__main__":
+    unittest.main()
