--- a/sprucewinch/gateway/decision_log.py
+++ b/sprucewinch/gateway/decision_log.py
@@ -104,7 +104,7 @@
             ],
         }
         if request.blocked is not None and not request.attempts:
-            inputs["blocked"] = request.blocked._asdict()
+            inputs["blocked"] = request.blocked.log_fields()
         self._line("request", inputs, reserve=_BURST / 2 if half else 0.0)
 
     def _line(self, event: str, inputs: dict[str, Any], *, reserve: float) -> None:
--- a/sprucewinch/gateway/requests/app.py
+++ b/sprucewinch/gateway/requests/app.py
@@ -1,7 +1,6 @@
 """The callers' side as an ASGI application."""
 
 import asyncio
-import math
 from collections.abc import Callable
 from typing import Any, Optional
 
@@ -15,11 +14,11 @@
 from ..resources import CallerLimits
 from ..state.store_view import StoreView
 from .client_request import ClientRequest, RefusalReason, Reply
+from .outcome import final_answer
+from .outcome.hold_time import caller_wait
 from .pipeline import Pipeline
 from .request_log import RequestLog
 
-_DEFAULT_WAIT_S = 10.0
-_MOST_WAIT_S = 300.0
 _MOST_BUFFERED_PART = 0.25
 """Part of the process's memory that bodies of waiting requests may take."""
 
@@ -128,7 +127,7 @@
             headers=self._passed_on(headers),
             body=body.first,
             arrived_at=arrived_at,
-            deadline=arrived_at + _wait_s(named.get(self.names.deadline_ms)),
+            deadline=arrived_at + caller_wait(named.get(self.names.deadline_ms)).seconds,
             key=_cookie(named.get("cookie", ""), self.names.affinity),
         )
 
@@ -145,7 +144,7 @@
         if not body.complete:
             if len(request.body) > self.limits.body_bytes:
                 return Reply(None, RefusalReason.TOO_LARGE, 413)
-            return Reply(None, RefusalReason.NO_ROOM, 503, 1.0)
+            return final_answer.refused_for_memory()
         if not request.path.startswith("/"):
             return Reply(None, RefusalReason.MALFORMED, 400)
         return None
@@ -188,15 +187,6 @@
         return reply.status, headers, msgspec.json.encode({"reason": reply.refusal.value})
 
 
-def _wait_s(text: Optional[str]) -> float:
-    """Return how long a caller waits, in seconds; a default when it does not say."""
-    try:
-        seconds = float(text) / 1000 if text else _DEFAULT_WAIT_S
-    except ValueError:
-        return _DEFAULT_WAIT_S
-    return min(seconds, _MOST_WAIT_S) if math.isfinite(seconds) and seconds > 0 else _DEFAULT_WAIT_S
-
-
 def _cookie(header: str, name: str) -> str:
     """Return the value of a cookie; empty when it is not there."""
     for pair in header.split(";"):
--- a/sprucewinch/gateway/requests/client_request.py
+++ b/sprucewinch/gateway/requests/client_request.py
@@ -1,20 +1,46 @@
-"""A caller's request on its way, and what became of it."""
+"""A caller's request on its way, and what became of it.
+
+Owns the types that the steps of a request share: the request, its attempts with their verdicts, why
+it is blocked or refused, its selection and its reply. Relies on the resources and on what is known
+of a backend server. Holds no rule; each rule has a module of its own.
+"""
 
 import enum
 from dataclasses import dataclass, field
-from typing import NamedTuple, Optional
+from typing import NamedTuple, Optional, Union
 
 from ...net.connection import Answer
 from ..resources import Route
 from ..servers.backend_server import BackendServer
 
+TIMED_OUT = "timeout"
+"""Cause of an attempt that ended at the time until which its request is held."""
+
+MISDIRECTED = "misdirected"
+"""Cause of an attempt whose address belongs to another server by now."""
+
+SHED = "shed"
+"""Start of the cause of an attempt that its server refused to run; its status follows."""
+
+UNREACHABLE = "unreachable"
+"""Cause of an attempt whose server could not be reached."""
+
+_LOAD_DIGITS = 1
+"""Digits after the point of loads and limits in a request's line: enough to compare them."""
+
+_AGE_DIGITS = 3
+"""Digits after the point of ages in a request's line: milliseconds."""
+
+_LONGEST_AGE_S = 1e6
+"""Age in a request's line, in seconds, of a load that was never reported: JSON has no infinity."""
+
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One attempt of a caller, read whole.
+    """One request of a caller, read whole.
 
     Args:
-        id: Names the attempt.
+        id: Names the request.
         method: HTTP method.
         host: Value of the `Host` header.
         path: Path without the query.
@@ -24,8 +50,8 @@
         arrived_at: Monotonic time of arrival, in seconds.
         deadline: Monotonic time until which the caller waits, in seconds.
         key: Names the object that it is about; empty when it names none.
-        attempts: What was sent so far.
-        blocked: Why it was not sent at the last look, if it was not.
+        attempts: Its attempts so far.
+        blocked: Why it was not sent the last time that no server could be selected, if ever.
         at_server: True while a backend server may be at work on it.
     """
 
@@ -45,11 +71,24 @@
 
     def tried_servers(self) -> set[str]:
         """Return the backend servers that were tried."""
-        return {send.server_id for send in self.attempts}
+        return {attempt.server_id for attempt in self.attempts}
 
     def possible_runs(self) -> int:
         """Return on how many backend servers it may have run."""
-        return sum(send.verdict is not Verdict.NOT_RUN for send in self.attempts)
+        return sum(attempt.verdict is not Verdict.NOT_RUN for attempt in self.attempts)
+
+
+class BlockedReason(enum.Enum):
+    """Why no server could be selected."""
+
+    NO_SERVER = "no-server"
+    """No server is allowed, untried and usable."""
+    MORE_URGENT_WAITS = "more-urgent-waits"
+    """A more urgent request waits for room at the server."""
+    CONCURRENCY_LIMIT = "concurrency-limit"
+    """This VM has as many requests at the server as it may have."""
+    LOAD_LIMIT = "load-limit"
+    """The server holds as many requests as it answers in the route's time."""
 
 
 class Blocked(NamedTuple):
@@ -57,21 +96,34 @@
 
     Args:
         server_id: The server; empty when none can be used.
+        reason: What decided it; not part of the line.
         in_flight: This VM's requests there.
-        window: Most that it may have there.
+        concurrency_limit: Most requests that this VM may have there.
         load: Requests that the server probably holds, of all VMs.
-        told_s: Age of the server's own word on its load, in seconds.
+        load_age_s: Age of the server's last reported load, in seconds; infinite when it reported
+            none.
     """
 
     server_id: str
+    reason: BlockedReason = BlockedReason.NO_SERVER
     in_flight: int = 0
-    window: float = 0.0
+    concurrency_limit: float = 0.0
     load: float = 0.0
-    told_s: float = 0.0
+    load_age_s: float = 0.0
+
+    def log_fields(self) -> dict[str, Union[str, float]]:
+        """Return the fields of a request's line; others read their names, so those stay."""
+        return {
+            "server_id": self.server_id,
+            "in_flight": self.in_flight,
+            "window": round(self.concurrency_limit, _LOAD_DIGITS),
+            "load": round(self.load, _LOAD_DIGITS),
+            "told_s": round(min(self.load_age_s, _LONGEST_AGE_S), _AGE_DIGITS),
+        }
 
 
 class Verdict(enum.Enum):
-    """What is certain about one send."""
+    """What is certain about one attempt."""
 
     ANSWERED = "answered"
     """The backend server's own whole answer."""
@@ -82,7 +134,7 @@
 
 
 class Attempt(NamedTuple):
-    """One send to a backend server.
+    """One try of a request at a backend server.
 
     Args:
         server_id: Backend server.
@@ -102,7 +154,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why the system gives an answer of its own."""
+    """Why the system gives an answer of its own; the value is the line's `outcome`."""
 
     NO_CONFIGURATION = "no-configuration"
     NO_ROUTE = "no-route"
@@ -122,7 +174,7 @@
         answer: A backend server's answer, passed on.
         refusal: Why there is none.
         status: HTTP status.
-        retry_after_s: When to come back, in seconds; None when that was not said.
+        retry_after_s: When the caller may come back, in seconds; None when it is not told.
         route: Route it took, if any.
     """
 
@@ -133,15 +185,28 @@
     route: Optional[Route] = None
 
 
+class SelectionReason(enum.Enum):
+    """Why a server is selected."""
+
+    FIRST_CHOICE = "first-choice"
+    """It is the object's first server."""
+    FIRST_USABLE = "first-usable"
+    """The servers before it were tried or cannot be used."""
+    HELPS_FULL = "helps-full"
+    """The server before it has no room."""
+    SHARES_BUSY = "shares-busy"
+    """The server before it, of the same region, has no free slot."""
+
+
 class Selection(NamedTuple):
     """Where a request is sent next.
 
     Args:
         server: Backend server.
         service: Service.
-        second: True when it is not the object's first choice.
+        reason: Why this server.
     """
 
     server: BackendServer
     service: str
-    second: bool
+    reason: SelectionReason = SelectionReason.FIRST_CHOICE
--- /dev/null
+++ b/sprucewinch/gateway/requests/outcome/final_answer.py
@@ -0,0 +1,121 @@
+"""Rule: what a caller finally gets, and when it may come back.
+
+Question: which status, reason and Retry-After end a request? Inputs: the request with its attempts,
+its route if any, why no server served it, a random source; times in seconds. Rule: a server's own
+answer is passed on, its own failure too once asking another server came to nothing. Otherwise 503
+with Retry-After promises that the request has not run and never will; as soon as a server may have
+run it, it gets 504 or 502, which promise nothing. A reason stands for one status.
+
+Why so: callers repeat requests that must not run twice after a promise only, so a false promise
+runs them twice. Retry-After is spread at random so that callers that are refused together do not
+return together; it knows neither how long room will take nor who came first.
+
+Constants: `RETRY_AFTER_RANGE_S`, `STARTING_RETRY_AFTER_S`, `NO_MEMORY_RETRY_AFTER_S`, the statuses.
+Shows in: event `request`, `outcome` and `status`; counters `requests_…`. Tests:
+tests/test_gateway_request_rules.py, tests/test_gateway_pipeline.py, tests/test_formats_gateway.py.
+
+Requests that are known to be unservable, and what each gets today:
+
+- No server is allowed, or all servers are cold past this VM's allowance: 503 `no-server` at once,
+  with a Retry-After from the range, which does not look at when the allowance allows one more.
+- No server has room: 503 `no-room` after the wait of `room`, with a Retry-After from the range.
+- The deadline is over on arrival: 503 `no-room` at once, as nothing was sent.
+- The deadline is shorter than any usual work: not recognised; once sent, 504 `timeout` at the end
+  of `hold_time`.
+- No configuration yet: 503 `no-configuration` at once, with a fixed Retry-After.
+- No memory for its body: 503 `no-room` at once, with a fixed Retry-After.
+"""
+
+import random
+from typing import Optional
+
+from ...resources import Route
+from ..client_request import Attempt, ClientRequest, RefusalReason, Reply, Verdict
+
+RETRY_AFTER_RANGE_S = (0.25, 0.75)
+"""When a caller that met no room is told to come back, in seconds: spread, so that callers refused
+together do not return together, and late enough that there may be room. Set in 2e5e43d among other
+changes (kovacs trouble-3 0.611 to 0.706 with all of them); never measured by itself."""
+
+STARTING_RETRY_AFTER_S = 0.3
+"""When a caller that met a VM without a configuration is told to come back, in seconds. A guess,
+never measured."""
+
+NO_MEMORY_RETRY_AFTER_S = 1.0
+"""When a caller whose body found no memory is told to come back, in seconds. A guess, never
+measured."""
+
+SERVICE_UNAVAILABLE = 503
+"""HTTP status of a refusal that promises that the request did not run; set by the HTTP standard and
+by what callers do with it."""
+
+_STATUS = {
+    RefusalReason.NO_ROUTE: 404,
+    RefusalReason.MALFORMED: 400,
+    RefusalReason.TOO_LARGE: 413,
+    RefusalReason.TIMEOUT: 504,
+    RefusalReason.FAILED: 502,
+}
+"""HTTP status of each reason that is not 503, by the HTTP standard: 502 and 504 promise nothing."""
+
+
+def passed_on(attempt: Attempt, route: Route) -> Reply:
+    """Return the reply that passes a server's own answer on."""
+    assert attempt.answer is not None
+    return Reply(attempt.answer, None, attempt.answer.status, route=route)
+
+
+def refused(refusal: RefusalReason, rng: random.Random, route: Optional[Route] = None) -> Reply:
+    """Return this VM's own answer for a reason.
+
+    Args:
+        refusal: Why no server's answer is passed on.
+        rng: Spreads Retry-After; drawn from once for a 503, and not while there is no
+            configuration.
+        route: Route of the request, if any.
+    """
+    status = _STATUS.get(refusal, SERVICE_UNAVAILABLE)
+    retry_after_s = _retry_after_s(refusal, rng) if status == SERVICE_UNAVAILABLE else None
+    return Reply(None, refusal, status, retry_after_s, route)
+
+
+def refused_for_memory() -> Reply:
+    """Return the answer to a request whose body finds no memory."""
+    return Reply(None, RefusalReason.NO_ROOM, SERVICE_UNAVAILABLE, NO_MEMORY_RETRY_AFTER_S)
+
+
+def not_served(
+    request: ClientRequest, route: Route, refusal: RefusalReason, rng: random.Random
+) -> Reply:
+    """Return the final answer of a request that is not sent any more; never a false promise.
+
+    Args:
+        request: The request.
+        route: Its route.
+        refusal: Why it is not sent.
+        rng: Spreads Retry-After.
+    """
+    for attempt in request.attempts:
+        if attempt.verdict is Verdict.ANSWERED:
+            return passed_on(attempt, route)
+    return refused(_true_reason(request, refusal), rng, route)
+
+
+def stopped(request: ClientRequest, rng: random.Random) -> Reply:
+    """Return the final answer of a request that is given up where it stands: the process ends."""
+    may_run = request.at_server or request.possible_runs()
+    return refused(RefusalReason.FAILED if may_run else RefusalReason.STOPPING, rng)
+
+
+def _true_reason(request: ClientRequest, refusal: RefusalReason) -> RefusalReason:
+    """Return a reason whose status promises no more than is certain."""
+    timed_out = refusal is RefusalReason.TIMEOUT
+    if request.possible_runs():
+        return RefusalReason.TIMEOUT if timed_out else RefusalReason.FAILED
+    return RefusalReason.NO_ROOM if timed_out else refusal
+
+
+def _retry_after_s(refusal: RefusalReason, rng: random.Random) -> float:
+    if refusal is RefusalReason.NO_CONFIGURATION:
+        return STARTING_RETRY_AFTER_S
+    return rng.uniform(*RETRY_AFTER_RANGE_S)
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -1,7 +1,10 @@
-"""The order of the filters that a request passes: route, place, admit, send, judge, reply.
+"""The order of the steps that a request passes: route, split, hold time, select, send, retry.
 
-Each filter is a module of its own. A request that comes back from a server without an answer
-passes all of them again, so that it meets the newest configuration and servers.
+Owns the order and the state that steps share: the route table, split balances, retry budgets. Each
+rule is a module of its own: `routes`, `split`, `outcome.hold_time`, `server_order`,
+`server_selection`, `room`, `outcome.retry_decision`, `retry_budget`, `outcome.final_answer`. A
+request that waited for room, or whose attempt brought no answer, passes all steps again, so that it
+meets the newest configuration and servers. Relies on the rules, the registry and the sender.
 """
 
 import random
@@ -12,43 +15,18 @@
 from ..servers.backend_registry import BackendRegistry
 from ..settings import Bounds
 from ..state.store_view import Change, StoreView
-from .client_request import Attempt, ClientRequest, RefusalReason, Reply, Selection, Verdict
+from .client_request import Attempt, ClientRequest, RefusalReason, Reply, Selection
+from .outcome import final_answer
+from .outcome.hold_time import hold_time
+from .outcome.retry_decision import RetryDecision, decide_retry, without_budget
 from .retry_budget import WindowRetryBudget
+from .room import LOOK_AGAIN_S, room_wait_s
 from .routes import RouteTable
 from .sender import Sender
 from .server_order import Ranking, ServerRanker
 from .server_selection import ServerSelector
 from .split import Splits
 
-RETRY_AFTER_RANGE_S = (0.25, 0.75)
-"""When a caller that met no room is told to come back, in seconds: spread, so that callers refused
-together do not return together, and late enough that there may be room."""
-
-STARTING_RETRY_AFTER_S = 0.3
-"""When a caller that met a VM without a configuration is told to come back, in seconds."""
-
-_DEFAULT_AIM_S = 0.4
-_WAIT_PART = 0.2
-"""Part of a route's aim that a request waits for room; a refusal after a quarter comes late."""
-
-_LOOK_AGAIN_S = 0.02
-_ANSWER_MARGIN_S = 0.04
-"""How long before a caller leaves it gets its final answer, in seconds."""
-
-_MOST_UNREACHABLE = 3
-"""How many servers that cannot be reached one request tries."""
-
-_STATUS = {
-    RefusalReason.NO_ROUTE: 404,
-    RefusalReason.MALFORMED: 400,
-    RefusalReason.TOO_LARGE: 413,
-    RefusalReason.TIMEOUT: 504,
-    RefusalReason.FAILED: 502,
-}
-_UNAVAILABLE = 503
-_SERVER_FAILED = 500
-"""Least status of an answer that says that the server failed."""
-
 
 class Pipeline:
     """Runs requests.
@@ -56,10 +34,10 @@
     Args:
         store_view: What this VM holds of the store.
         registry: Backend servers.
-        ranker: Places objects.
+        ranker: Orders the servers of an object.
         sender: Sends requests.
         bounds: The fleet's figures.
-        monotonic: Source of time.
+        monotonic: Source of time, in seconds.
         rng: Source of randomness.
     """
 
@@ -81,11 +59,11 @@
         self.bounds = bounds
         self.monotonic = monotonic
         self.rng = rng
-        self.admission = ServerSelector(registry, sender.outliers)
+        self.selector = ServerSelector(registry, sender.outliers)
         self.splits = Splits()
         self.budgets: dict[str, WindowRetryBudget] = {}
         self.table: Optional[RouteTable] = None
-        store_view.listeners.append(self._learn)
+        store_view.listeners.append(self._on_change)
 
     def set_bounds(self, bounds: Bounds) -> None:
         """Use other figures of the fleet from now on; retry budgets start anew with them."""
@@ -99,34 +77,27 @@
             now = self.monotonic()
             route = self._route(request)
             if isinstance(route, RefusalReason):
-                return self._reply(route)
-            service = self._service_now(service, route, request, now)
-            until = _held_until(route, request)
+                return final_answer.refused(route, self.rng)
+            service = self._service(request, route, service, now)
+            until = hold_time(request, route).until
             if now >= until:
-                return self._end(request, route, RefusalReason.TIMEOUT)
-            selection = self._choose(request, route, service, now)
-            if selection is RefusalReason.NO_ROOM and await self._wait_for_room(
-                request, route, service, now
-            ):
+                return self._not_served(request, route, RefusalReason.TIMEOUT)
+            selection = await self._choose_or_wait(request, route, service, now)
+            if selection is None:
                 continue
             if isinstance(selection, RefusalReason):
-                return self._end(request, route, selection)
-            fresh = bool(request.attempts) or not route.repeatable
-            send = await self.sender.send(request, selection, until, fresh=fresh)
-            request.attempts.append(send)
-            if send.verdict is Verdict.ANSWERED:
-                if self._is_final(request, route, send, service):
-                    return _passed_on(send, route)
+                return self._not_served(request, route, selection)
+            attempt = await self._send(request, route, selection, until)
+            decision = self._decide_retry(request, route, service, attempt)
+            if decision.again:
                 continue
-            refusal = self._stop_reason(request, route, send, service)
-            if refusal is not None:
-                return self._end(request, route, refusal)
+            if decision.refusal is None:
+                return final_answer.passed_on(attempt, route)
+            return self._not_served(request, route, decision.refusal)
 
     def stop_reply(self, request: ClientRequest) -> Reply:
         """Return the final answer of a request that is given up where it stands."""
-        if request.at_server or request.possible_runs():
-            return self._reply(RefusalReason.FAILED)
-        return self._reply(RefusalReason.STOPPING)
+        return final_answer.stopped(request, self.rng)
 
     def arrivals_per_s(self, service: str, now: float) -> float:
         """Return the requests a second that callers send here for a service."""
@@ -139,99 +110,62 @@
         route = self.table.find(request.host, request.path)
         return RefusalReason.NO_ROUTE if route is None else route
 
-    def _service_now(self, service: str, route: Route, request: ClientRequest, now: float) -> str:
+    def _service(self, request: ClientRequest, route: Route, service: str, now: float) -> str:
         """Return the service that handles a request: drawn anew when its route has it no longer."""
         if not service:
-            return self._enter(route, request, now)
-        if service not in {part.service for part in route.parts}:
-            return self.splits.service(route, request.key)
+            service = self.splits.service(route, request.key or request.id)
+            self._budget(service).arrived(now)
+        elif service not in {part.service for part in route.parts}:
+            service = self.splits.service(route, request.key)
         return service
 
-    def _enter(self, route: Route, request: ClientRequest, now: float) -> str:
-        service = self.splits.service(route, request.key or request.id)
-        self._budget(service).arrived(now)
-        return service
-
-    def _choose(
+    async def _choose_or_wait(
         self, request: ClientRequest, route: Route, service: str, now: float
-    ) -> Union[Selection, RefusalReason]:
-        ranking = self._place(request, route, service, now)
-        return self.admission.choose(request, ranking, service, now, route)
+    ) -> Union[Selection, RefusalReason, None]:
+        """Choose a server, else wait for room, else refuse.
 
-    def _place(self, request: ClientRequest, route: Route, service: str, now: float) -> Ranking:
+        Returns:
+            None when the request has waited and has to look anew.
+        """
         key = request.key if route.affinity and request.key else request.id
-        return self.ranker.place(service, key, route.regions, now)
+        ranking = self.ranker.place(service, key, route.regions, now)
+        selection = self.selector.choose(request, ranking, service, now, route)
+        if selection is not RefusalReason.NO_ROOM:
+            return selection
+        waited = await self._wait_for_room(request, route, ranking, now)
+        return None if waited else selection
 
     async def _wait_for_room(
-        self, request: ClientRequest, route: Route, service: str, now: float
+        self, request: ClientRequest, route: Route, ranking: Ranking, now: float
     ) -> bool:
-        """Wait a little for room, while a refusal would still come early enough to be useful.
-
-        Returns:
-            False when there is no time left or too many wait already.
-        """
-        latency_target_s = (
-            _DEFAULT_AIM_S if route.latency_target_s is None else route.latency_target_s
-        )
-        left_s = min(request.arrived_at + latency_target_s * _WAIT_PART, request.deadline) - now
-        server = self.admission.candidate(request, self._place(request, route, service, now), now)
-        if server is None or left_s <= 0 or request.attempts:
+        """Wait for room; False when there is no time left or too many wait already."""
+        server = self.selector.candidate(request, ranking, now)
+        left_s = room_wait_s(request, route, now)
+        if server is None or left_s <= 0:
             return False
-        return await server.wait_for_room(min(left_s, _LOOK_AGAIN_S), route.priority)
-
-    def _is_final(self, request: ClientRequest, route: Route, send: Attempt, service: str) -> bool:
-        """Tell whether a server's own answer is passed on, or another server is asked first."""
-        assert send.answer is not None
-        if send.answer.status < _SERVER_FAILED or not route.repeatable:
-            return True
-        if request.possible_runs() >= route.max_attempts:
-            return True
-        return not self._budget(service).take(self.monotonic(), self.registry.vm_count())
-
-    def _stop_reason(
-        self, request: ClientRequest, route: Route, send: Attempt, service: str
-    ) -> Optional[RefusalReason]:
-        """Return why a request is not sent again; None when it is."""
-        if send.verdict is Verdict.UNKNOWN:
-            if send.why == "timeout":
-                return RefusalReason.TIMEOUT
-            if not route.repeatable or request.possible_runs() >= route.max_attempts:
-                return RefusalReason.FAILED
-        if not send.arrived:
-            unreached = sum(not earlier.arrived for earlier in request.attempts)
-            return None if unreached < _MOST_UNREACHABLE else RefusalReason.NO_SERVER
-        if len(request.attempts) > route.max_attempts:
-            return RefusalReason.NO_ROOM
-        if self._budget(service).take(self.monotonic(), self.registry.vm_count()):
-            return None
-        return RefusalReason.NO_ROOM if send.verdict is Verdict.NOT_RUN else RefusalReason.FAILED
-
-    def _end(self, request: ClientRequest, route: Route, refusal: RefusalReason) -> Reply:
-        """Return the final answer of a request that no server served; never a false promise.
-
-        A server's own failure is passed on when asking another one came to nothing.
-        """
-        for send in request.attempts:
-            if send.verdict is Verdict.ANSWERED:
-                return _passed_on(send, route)
-        if request.possible_runs():
-            timeout = refusal is RefusalReason.TIMEOUT
-            return self._reply(RefusalReason.TIMEOUT if timeout else RefusalReason.FAILED, route)
-        if refusal is RefusalReason.TIMEOUT:
-            refusal = RefusalReason.NO_ROOM
-        return self._reply(refusal, route)
-
-    def _reply(self, refusal: RefusalReason, route: Optional[Route] = None) -> Reply:
-        status = _STATUS.get(refusal, _UNAVAILABLE)
-        come_back = None
-        if status == _UNAVAILABLE:
-            waiting_for_start = refusal is RefusalReason.NO_CONFIGURATION
-            come_back = (
-                STARTING_RETRY_AFTER_S
-                if waiting_for_start
-                else self.rng.uniform(*RETRY_AFTER_RANGE_S)
-            )
-        return Reply(None, refusal, status, come_back, route)
+        return await server.wait_for_room(min(left_s, LOOK_AGAIN_S), route.priority)
+
+    async def _send(
+        self, request: ClientRequest, route: Route, selection: Selection, until: float
+    ) -> Attempt:
+        """Send a request, on a new connection where a stale one could cost it a run."""
+        fresh = bool(request.attempts) or not route.repeatable
+        attempt = await self.sender.send(request, selection, until, fresh=fresh)
+        request.attempts.append(attempt)
+        return attempt
+
+    def _decide_retry(
+        self, request: ClientRequest, route: Route, service: str, attempt: Attempt
+    ) -> RetryDecision:
+        """Decide on a retry, and take it from the budget of the service."""
+        decision = decide_retry(request, route, attempt)
+        if not decision.costs_retry:
+            return decision
+        taken = self._budget(service).take(self.monotonic(), self.registry.vm_count())
+        return decision if taken else without_budget(attempt)
+
+    def _not_served(self, request: ClientRequest, route: Route, refusal: RefusalReason) -> Reply:
+        return final_answer.not_served(request, route, refusal, self.rng)
 
     def _budget(self, service: str) -> WindowRetryBudget:
         budget = self.budgets.get(service)
@@ -239,20 +173,6 @@
             budget = self.budgets[service] = WindowRetryBudget(self.bounds)
         return budget
 
-    def _learn(self, change: Change) -> None:
+    def _on_change(self, change: Change) -> None:
         if isinstance(change.after, RouteConfiguration):
             self.table = RouteTable(change.after)
-
-
-def _passed_on(send: Attempt, route: Route) -> Reply:
-    """Return the reply that passes a server's own answer on."""
-    assert send.answer is not None
-    return Reply(send.answer, None, send.answer.status, route=route)
-
-
-def _held_until(route: Route, request: ClientRequest) -> float:
-    """Return until when a request is held, as monotonic time in seconds."""
-    deadline = request.deadline - _ANSWER_MARGIN_S
-    if route.timeout_s is None:
-        return deadline
-    return min(deadline, request.arrived_at + route.timeout_s)
--- a/sprucewinch/gateway/requests/request_log.py
+++ b/sprucewinch/gateway/requests/request_log.py
@@ -1,4 +1,4 @@
-"""What became of requests, as the callers' side reports it.
+"""How requests end, as the callers' side reports it.
 
 Owns the interface; `decision_log` implements it. Relies on the request's own types.
 """
@@ -9,7 +9,7 @@
 
 
 class RequestLog(abc.ABC):
-    """Takes the fate of each request."""
+    """Takes the end of each request."""
 
     @abc.abstractmethod
     def replied(self, request: ClientRequest, reply: Reply, seconds: float) -> None:
--- a/sprucewinch/gateway/requests/retry_budget.py
+++ b/sprucewinch/gateway/requests/retry_budget.py
@@ -1,30 +1,48 @@
-"""The fleet's limit on repeats, kept by each VM from its own counts alone.
+"""Rule: how many retries of a service this VM may send, so that the fleet keeps its limit.
 
-A VM spends at most the ratio of its own requests and its part of the slack. The sum over all
-VMs then stays under the fleet's limit, whatever they know of each other; only the number of
-VMs enters, and it is taken too high rather than too low.
+Question: is a retry left? Inputs: this VM's counts of requests and retries over the window in
+seconds, the fleet's ratio and slack, the number of VMs. Rule: a VM spends at most the ratio of its
+own requests and its part of the slack. The sum over all VMs stays under the fleet's limit whatever
+they know of each other; only the number of VMs enters, and it is rather too high than too low.
+
+Why so: a budget that VMs would have to agree on would fail when they cannot reach each other, which
+is when retries are many. The two windows differ so that what is counted at callers here and at
+backend servers elsewhere cannot break the limit at their edges.
+
+Constants: `SAFETY_PART`, `REQUEST_WINDOW_PART`, `RETRY_WINDOW_PART`; ratio, slack and window come
+from the settings (`Bounds`). Shows in: event `request`, `sends`; counters `repeats_after_…`. Tests:
+tests/test_gateway_pipeline.py (`Repeats`, `OwnFailures`).
 """
 
 from ..settings import Bounds
 from .sliding_count import SlidingCount
 
-_SAFETY = 0.75
-"""Part of the limit that is used: counts of callers and of backend servers differ at the edges."""
+SAFETY_PART = 0.75
+"""Part of the limit that is used: a margin for counts of callers and of backend servers, which
+differ at the windows' edges. A guess, never measured."""
+
+REQUEST_WINDOW_PART = 0.9
+"""Part of the limit's window over which requests are counted: a margin for requests that fall out
+of a window elsewhere first. A guess, never measured."""
+
+RETRY_WINDOW_PART = 1.1
+"""Part of the limit's window over which retries are counted: a margin for retries that fall out of
+a window elsewhere last. A guess, never measured."""
 
 
 class WindowRetryBudget:
-    """Repeats of one service at this VM.
+    """Retries of one service at this VM.
 
     Args:
         bounds: The fleet's figures.
     """
 
-    __slots__ = ("bounds", "repeats", "requests")
+    __slots__ = ("bounds", "requests", "retries")
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
-        self.requests = SlidingCount(bounds.retry_window_s * 0.9)
-        self.repeats = SlidingCount(bounds.retry_window_s * 1.1)
+        self.requests = SlidingCount(bounds.retry_window_s * REQUEST_WINDOW_PART)
+        self.retries = SlidingCount(bounds.retry_window_s * RETRY_WINDOW_PART)
 
     def arrived(self, now: float) -> None:
         """Count a caller's request."""
@@ -35,7 +53,7 @@
         return self.requests.count(now) / self.requests.window_s
 
     def take(self, now: float, vm_count: int) -> bool:
-        """Take one repeat.
+        """Take one retry.
 
         Args:
             now: Monotonic time, in seconds.
@@ -45,8 +63,8 @@
             False when none is left.
         """
         slack = self.bounds.retry_slack / max(1, vm_count)
-        allowed = _SAFETY * (self.bounds.retry_ratio * self.requests.count(now) + slack)
-        if self.repeats.count(now) + 1 > allowed:
+        allowed = SAFETY_PART * (self.bounds.retry_ratio * self.requests.count(now) + slack)
+        if self.retries.count(now) + 1 > allowed:
             return False
-        self.repeats.add(now)
+        self.retries.add(now)
         return True
--- /dev/null
+++ b/sprucewinch/gateway/requests/room.py
@@ -0,0 +1,72 @@
+"""Rule: whether a backend server has room for a request, and how long a request waits for it.
+
+Question: may this VM send one more request to this server now, and if not, how long does the
+request wait? Inputs: the server's counts, the load limit of the route's time, the route's rank, the
+request's times in monotonic seconds. Rule: there is room when no more urgent request waits there,
+this VM's requests are below its concurrency limit there, and the server's load, all VMs together,
+is below what it answers within the route's time. A request waits for a part of its route's latency
+target at most, and only before its first attempt.
+
+Why so: no VM asks another one for a slot, so each bounds itself by what servers report; a refusal
+is useful to a caller only while it comes early. Requests that wait stand in the order of the
+route's rank, then of arrival (`BackendServer.wait_for_room`), and the first one looks anew when a
+request there is over; when as many wait as the server has slots, the least urgent one is refused.
+
+Constants: `ROOM_WAIT_PART`, `DEFAULT_LATENCY_TARGET_S`, `LOOK_AGAIN_S`; the load limit's are in
+`servers.service_times`. Shows in: event `request`, `outcome` `no-room` and `blocked`. Tests:
+tests/test_gateway_admit.py (`Overload`, `Priorities`, `QueuesThatFit`).
+"""
+
+from typing import Optional
+
+from ..resources import Route
+from ..servers.backend_registry import BackendRegistry
+from ..servers.backend_server import BackendServer
+from .client_request import BlockedReason, ClientRequest
+
+DEFAULT_LATENCY_TARGET_S = 0.4
+"""Latency target of a route that states none, in seconds. A guess, never measured."""
+
+ROOM_WAIT_PART = 0.2
+"""Part of a route's latency target that a request waits for room; a refusal after a quarter of it
+comes late. Set in 2e5e43d among other changes; never measured by itself."""
+
+LOOK_AGAIN_S = 0.02
+"""Longest time between two looks for room, in seconds: room may also come from a server's load
+report, which wakes nobody. A guess, never measured."""
+
+
+def no_room_reason(
+    server: BackendServer, route: Route, registry: BackendRegistry, now: float
+) -> Optional[BlockedReason]:
+    """Return why a server has no room for a request of a route; None when it has.
+
+    Args:
+        server: The server.
+        route: The request's route.
+        registry: Knows the load limit of a route's time at a server.
+        now: Monotonic time, in seconds.
+    """
+    if server.more_urgent_waits(route.priority):
+        return BlockedReason.MORE_URGENT_WAITS
+    if server.in_flight >= int(server.concurrency_limit):
+        return BlockedReason.CONCURRENCY_LIMIT
+    if server.load(now) >= registry.load_limit(server, route.timeout_s):
+        return BlockedReason.LOAD_LIMIT
+    return None
+
+
+def room_wait_s(request: ClientRequest, route: Route, now: float) -> float:
+    """Return how long a request may still wait for room, in seconds; 0 or less for not at all.
+
+    Args:
+        request: The request.
+        route: Its route.
+        now: Monotonic time, in seconds.
+    """
+    if request.attempts:
+        return 0.0
+    target_s = DEFAULT_LATENCY_TARGET_S
+    if route.latency_target_s is not None:
+        target_s = route.latency_target_s
+    return min(request.arrived_at + target_s * ROOM_WAIT_PART, request.deadline) - now
--- a/sprucewinch/gateway/requests/routes.py
+++ b/sprucewinch/gateway/requests/routes.py
@@ -1,4 +1,11 @@
-"""Which route a request takes: the host's longest prefix that begins its path."""
+"""Rule: which route a request takes.
+
+Question: which route of the configuration in force fits? Inputs: the `Host` header and the path
+without its query. Rule: the host's longest prefix that begins the path; hosts are compared without
+port and case. Prefixes end with a slash, so looking up the path's own starts finds the longest one
+in as many steps as the path has segments. Constants: none. Shows in: event `request`, `route`, or
+`outcome` `no-route`. Tests: tests/test_gateway_routes.py (`LongestPrefix`).
+"""
 
 from typing import Optional
 
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -1,4 +1,11 @@
-"""Sends a request to one backend server and says what came of it."""
+"""Sends a request to one backend server and returns what came of it.
+
+Owns one attempt: its connection, its encoding, its time, and what the VM learns of the server from
+it (load, latency, rest, outlier samples). Relies on `verdict` for what an answer proves, on the
+registry and the outlier detector to keep what is learnt, and on the connection pool. Decides on no
+retry. Shows in: event `server-rests`. Tests: tests/test_gateway_pipeline.py,
+tests/test_gateway_outliers.py, tests/test_formats_gateway.py.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -11,14 +18,36 @@
 from ..servers.backend_server import BackendServer
 from ..servers.outliers import OutlierDetector
 from ..servers.pool import ConnectionPool
-from .client_request import Attempt, ClientRequest, Selection, Verdict
+from .client_request import (
+    MISDIRECTED,
+    SHED,
+    TIMED_OUT,
+    UNREACHABLE,
+    Attempt,
+    ClientRequest,
+    Selection,
+    Verdict,
+)
+from .outcome.hold_time import MS_PER_S
+from .outcome.retry_decision import SERVER_FAILED_STATUS
 from .verdict import judge_answer, load_report
 
-_SHED_PAUSE_S = 0.05
-_MISDIRECTED_PAUSE_S = 60.0
-_FAILURE = 500
+SHED_PAUSE_S = 0.05
+"""How long a server that refused to run a request gets none, in seconds. A guess, never
+measured."""
+
+MISDIRECTED_PAUSE_S = 60.0
+"""How long an address that belongs to another server gets nothing, in seconds. A
+guess, never measured."""
+
+MIN_DEADLINE_MS = 1
+"""Least deadline that is sent to a server, in milliseconds, so that none reads 0 or less."""
+
 _KEEP_ALIVE = "timeout="
-_LEAST_DEADLINE_MS = 1
+"""Field of the keep-alive header that holds the time, in seconds."""
+
+_BODYLESS_METHODS = frozenset(("GET", "HEAD", "DELETE", "OPTIONS"))
+"""Methods whose empty body is sent without a length."""
 
 
 class Sender:
@@ -26,11 +55,11 @@
 
     Args:
         registry: Backend servers.
-        outliers: Told of the fate of every request.
+        outliers: Gets every attempt at a warm server as a sample.
         pool: Connections.
         names: Names of headers.
         monotonic: Source of time.
-        events: Takes a line when a server is left alone for a while; None for none.
+        events: Takes a line when a server rests after a failure; None for none.
     """
 
     def __init__(
@@ -65,20 +94,20 @@
         self.registry.take(server, started)
         try:
             async with asyncio.timeout(until - started):
-                send = await self._exchange(request, server, until, fresh)
+                attempt = await self._exchange(request, server, until, fresh)
         except TimeoutError:
-            send = Attempt(server.backend.id, Verdict.UNKNOWN, True, "timeout")
+            attempt = Attempt(server.backend.id, Verdict.UNKNOWN, True, TIMED_OUT)
         finally:
             self.registry.release(server, started)
         request.at_server = False
         now = self.monotonic()
-        send = send._replace(seconds=now - started)
-        self._learn(server, send, started, now, request.id)
+        attempt = attempt._replace(seconds=now - started)
+        self._learn(server, attempt, started, now, request.id)
         if server.cold(started):
-            self._note_cold(server, send)
+            self._note_cold(server, attempt)
         else:
-            self._sample(server, send, request.key, now)
-        return send
+            self._sample(server, attempt, request.key, now)
+        return attempt
 
     async def _exchange(
         self, request: ClientRequest, server: BackendServer, until: float, fresh: bool
@@ -87,8 +116,8 @@
         try:
             connection = await self.pool.take(backend.address, fresh=fresh)
         except ConnectFailedError:
-            return Attempt(backend.id, Verdict.NOT_RUN, False, "unreachable")
-        left_ms = max(_LEAST_DEADLINE_MS, int((until - self.monotonic()) * 1000))
+            return Attempt(backend.id, Verdict.NOT_RUN, False, UNREACHABLE)
+        left_ms = max(MIN_DEADLINE_MS, int((until - self.monotonic()) * MS_PER_S))
         data = self._encode(request, backend.id, backend.address, left_ms)
         request.at_server = True
         try:
@@ -106,48 +135,53 @@
         lines += [f"{name}: {value}" for name, value in request.headers]
         lines.append(f"{self.names.expected}: {server_id}")
         lines.append(f"{self.names.deadline_ms}: {left_ms}")
-        if request.body or request.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
+        if request.body or request.method not in _BODYLESS_METHODS:
             lines.append(f"content-length: {len(request.body)}")
         return "\r\n".join([*lines, "", ""]).encode("latin-1") + request.body
 
-    def _note_cold(self, server: BackendServer, send: Attempt) -> None:
-        """Note what became of a send to a cold server; it says nothing of the server itself."""
-        if send.verdict is Verdict.ANSWERED or send.why == "timeout":
-            self.registry.record_cold_attempt(server, send.verdict is Verdict.ANSWERED)
-
-    def _sample(self, server: BackendServer, send: Attempt, key: str, now: float) -> None:
-        """Note what a send says of its server beside the others of its service."""
-        if send.verdict is Verdict.UNKNOWN:
-            self.outliers.failed(server, now, late=send.why == "timeout")
-        elif send.verdict is Verdict.ANSWERED and send.answer is not None:
-            if send.answer.status >= _FAILURE:
+    def _note_cold(self, server: BackendServer, attempt: Attempt) -> None:
+        """Note the end of an attempt at a cold server; it does not count as an outlier sample."""
+        if attempt.verdict is Verdict.ANSWERED or attempt.why == TIMED_OUT:
+            self.registry.record_cold_attempt(server, attempt.verdict is Verdict.ANSWERED)
+
+    def _sample(self, server: BackendServer, attempt: Attempt, key: str, now: float) -> None:
+        """Give the outlier detector the attempt as a sample of its server."""
+        if attempt.verdict is Verdict.UNKNOWN:
+            self.outliers.failed(server, now, late=attempt.why == TIMED_OUT)
+        elif attempt.verdict is Verdict.ANSWERED and attempt.answer is not None:
+            if attempt.answer.status >= SERVER_FAILED_STATUS:
                 self.outliers.failed(server, now)
                 return
-            load = load_report(send.answer, self.names)
+            load = load_report(attempt.answer, self.names)
             held = load.running + load.waiting if load else 0
-            self.outliers.answered(server, key, send.seconds, held, now)
+            self.outliers.answered(server, key, attempt.seconds, held, now)
 
     def _learn(
-        self, server: BackendServer, send: Attempt, started: float, now: float, request_id: str
+        self, server: BackendServer, attempt: Attempt, started: float, now: float, request_id: str
     ) -> None:
-        if send.answer is not None:
-            load = load_report(send.answer, self.names)
+        if attempt.answer is not None:
+            load = load_report(attempt.answer, self.names)
             if load is not None:
                 self.registry.record_load(server, load.running, load.waiting, now)
-        if send.verdict is Verdict.ANSWERED:
-            self.registry.answered(server, send.seconds, now)
-        elif send.why == "misdirected":
-            server.pause(now + _MISDIRECTED_PAUSE_S)
-        elif send.why.startswith("shed"):
-            server.pause(now + _SHED_PAUSE_S)
+        if attempt.verdict is Verdict.ANSWERED:
+            self.registry.answered(server, attempt.seconds, now)
+        elif attempt.why == MISDIRECTED:
+            server.pause(now + MISDIRECTED_PAUSE_S)
+        elif attempt.why.startswith(SHED):
+            server.pause(now + SHED_PAUSE_S)
             server.crowded(now)
-        elif send.why != "timeout" or server.answered_at < started:
+        elif attempt.why != TIMED_OUT or server.answered_at < started:
             server.failed(now)
-            self.events.state("server-rests", server=server.backend.id, why=send.why, id=request_id)
+            self.events.state(
+                "server-rests", server=server.backend.id, why=attempt.why, id=request_id
+            )
 
 
 def _keep_alive_s(answer: Answer) -> float:
-    """Return how long a server keeps a connection open; unbounded when it does not say."""
+    """Return how long a server keeps a connection open, in seconds; unbounded when it is not said.
+
+    An unreadable time is passed over in silence: a connection that the server closes is replaced.
+    """
     text = answer.header("keep-alive") or ""
     for word in text.replace(" ", "").split(","):
         if word.startswith(_KEEP_ALIVE) and word.removeprefix(_KEEP_ALIVE).isdigit():
--- a/sprucewinch/gateway/requests/server_order.py
+++ b/sprucewinch/gateway/requests/server_order.py
@@ -1,4 +1,15 @@
-"""Which backend servers may run a request, the best first."""
+"""Rule: in which order the backend servers of a service are asked for an object.
+
+Question: which servers may run a request about this object, the best first? Inputs: service,
+object, allowed regions, the regions' shares in force, time in monotonic seconds. Rule: the share
+that the object's hash falls into gives its region; servers of that region come first, then all
+others, each group by rendezvous hashing weighted with the servers' slots.
+
+Why so: every VM finds the same order without asking another one, and a server that comes or goes
+moves its own objects only, so the others find their servers warm. Rankings are kept until the
+registry changes, as one costs a hash for each server. Constants: `RANKINGS_KEPT`. Shows in: event
+`request`, first of `sends`. Tests: tests/test_gateway_pipeline.py (`Placing`).
+"""
 
 import math
 from typing import NamedTuple
@@ -11,7 +22,10 @@
 from ..servers.backend_server import BackendServer
 
 _HASH_SPACE = float(1 << 32)
-_MAX_KEPT = 4_000
+"""Number of values of the hash, which has 32 bits."""
+
+RANKINGS_KEPT = 4_000
+"""Rankings that are kept before all are dropped, to bound memory. A guess, never measured."""
 
 
 class Ranking(NamedTuple):
@@ -29,7 +43,7 @@
 
 
 class ServerRanker:
-    """Places objects by region shares, then by rendezvous hashing within a region.
+    """Orders servers by region shares, then by rendezvous hashing within a region.
 
     Args:
         registry: Backend servers.
@@ -55,7 +69,7 @@
             allowed: Regions that may run it; empty for all.
             now: Monotonic time, in seconds.
         """
-        if self._generation != self.registry.generation or len(self._kept) > _MAX_KEPT:
+        if self._generation != self.registry.generation or len(self._kept) > RANKINGS_KEPT:
             self._generation = self.registry.generation
             self._kept.clear()
         block = block_key(key, service)
--- a/sprucewinch/gateway/requests/server_selection.py
+++ b/sprucewinch/gateway/requests/server_selection.py
@@ -1,9 +1,20 @@
-"""Admission: which of an object's servers gets a request now, or why none does.
-
-A request waits or is refused rather than sent to a server that has not seen its object: such work
-takes three times as long and pushes out what that server keeps warm, which sends still more
-requests astray. A server that cannot be used at all gives its objects to the next in their order.
-One without a free slot shares them with that same next one, as long as it has slots to spare.
+"""Rule: which of an object's servers gets a request now, helper included, or why none does.
+
+Question: which server of the ranking gets this request now? Inputs: the request with its attempts,
+its ranking, its route, time in monotonic seconds. Rule: the first untried server that can be used;
+one that rests, is silent, ejected or cold past its allowance gives its objects to the next. A
+server without room, or of the same region without a free slot, shares its objects with the next in
+their order, always the same one, as long as that one has slots to spare. Otherwise the request is
+refused, or waits (`room`).
+
+Why so: work at a server that has not seen its object takes three times as long and pushes out what
+that server keeps warm, which sends still more requests astray (2e5e43d, trials: to second 20
+balance-lookup earned 0.609 of its credit with the soonest free server, 0.748 with two servers an
+object, 0.768 with one). The helper is one fixed server, so that it soon keeps the object warm too.
+
+Constants: `HELPER_FREE_PART`, `HELPER_IDLE_PART`, each with its ground below it. Shows in: event
+`request`, `sends`, and `blocked` of a request that was never sent. Tests:
+tests/test_gateway_admit.py (`SilentServers`, `Overload`), tests/test_gateway_outliers.py.
 """
 
 from typing import Union
@@ -12,18 +23,29 @@
 from ..servers.backend_registry import BackendRegistry
 from ..servers.backend_server import BackendServer
 from ..servers.outliers import OutlierDetector
-from .client_request import Blocked, ClientRequest, RefusalReason, Selection
+from .client_request import (
+    Blocked,
+    BlockedReason,
+    ClientRequest,
+    RefusalReason,
+    Selection,
+    SelectionReason,
+)
+from .room import no_room_reason
 from .server_order import Ranking
 
-_FREE_PART = 0.5
-"""Part of its slots below which a server has some to spare for another of its region."""
+HELPER_FREE_PART = 0.5
+"""Part of its slots below which a server has some to spare for another of its region. Set in
+cceef51 with the sharing itself (cfqc scale-1 0.748 to 0.754, kovacs scale-2 0.742 to 0.746, one
+play each); the part was never measured against others."""
 
-_IDLE_PART = 0.34
-"""Part of its slots below which it helps a server of another region that has no room at all."""
+HELPER_IDLE_PART = 0.34
+"""Part of its slots below which it helps a server of another region that has no room at all. Set in
+829d7ef (kovacs trouble-1 0.686 to 0.705, one play each; one half was no better on trouble-3)."""
 
 
 class ServerSelector:
-    """Bounds what is sent to each backend server, without asking anybody.
+    """Selects servers by what this VM knows, without asking another one.
 
     Args:
         registry: Backend servers.
@@ -37,7 +59,9 @@
     def choose(
         self, request: ClientRequest, ranking: Ranking, service: str, now: float, route: Route
     ) -> Union[Selection, RefusalReason]:
-        """Choose the server of a request: the first of its object that can be used.
+        """Return the server that gets a request now, or why none does.
+
+        A refusal leaves its inputs in `request.blocked`.
 
         Args:
             request: The request.
@@ -50,20 +74,24 @@
         if server is None:
             request.blocked = Blocked("")
             return RefusalReason.NO_SERVER
-        room = not server.more_urgent_waits(route.priority) and self._has_room(server, now, route)
-        if not room or server.load(now) >= server.backend.capacity:
+        no_room = no_room_reason(server, route, self.registry, now)
+        if no_room is not None or server.load(now) >= server.backend.capacity:
             helper = self._helper(request, ranking, server, now)
-            if helper is not None and (not room or self._is_near(helper, ranking)):
-                return Selection(helper, service, True)
-        if not room:
-            request.blocked = _blocked(server, now)
+            if helper is not None and no_room is not None:
+                return Selection(helper, service, SelectionReason.HELPS_FULL)
+            if helper is not None and self._is_near(helper, ranking):
+                return Selection(helper, service, SelectionReason.SHARES_BUSY)
+        if no_room is not None:
+            request.blocked = _blocked(server, no_room, now)
             return RefusalReason.NO_ROOM
-        return Selection(server, service, server is not ranking.servers[0])
+        if server is ranking.servers[0]:
+            return Selection(server, service)
+        return Selection(server, service, SelectionReason.FIRST_USABLE)
 
     def candidate(
         self, request: ClientRequest, ranking: Ranking, now: float
     ) -> BackendServer | None:
-        """Return the server that a request belongs to now; None when it has been everywhere."""
+        """Return the server that a request belongs to now; None when no untried one may be used."""
         tried_servers = request.tried_servers()
         untried = [s for s in ranking.servers if s.backend.id not in tried_servers]
         for server in untried:
@@ -85,7 +113,7 @@
         server = ranking.servers[at]
         if server.backend.id in request.tried_servers() or not self._reachable(server, now):
             return None
-        part = _FREE_PART if at < ranking.near else _IDLE_PART
+        part = HELPER_FREE_PART if at < ranking.near else HELPER_IDLE_PART
         return server if server.load(now) < server.backend.capacity * part else None
 
     def _is_near(self, server: BackendServer, ranking: Ranking) -> bool:
@@ -98,17 +126,13 @@
             now, self.registry.cold_allowance(server)
         )
 
-    def _has_room(self, server: BackendServer, now: float, route: Route) -> bool:
-        if server.in_flight >= int(server.concurrency_limit):
-            return False
-        return server.load(now) < self.registry.load_limit(server, route.timeout_s)
-
 
-def _blocked(server: BackendServer, now: float) -> Blocked:
+def _blocked(server: BackendServer, reason: BlockedReason, now: float) -> Blocked:
     return Blocked(
         server.backend.id,
+        reason,
         server.in_flight,
-        round(server.concurrency_limit, 1),
-        round(server.load(now), 1),
-        round(min(server.load_age_s(now), 1e6), 3),
+        server.concurrency_limit,
+        server.load(now),
+        server.load_age_s(now),
     )
--- a/sprucewinch/gateway/requests/sliding_count.py
+++ b/sprucewinch/gateway/requests/sliding_count.py
@@ -1,7 +1,15 @@
-"""Counts over a sliding window of time."""
+"""Counts over a sliding window of time.
+
+Owns a count in buckets, so that its memory depends on the window's length and not on the number of
+events. Relies on nothing; the caller gives the time.
+"""
 
 from collections import deque
 
+BUCKET_S = 0.25
+"""Length of a bucket, in seconds; an event counts for up to this much longer than the window. A
+guess, never measured."""
+
 
 class SlidingCount:
     """Counts events within a window, in small buckets.
@@ -13,7 +21,7 @@
 
     __slots__ = ("_buckets", "bucket_s", "total", "window_s")
 
-    def __init__(self, window_s: float, *, bucket_s: float = 0.25) -> None:
+    def __init__(self, window_s: float, *, bucket_s: float = BUCKET_S) -> None:
         self.window_s = window_s
         self.bucket_s = bucket_s
         self.total = 0
--- a/sprucewinch/gateway/requests/split.py
+++ b/sprucewinch/gateway/requests/split.py
@@ -1,18 +1,28 @@
-"""Division of a route's requests among services, by weight.
+"""Rule: which service of a split route gets a request.
 
-An object stays with one service as far as the weights allow, so that it finds its backend servers
-warm; the running shares are kept close to the weights by moving some objects' requests.
+Question: which part of the route runs this request? Inputs: the route's parts with their weights,
+the object's key. Rule: the object's hash gives its service, unless that service's running share
+lies too far above its weight; then the service that lies furthest below its weight gets it.
+
+Why so: an object stays with one service as far as the weights allow, so that it finds its backend
+servers warm, and few objects with many requests cannot bend the split. Shares are each VM's own.
+Constants: `MAX_SHARE_EXCESS`, `DECAY_REQUESTS`. Shows in: event `request`, by the servers in
+`sends`. Tests: tests/test_gateway_routes.py (`SplitShares`).
 """
 
 from ..._hash import hash64
 from ..resources import Part, Route
 
-_MOST_OFF = 0.03
-"""How far a running share may lie off its weight."""
+MAX_SHARE_EXCESS = 0.03
+"""How far a service's running share may lie above its weight, as a part of all requests. A guess,
+never measured."""
+
+DECAY_REQUESTS = 200.0
+"""Requests of a route after which an older one counts 1/e (a half after 139). A guess, never
+measured."""
 
-_SPACE = float(1 << 64)
-_HALF_LIFE = 200.0
-"""Requests after which an older one counts half."""
+_HASH_SPACE = float(1 << 64)
+"""Number of values of the hash, which has 64 bits."""
 
 
 class SplitBalance:
@@ -34,24 +44,25 @@
     def choose(self, key: str) -> str:
         """Return the service of a request about an object."""
         wanted = self._by_key(key)
-        chosen = wanted if self._off(wanted) <= _MOST_OFF else min(self._weights, key=self._off)
+        near_weight = self._excess(wanted) <= MAX_SHARE_EXCESS
+        chosen = wanted if near_weight else min(self._weights, key=self._excess)
         self._count(chosen)
         return chosen
 
     def _by_key(self, key: str) -> str:
-        at = hash64(f"split|{key}") / _SPACE
+        at = hash64(f"split|{key}") / _HASH_SPACE
         for service, weight in self._weights.items():
             at -= weight
             if at < 0:
                 return service
         return next(reversed(self._weights))
 
-    def _off(self, service: str) -> float:
+    def _excess(self, service: str) -> float:
         """Return how far a service's share would lie above its weight after one more request."""
         return (self._counts[service] + 1) / (self._total + 1) - self._weights[service]
 
     def _count(self, service: str) -> None:
-        keep = 1.0 - 1.0 / _HALF_LIFE
+        keep = 1.0 - 1.0 / DECAY_REQUESTS
         for name in self._counts:
             self._counts[name] *= keep
         self._counts[service] += 1
--- a/sprucewinch/gateway/requests/verdict.py
+++ b/sprucewinch/gateway/requests/verdict.py
@@ -1,14 +1,30 @@
-"""What an answer of a backend server proves."""
+"""Rule: what an answer of a backend server proves about the request that it answers.
+
+Question: is this the server's own answer to this request, proof that it did not run, or neither?
+Inputs: the whole answer, the request's id, the platform's header names. Rule: a server that says
+that it did not run a request, or that is another one, proves that it did not run; an answer to
+another request or an unsigned success proves nothing; everything else is the server's own answer.
+
+Why so: only what the server itself says may end in a promise to the caller. Constants: the
+statuses. Shows in: event `request`, `sends`. Tests: tests/test_gateway_pipeline.py
+(`SpoiltAnswers`, `Ends`).
+"""
 
 from typing import NamedTuple, Optional
 
 from ...net.connection import Answer
 from ..header_names import HeaderNames
-from .client_request import Verdict
+from .client_request import MISDIRECTED, SHED, Verdict
+
+BAD_REQUEST_STATUS = 400
+"""HTTP status of an answer to a request that no server would run, by the HTTP standard."""
 
-_BAD_REQUEST = 400
-_MISDIRECTED = 421
-_OK = range(200, 300)
+MISDIRECTED_STATUS = 421
+"""HTTP status of an answer from a server other than the one that was meant, by the HTTP
+standard."""
+
+SUCCESS_STATUSES = range(200, 300)
+"""HTTP statuses of success, by the HTTP standard."""
 
 
 class AnswerJudgement(NamedTuple):
@@ -24,7 +40,13 @@
 
 
 class LoadReport(NamedTuple):
-    """A backend server's word on its load."""
+    """The load that a backend server reports in an answer.
+
+    Args:
+        running: Requests that it runs.
+        waiting: Requests that wait there.
+        slots: Requests that it can run at once.
+    """
 
     running: int
     waiting: int
@@ -32,28 +54,31 @@
 
 
 def judge_answer(answer: Answer, names: HeaderNames, request_id: str) -> AnswerJudgement:
-    """Tell what an answer proves about a request.
+    """Return what an answer proves about a request.
 
     Args:
         answer: A whole answer.
         names: Names of headers.
         request_id: The request's id.
     """
-    if answer.header(names.not_run) is not None and answer.status == _BAD_REQUEST:
+    if answer.header(names.not_run) is not None and answer.status == BAD_REQUEST_STATUS:
         return AnswerJudgement(Verdict.ANSWERED, "malformed")
     if answer.header(names.not_run) is not None:
-        return AnswerJudgement(Verdict.NOT_RUN, f"shed-{answer.status}")
-    if answer.status == _MISDIRECTED:
-        return AnswerJudgement(Verdict.NOT_RUN, "misdirected")
+        return AnswerJudgement(Verdict.NOT_RUN, f"{SHED}-{answer.status}")
+    if answer.status == MISDIRECTED_STATUS:
+        return AnswerJudgement(Verdict.NOT_RUN, MISDIRECTED)
     if request_id and answer.header(names.request_id) != request_id:
         return AnswerJudgement(Verdict.UNKNOWN, "answer-to-another")
-    if answer.status in _OK and not answer.header(names.signature):
+    if answer.status in SUCCESS_STATUSES and not answer.header(names.signature):
         return AnswerJudgement(Verdict.UNKNOWN, "unsigned")
     return AnswerJudgement(Verdict.ANSWERED, "answered")
 
 
 def load_report(answer: Answer, names: HeaderNames) -> Optional[LoadReport]:
-    """Return the load that an answer tells; None when it tells none."""
+    """Return the load that an answer reports; None when it reports none that can be read.
+
+    An unreadable report is passed over in silence: the server's next answer brings another one.
+    """
     text = answer.header(names.load)
     if text is None:
         return None
--- a/tests/test_gateway_outliers.py
+++ b/tests/test_gateway_outliers.py
@@ -106,14 +106,14 @@
             path.world.configure(route(timeout_s=0.8), version=2)
             cold.work_s = 0.96
             for number in range(4):
-                chosen = Selection(server, "rates", False)
+                chosen = Selection(server, "rates")
                 until = loop.time() + 0.8
                 await path.sender.send(path.request(f"q{number}"), chosen, until)
             self.assertEqual(registry.cold_allowance(server), 2)
             cold.work_s = 0.1
             for number in range(4):
                 await path.sender.send(
-                    path.request(f"r{number}"), Selection(server, "rates", False), loop.time() + 0.8
+                    path.request(f"r{number}"), Selection(server, "rates"), loop.time() + 0.8
                 )
             self.assertEqual(registry.cold_allowance(server), before)
             self.assertGreater(before, 2)
