--- a/sprucewinch/gateway/composition.py
+++ b/sprucewinch/gateway/composition.py
@@ -259,6 +259,7 @@
         events=context.events,
         monotonic=context.monotonic,
         memory_bytes=settings.memory_bytes,
+        counters=context.events,
     )
     return Requests(pipeline, app)
 
--- a/sprucewinch/gateway/requests/app.py
+++ b/sprucewinch/gateway/requests/app.py
@@ -1,29 +1,46 @@
-"""The callers' side as an ASGI application."""
+"""The callers' side as an ASGI application.
+
+Owns the requests that are in flight: their number, the memory of their bodies, and their final
+answers when the process ends. Relies on `callers` to read requests, admit bodies and write answers,
+on the pipeline to run requests, and on the request log for their ends.
+"""
 
 import asyncio
 from collections.abc import Callable
 from typing import Any, Optional
 
-import msgspec
-
 from ...net.asgi import AsgiBody, Receive, Send
 from ...net.body import CallerLeftError
-from ...net.http_server import TARGET_KEY
-from ...net.request import end_to_end
+from ..events import EventLog, NoEvents
 from ..header_names import HeaderNames
 from ..resources import CallerLimits
 from ..state.store_view import StoreView
+from .callers.answer_writer import write_reply
+from .callers.body_admission import BodyAdmission, BodyMemory, admit_body
+from .callers.request_reader import RequestReader
 from .client_request import ClientRequest, RefusalReason, Reply
 from .outcome import final_answer
-from .outcome.hold_time import caller_wait
+from .outcome.hold_time import WaitSource
 from .pipeline import Pipeline
 from .request_log import RequestLog
 
-_MOST_BUFFERED_PART = 0.25
-"""Part of the process's memory that bodies of waiting requests may take."""
 
-_NOT_PASSED_ON = frozenset(("content-length", "accept-encoding"))
-_NOT_RETURNED = frozenset(("content-length", "keep-alive"))
+class Exchange:
+    """One request of a caller on its connection.
+
+    Args:
+        scope: Its ASGI scope.
+        body: Its body.
+        arrived_at: Monotonic time of its arrival, in seconds.
+    """
+
+    __slots__ = ("arrived_at", "body", "request", "scope")
+
+    def __init__(self, scope: dict[str, Any], body: AsgiBody, arrived_at: float) -> None:
+        self.scope = scope
+        self.body = body
+        self.arrived_at = arrived_at
+        self.request: Optional[ClientRequest] = None
 
 
 class GatewayApp:
@@ -33,9 +50,10 @@
         store_view: What this VM holds of the store.
         pipeline: Runs requests.
         names: Names of headers.
-        events: Told of every request.
-        monotonic: Source of time.
-        memory_bytes: Memory of the process.
+        events: Gets the end of every request.
+        monotonic: Source of time, in seconds.
+        memory_bytes: Memory of the process, in bytes.
+        counters: Counts what cannot be read of requests; None for none.
     """
 
     def __init__(
@@ -47,19 +65,31 @@
         events: RequestLog,
         monotonic: Callable[[], float],
         memory_bytes: int,
+        counters: Optional[EventLog] = None,
     ) -> None:
         self.store_view = store_view
         self.pipeline = pipeline
-        self.names = names
+        self.reader = RequestReader(names)
         self.events = events
         self.monotonic = monotonic
-        self.max_buffered = int(memory_bytes * _MOST_BUFFERED_PART)
-        self.buffered = 0
+        self.bodies = BodyMemory(memory_bytes)
+        self.counters = counters or NoEvents()
         self.in_flight = 0
         self.stopping = False
         self.giving_up = False
         self._serving: set[asyncio.Task] = set()
 
+    @property
+    def buffered(self) -> int:
+        """Bytes of the bodies that are held."""
+        return self.bodies.held_bytes
+
+    @property
+    def limits(self) -> CallerLimits:
+        """Limits in force."""
+        held = self.store_view.configuration
+        return held.limits if held else CallerLimits()
+
     def stop(self) -> None:
         """End each connection with its next answer from now on."""
         self.stopping = True
@@ -72,125 +102,83 @@
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Serve one request."""
-        arrived_at = self.monotonic()
-        self.in_flight += 1
-        body = AsgiBody(receive)
-        request: Optional[ClientRequest] = None
+        exchange = Exchange(scope, AsgiBody(receive), self.monotonic())
         task = asyncio.current_task()
         assert task is not None
+        self.in_flight += 1
         self._serving.add(task)
         try:
-            try:
-                await self._read(body)
-                request = self._call(scope, body, arrived_at)
-                reply = self._gate(request, body) or await self._run_while_caller_stays(
-                    request, body
-                )
-            except asyncio.CancelledError:
-                if not self.giving_up:
-                    raise
-                task.uncancel()
-                request = request or self._call(scope, body, arrived_at)
-                reply = self.pipeline.stop_reply(request)
-            self._serving.discard(task)
-            self.events.replied(request, reply, self.monotonic() - arrived_at)
-            await self._write(reply, send, close=self.stopping or not body.complete)
-        except CallerLeftError:
-            if request is not None:
-                self.events.left(request, self.monotonic() - arrived_at)
+            await self._serve(exchange, send, task)
         finally:
             self._serving.discard(task)
             self.in_flight -= 1
-            self.buffered -= len(body.first)
+            self.bodies.release(len(exchange.body.first))
 
-    @property
-    def limits(self) -> CallerLimits:
-        """Limits in force."""
-        held = self.store_view.configuration
-        return held.limits if held else CallerLimits()
+    async def _serve(self, exchange: Exchange, send: Send, task: asyncio.Task) -> None:
+        """Answer one request, or note that its caller left."""
+        try:
+            reply = await self._reply(exchange, task)
+            self._serving.discard(task)
+            self._note_reply(exchange, reply)
+            await write_reply(reply, send, close=self.stopping or not exchange.body.complete)
+        except CallerLeftError:
+            # Before the whole request is read there is nothing to name in a line, and nothing ran.
+            if exchange.request is not None:
+                self.events.left(exchange.request, self.monotonic() - exchange.arrived_at)
 
-    async def _read(self, body: AsgiBody) -> None:
-        room = max(0, min(self.limits.body_bytes, self.max_buffered - self.buffered))
-        await body.keep_start(room + 1)
-        self.buffered += len(body.first)
-
-    def _call(self, scope: dict[str, Any], body: AsgiBody, arrived_at: float) -> ClientRequest:
-        headers = [(n.decode("latin-1"), v.decode("latin-1")) for n, v in scope["headers"]]
-        named = dict(reversed(headers))
-        target = scope.get(TARGET_KEY, scope["raw_path"]).decode("latin-1")
-        return ClientRequest(
-            id=named.get(self.names.request_id, ""),
-            method=scope["method"],
-            host=named.get("host", ""),
-            path=target.partition("?")[0],
-            target=target,
-            headers=self._passed_on(headers),
-            body=body.first,
-            arrived_at=arrived_at,
-            deadline=arrived_at + caller_wait(named.get(self.names.deadline_ms)).seconds,
-            key=_cookie(named.get("cookie", ""), self.names.affinity),
-        )
-
-    def _passed_on(self, headers: list[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
-        own = (self.names.deadline_ms, self.names.expected)
-        return tuple(
-            (name, value)
-            for name, value in end_to_end(headers)
-            if name not in _NOT_PASSED_ON and name not in own
-        )
-
-    def _gate(self, request: ClientRequest, body: AsgiBody) -> Optional[Reply]:
-        """Refuse what cannot be taken on, before anything is done."""
-        if not body.complete:
-            if len(request.body) > self.limits.body_bytes:
-                return Reply(None, RefusalReason.TOO_LARGE, 413)
+    async def _reply(self, exchange: Exchange, task: asyncio.Task) -> Reply:
+        """Return the final answer: of the request's run, or of the stop that cuts it off."""
+        try:
+            await self._read_body(exchange.body)
+            request = self._read_request(exchange)
+            refusal = self._refusal(request, exchange.body)
+            return refusal or await self._run_while_caller_stays(request, exchange.body, task)
+        except asyncio.CancelledError:
+            if not self.giving_up:
+                raise
+            task.uncancel()
+            return self.pipeline.stop_reply(exchange.request or self._read_request(exchange))
+
+    async def _read_body(self, body: AsgiBody) -> None:
+        """Read a body as far as it may be held, and one byte more to see whether it ends there."""
+        await body.keep_start(self.bodies.room_bytes(self.limits.body_bytes) + 1)
+        self.bodies.take(len(body.first))
+
+    def _read_request(self, exchange: Exchange) -> ClientRequest:
+        read = self.reader.read(exchange.scope, exchange.body.first, exchange.arrived_at)
+        if read.wait_source is WaitSource.UNREADABLE:
+            self.counters.count("requests_with_unreadable_deadline")
+        exchange.request = read.request
+        return read.request
+
+    def _refusal(self, request: ClientRequest, body: AsgiBody) -> Optional[Reply]:
+        """Return the answer to a request that is refused before anything is done, else None."""
+        limit_bytes = self.limits.body_bytes
+        admission = admit_body(len(request.body), limit_bytes, complete=body.complete)
+        if admission is BodyAdmission.TOO_LARGE:
+            return final_answer.refused_for_good(RefusalReason.TOO_LARGE)
+        if admission is BodyAdmission.NO_MEMORY:
             return final_answer.refused_for_memory()
         if not request.path.startswith("/"):
-            return Reply(None, RefusalReason.MALFORMED, 400)
+            return final_answer.refused_for_good(RefusalReason.MALFORMED)
         return None
 
-    async def _run_while_caller_stays(self, request: ClientRequest, body: AsgiBody) -> Reply:
+    async def _run_while_caller_stays(
+        self, request: ClientRequest, body: AsgiBody, task: asyncio.Task
+    ) -> Reply:
         """Run a request, and cancel it when its caller has left."""
-        work = asyncio.current_task()
-        assert work is not None
         left = asyncio.create_task(body.caller_left())
-        left.add_done_callback(lambda task: None if task.cancelled() else work.cancel())
+        left.add_done_callback(lambda done: None if done.cancelled() else task.cancel())
         try:
             return await self.pipeline.run(request)
         except asyncio.CancelledError:
             if left.done() and not left.cancelled():
-                work.uncancel()
+                task.uncancel()
                 raise CallerLeftError("the caller closed its connection") from None
             raise
         finally:
             left.cancel()
 
-    async def _write(self, reply: Reply, send: Send, *, close: bool) -> None:
-        status, headers, body = self._encoded(reply)
-        raw = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in headers]
-        raw.append((b"content-length", b"%d" % len(body)))
-        if close:
-            raw.append((b"connection", b"close"))
-        await send({"type": "http.response.start", "status": status, "headers": raw})
-        await send({"type": "http.response.body", "body": body})
-
-    def _encoded(self, reply: Reply) -> tuple[int, list[tuple[str, str]], bytes]:
-        if reply.answer is not None:
-            headers = [
-                h for h in end_to_end(list(reply.answer.headers)) if h[0] not in _NOT_RETURNED
-            ]
-            return reply.status, headers, reply.answer.body
-        assert reply.refusal is not None
-        headers = [("content-type", "application/json")]
-        if reply.retry_after_s is not None:
-            headers.append(("retry-after", f"{reply.retry_after_s:g}"))
-        return reply.status, headers, msgspec.json.encode({"reason": reply.refusal.value})
-
-
-def _cookie(header: str, name: str) -> str:
-    """Return the value of a cookie; empty when it is not there."""
-    for pair in header.split(";"):
-        key, _, value = pair.strip().partition("=")
-        if key.lower() == name.lower():
-            return value
-    return ""
+    def _note_reply(self, exchange: Exchange, reply: Reply) -> None:
+        assert exchange.request is not None
+        self.events.replied(exchange.request, reply, self.monotonic() - exchange.arrived_at)
--- a/sprucewinch/gateway/requests/outcome/final_answer.py
+++ b/sprucewinch/gateway/requests/outcome/final_answer.py
@@ -79,6 +79,11 @@
     return Reply(None, refusal, status, retry_after_s, route)
 
 
+def refused_for_good(refusal: RefusalReason) -> Reply:
+    """Return the answer to a request that would be refused again: too large, or malformed."""
+    return Reply(None, refusal, _STATUS[refusal])
+
+
 def refused_for_memory() -> Reply:
     """Return the answer to a request whose body finds no memory."""
     return Reply(None, RefusalReason.NO_ROOM, SERVICE_UNAVAILABLE, NO_MEMORY_RETRY_AFTER_S)
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -8,6 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from sprucewinch.gateway.requests.callers.body_admission import (
+    BodyAdmission,
+    BodyMemory,
+    admit_body,
+)
+from sprucewinch.gateway.requests.callers.request_reader import RequestReader
 from sprucewinch.gateway.requests.client_request import (
     TIMED_OUT,
     Attempt,
@@ -34,7 +40,7 @@
 )
 from sprucewinch.net.connection import Answer
 
-from .gateway_fakes import route
+from .gateway_fakes import NAMES, route
 
 _PROMISES = (408, 421, 429, 503)
 
@@ -160,6 +166,45 @@
         self.assertEqual(final_answer.stopped(request, random.Random(1)).status, 502)
 
 
+class BodiesInMemory(unittest.TestCase):
+    def test_a_body_may_fill_what_the_limit_and_the_memory_leave(self) -> None:
+        memory = BodyMemory(400)
+        self.assertEqual((memory.room_bytes(30), memory.room_bytes(300)), (30, 100))
+        memory.take(80)
+        self.assertEqual((memory.room_bytes(30), memory.held_bytes), (20, 80))
+        memory.take(80)
+        self.assertEqual(memory.room_bytes(30), 0)
+        memory.release(160)
+        self.assertEqual(memory.room_bytes(30), 30)
+
+    def test_what_does_not_end_is_refused_with_its_reason(self) -> None:
+        self.assertIs(admit_body(10, 10, complete=True), BodyAdmission.ADMITTED)
+        self.assertIs(admit_body(11, 10, complete=False), BodyAdmission.TOO_LARGE)
+        self.assertIs(admit_body(5, 10, complete=False), BodyAdmission.NO_MEMORY)
+
+
+class ReadRequests(unittest.TestCase):
+    def test_the_first_of_two_headers_counts_and_own_ones_stay_here(self) -> None:
+        headers = (
+            (NAMES.deadline_ms, "soon"),
+            (NAMES.deadline_ms, "2500"),
+            (NAMES.request_id, "q1"),
+            ("host", "quotes.example"),
+            ("content-length", "0"),
+        )
+        scope = {
+            "method": "GET",
+            "raw_path": b"/rates/a?q=1",
+            "headers": [(name.encode(), value.encode()) for name, value in headers],
+        }
+        read = RequestReader(NAMES).read(scope, b"", 10.0)
+        self.assertIs(read.wait_source, WaitSource.UNREADABLE)
+        self.assertEqual(read.request.deadline, 10.0 + DEFAULT_WAIT_S)
+        self.assertEqual((read.request.id, read.request.path), ("q1", "/rates/a"))
+        self.assertNotIn(NAMES.deadline_ms, dict(read.request.headers))
+        self.assertNotIn("content-length", dict(read.request.headers))
+
+
 class BlockedFields(unittest.TestCase):
     @given(st.floats(0, 1e9), st.floats(0, 1e9), st.floats(0, allow_infinity=True))
     def test_the_fields_of_a_line_keep_their_names_and_have_numbers(self, limit, load, age) -> None:
--- a/tools/vulture_names.py
+++ b/tools/vulture_names.py
@@ -33,8 +33,8 @@
 # logging writes through them; rich prints it below a table.
 (_.handlers, _.caption)
 
-# Fields of `/state` and of a request's line, read as a whole by `_asdict`.
-(_.paused, _.store_revision, _.store_age_s, _.told_s)
+# Fields of `/state`, read as a whole by `_asdict`.
+(_.paused, _.store_revision, _.store_age_s)
 
 # unittest calls it.
 _.asyncSetUp
