--- a/sprucewinch/gateway/requests/server_selection.py
+++ b/sprucewinch/gateway/requests/server_selection.py
@@ -32,8 +32,9 @@
     """
 
     def __init__(self, registry: BackendRegistry, outliers: OutlierDetector) -> None:
-        self.registry = registry
-        self.outliers = outliers
+        self.times = registry.times
+        self.ejected = outliers.ejected
+        self.cold_allowance = registry.cold_limit.allowance
 
     def choose(
         self, request: ClientRequest, ranking: Ranking, service: str, now: float, route: Route
@@ -93,13 +94,12 @@
         return server in ranking.servers[: ranking.near]
 
     def _reachable(self, server: BackendServer, now: float) -> bool:
-        allowance = self.registry.cold_limit.allowance
-        return unusable_reason(server, now, self.outliers.ejected, allowance) is None
+        return unusable_reason(server, now, self.ejected, self.cold_allowance) is None
 
     def _has_room(self, server: BackendServer, now: float, route: Route) -> bool:
-        if server.in_flight >= int(server.concurrency_limit):
+        if server.in_flight >= int(server.limit.value):
             return False
-        limit = self.registry.times.load_limit(server.backend, server.latency_s, route.timeout_s)
+        limit = self.times.load_limit(server.backend, server.latency_s, route.timeout_s)
         return server.load(now) < limit
 
 
--- a/sprucewinch/gateway/servers/usability.py
+++ b/sprucewinch/gateway/servers/usability.py
@@ -66,10 +66,10 @@
     """
     if server.rest.until > now:
         return UnusableReason.RESTING
-    if server.silent(now):
+    if server.started and server.silent(now):
         return UnusableReason.SILENT
     if ejected(server, now):
         return UnusableReason.EJECTED
-    if server.cold(now) and not server.cold_allowed(now, cold_allowance(server.backend)):
+    if server.cold_until > now and not server.cold_allowed(now, cold_allowance(server.backend)):
         return UnusableReason.COLD
     return None
