--- a/sprucewinch/gateway/servers/load_reports.py
+++ b/sprucewinch/gateway/servers/load_reports.py
@@ -7,7 +7,7 @@
 `service_times`) is also sent to other VMs, at most once in `_REPORT_PAUSE_S` for a server; another
 VM's report moves the estimate only, not the concurrency limit, as that counts this VM's own sends.
 Reports exist as a VM of a large fleet sends a server a request in tens of seconds and would not
-hear of its queue (cceef51).
+learn of its queue (cceef51).
 
 Shows in: `load` and `told_s` under `blocked` of the event `request`. Tests:
 `test_gateway_admit.CrowdedServers`. Owns the pause between reports; relies on `peer_reports` for
