--- a/sprucewinch/gateway/requests/room.py
+++ b/sprucewinch/gateway/requests/room.py
@@ -21,8 +21,8 @@
 from typing import Optional
 
 from ..resources import Route
-from ..servers.backend_registry import BackendRegistry
 from ..servers.backend_server import BackendServer
+from ..servers.service_times import ServiceTimes
 from .client_request import BlockedReason, ClientRequest
 
 DEFAULT_LATENCY_TARGET_S = 0.4
@@ -38,21 +38,21 @@
 
 
 def no_room_reason(
-    server: BackendServer, route: Route, registry: BackendRegistry, now: float
+    server: BackendServer, route: Route, times: ServiceTimes, now: float
 ) -> Optional[BlockedReason]:
     """Return why a server has no room for a request of a route; None when it has.
 
     Args:
         server: The server.
         route: The request's route.
-        registry: Knows the load limit of a route's time at a server.
+        times: Knows the load limit of a route's time at a server.
         now: Monotonic time, in seconds.
     """
     if server.more_urgent_waits(route.priority):
         return BlockedReason.MORE_URGENT_WAITS
     if server.in_flight >= int(server.concurrency_limit):
         return BlockedReason.CONCURRENCY_LIMIT
-    limit = registry.times.load_limit(server.backend, server.latency_s, route.timeout_s)
+    limit = times.load_limit(server.backend, server.latency_s, route.timeout_s)
     if server.load(now) >= limit:
         return BlockedReason.LOAD_LIMIT
     return None
--- a/sprucewinch/gateway/requests/server_selection.py
+++ b/sprucewinch/gateway/requests/server_selection.py
@@ -55,8 +55,9 @@
     """
 
     def __init__(self, registry: BackendRegistry, outliers: OutlierDetector) -> None:
-        self.registry = registry
-        self.outliers = outliers
+        self.times = registry.times
+        self.ejected = outliers.ejected
+        self.cold_allowance = registry.cold_limit.allowance
 
     def choose(
         self, request: ClientRequest, ranking: Ranking, service: str, now: float, route: Route
@@ -76,7 +77,7 @@
         if server is None:
             request.blocked = Blocked("")
             return RefusalReason.NO_SERVER
-        no_room = no_room_reason(server, route, self.registry, now)
+        no_room = no_room_reason(server, route, self.times, now)
         if no_room is not None or server.load(now) >= server.backend.capacity:
             helped = self._help(request, ranking, service, server, no_room, now)
             if helped is not None:
@@ -135,8 +136,7 @@
         return server if server.load(now) < server.backend.capacity * part else None
 
     def _reachable(self, server: BackendServer, now: float) -> bool:
-        allowance = self.registry.cold_limit.allowance
-        return unusable_reason(server, now, self.outliers.ejected, allowance) is None
+        return unusable_reason(server, now, self.ejected, self.cold_allowance) is None
 
 
 def _blocked(server: BackendServer, reason: BlockedReason, now: float) -> Blocked:
