--- a/sprucewinch/gateway/datagrams.py
+++ b/sprucewinch/gateway/datagrams.py
@@ -22,7 +22,7 @@
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """Sends messages and hands those that arrive to their handlers.
+    """Sends messages and passes those that arrive to their handlers.
 
     Args:
         monotonic: Source of time, in seconds.
@@ -38,7 +38,7 @@
         self._decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder()
 
     def register(self, kind: type[T], handler: Handler[T]) -> None:
-        """Hand messages of a type to a handler from now on.
+        """Pass messages of a type to a handler from now on.
 
         Args:
             kind: A struct with a tag of its own.
@@ -72,9 +72,10 @@
                 self.transport.sendto(data, tuple(parse_address(address)))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand a message to its handler; one that cannot be read is counted and dropped.
+        """Pass a message to its handler; one that cannot be read is counted and dropped.
 
-        A VM of another version may send types that are unknown here, so it is no fault of either.
+        There is no line: a VM of another version may send types that are unknown here, many a
+        second, and that is no fault of either VM. The counter shows it.
         """
         try:
             message = self._decoder.decode(data)
@@ -89,4 +90,4 @@
         handler(message, self.monotonic())
 
     def error_received(self, _exc: Exception) -> None:
-        """Ignore a VM that is not there: heartbeats find that out."""
+        """Ignore that a datagram reached nobody: `gossip` sees that the VM's heartbeats stop."""
--- a/sprucewinch/gateway/events.py
+++ b/sprucewinch/gateway/events.py
@@ -1,4 +1,4 @@
-"""Events and counters, as the parts of the gateway that cause them see it.
+"""Events and counters, as the parts of the gateway that cause them use them.
 
 Owns the interface; `decision_log` implements it. Stands at the bottom, so that a part may report
 what it decides without knowing what writes the lines. Relies on nothing.
@@ -22,7 +22,7 @@
 
     @abc.abstractmethod
     def count(self, counter: str) -> None:
-        """Count one more of something.
+        """Raise a counter by one.
 
         Args:
             counter: Name of the metric; others read it, so it stays.
@@ -30,7 +30,7 @@
 
 
 class NoEvents(EventLog):
-    """Drops everything; for a part that is built alone."""
+    """Drops everything; for a part that is used alone."""
 
     def state(self, event: str, **inputs: Any) -> None:
         """Drop a line."""
--- a/sprucewinch/gateway/membership/__init__.py
+++ b/sprucewinch/gateway/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Which entry VMs there are: heartbeats by gossip, registration, the directory for callers.
+"""Which entry VMs run: heartbeats by gossip, registration in the store, the directory for callers.
 
-Owns heartbeats and this VM's registration in the store. Relies on `state` for registered VMs. Read
-`gossip` first.
+Owns heartbeats and this VM's registration. Relies on `state` for registered VMs. Read `gossip`
+first, then `registration`.
 """
--- a/sprucewinch/gateway/membership/directory.py
+++ b/sprucewinch/gateway/membership/directory.py
@@ -1,4 +1,19 @@
-"""Look-up: which entry VMs a caller should use."""
+"""Rule: which entry VMs callers of a region use, and for how long they keep the answer.
+
+Question: which addresses answer a look-up?
+
+Inputs: the callers' region, registered VMs (`StoreView`), VMs that accept callers (`Gossip`), the
+time (monotonic, in seconds).
+
+Rule: all VMs of the callers' region that are in touch and accept callers; those of all regions when
+the region has none. At most `MAX_ADDRESSES`, in the order of their addresses, kept for the shorter
+of the settings' time and `LOOKUP_TTL_S`.
+
+Why: a look-up is answered from memory, without a call, so that it works in an outage of the
+store. A far VM costs time alone, while an empty answer fails the caller.
+
+Tests: `test_gateway_gossip`, `test_process_gateway`.
+"""
 
 from typing import NamedTuple
 
@@ -6,9 +21,11 @@
 from .gossip import Gossip
 
 MAX_ADDRESSES = 64
+"""Addresses of one answer at the most: the bound that the platform sets."""
+
 LOOKUP_TTL_S = 1.0
-"""How long callers may keep an answer, in seconds: short, so that they soon leave a VM that
-stops, and an answer costs little."""
+"""Longest time for which callers keep an answer, in seconds: short, so that they soon leave a VM
+that stops. A guess, never measured."""
 
 
 class DirectoryAnswer(NamedTuple):
@@ -16,7 +33,7 @@
 
     Args:
         addresses: `IP:PORT` of entry VMs; empty when none is known.
-        ttl_s: How long it may be kept, in seconds.
+        ttl_s: Time for which callers may keep it, in seconds.
     """
 
     addresses: tuple[str, ...]
@@ -24,11 +41,11 @@
 
 
 class Directory:
-    """Answers look-ups from what is believed, without asking anybody.
+    """Answers look-ups from what this VM holds, without a call.
 
     Args:
         store_view: Registered VMs.
-        gossip: Who of them is there.
+        gossip: VMs in touch.
         ttl_s: Longest time that an answer may be kept, in seconds.
     """
 
--- a/sprucewinch/gateway/state/outages.py
+++ b/sprucewinch/gateway/state/outages.py
@@ -1,47 +1,69 @@
-"""Outages of the store as this VM sees them, and what may have lapsed meanwhile.
+"""Rule: when a lapsed entry counts as gone.
 
-Backend servers keep their entries alive by heartbeats to the store. While the store is away those
-entries may run out although the servers live; after its return they are written again. So an
-entry that is found gone right after an outage proves nothing yet.
+Question: does an entry that is missing in the store now mean that its backend server has left?
+
+Inputs: failed and answered calls to the store, of this VM and as other VMs announce them, each with
+its monotonic time in seconds, and the servers' heartbeat interval in seconds.
+
+Rule: during an outage of at least one heartbeat interval, and for `LAPSED_ENTRY_GRACE_S` after it,
+a missing entry may belong to a server that runs but could not renew its lease. An outage ends with
+an answered call of this VM, or when another VM announces that the store answered it since.
+
+Why: without the grace, servers that ran were dropped and taken for cold when their entries were
+back, and half of the requests were late for 4 s after each return (docs/FINDINGS.md, journal
+a221209a). Without the announcements, a VM that alone was refused by the store sent a request to a
+server that had left 2,172 ms before (journal d694b71a; that the grace was the cause is inferred).
+
+Result: `BackendRegistry` keeps or drops the server; it has no event of its own.
+Tests: `test_gateway_outages`, `test_gateway_relay.Outages`.
 """
 
 from typing import Optional
 
 LAPSED_ENTRY_GRACE_S = 2.0
-"""How long after an outage entries of living servers may still be missing, in seconds."""
+"""Time after an outage for which entries of servers that run may still be missing, in seconds.
+2.2 s were played first (docs/FINDINGS.md), bb3c71b set 2 s; not measured against other values."""
 
 
 class StoreOutages:
-    """When the store was out of reach.
+    """Since when the store is out of reach, or until when its last outage matters.
 
     Args:
-        heartbeat_s: How often backend servers renew their entries, in seconds; in a shorter outage
-            none can run out.
+        heartbeat_s: How often backend servers renew their entries, in seconds; in a shorter
+            outage none can run out.
     """
 
-    __slots__ = ("_lost_at", "_over_until", "heartbeat_s")
+    __slots__ = ("_lost_at", "_grace_until", "heartbeat_s")
 
     def __init__(self, heartbeat_s: float) -> None:
         self.heartbeat_s = heartbeat_s
         self._lost_at: Optional[float] = None
-        self._over_until = float("-inf")
+        self._grace_until = float("-inf")
 
     def lost(self, now: float) -> None:
-        """Note a call that failed."""
+        """Start an outage, unless one lasts, as a call failed.
+
+        Args:
+            now: Monotonic time, in seconds.
+        """
         if self._lost_at is None:
             self._lost_at = now
 
     def regained(self, now: float) -> None:
-        """Note a call that was answered."""
-        if self._long(now):
-            self._over_until = now + LAPSED_ENTRY_GRACE_S
+        """End the outage, if any, as a call was answered.
+
+        Args:
+            now: Monotonic time, in seconds.
+        """
+        if self._is_long(now):
+            self._grace_until = now + LAPSED_ENTRY_GRACE_S
         self._lost_at = None
 
     def answered_peer(self, at: float, now: float) -> None:
-        """Note that the store answered another VM.
+        """End the outage when the store answered another VM after its start.
 
-        Then it is this VM alone that does not reach it: backend servers do, and an entry that
-        goes belongs to a server that has left.
+        Then this VM alone does not reach the store: backend servers do, and a missing entry belongs
+        to a server that has left.
 
         Args:
             at: When the store answered it, as monotonic time here, in seconds.
@@ -51,12 +73,12 @@
             self.regained(now)
 
     def entries_may_have_lapsed(self, now: float) -> bool:
-        """Tell whether an entry that is found gone now may belong to a living server.
+        """Return whether an entry that is missing now may belong to a server that runs.
 
         Args:
             now: Monotonic time, in seconds.
         """
-        return self._long(now) or now < self._over_until
+        return self._is_long(now) or now < self._grace_until
 
-    def _long(self, now: float) -> bool:
+    def _is_long(self, now: float) -> bool:
         return self._lost_at is not None and now - self._lost_at >= self.heartbeat_s
--- a/sprucewinch/gateway/state/own_items.py
+++ b/sprucewinch/gateway/state/own_items.py
@@ -1,4 +1,9 @@
-"""The product's own keys in the store: entry VMs, policies, and which policy steers a service."""
+"""The product's own keys in the store: entry VMs, policies, and which policy steers a service.
+
+Owns the prefixes of these keys and the encoding of their values, which VMs of other versions read.
+Relies on `resources` for the types. Values are JSON objects of named fields, so that a version may
+add a field; a value that cannot be read raises an error that names the field.
+"""
 
 import re
 from typing import Any, NamedTuple, Optional, TypeVar
@@ -36,25 +41,25 @@
 
 
 def member_item(member: Member) -> StoredItem:
-    """Return what registers a member."""
+    """Return the item that registers an entry VM."""
     return _stored(MEMBER_PREFIX + member.name, member)
 
 
 def program_item(program: PolicyProgram) -> StoredItem:
-    """Return what loads a policy."""
+    """Return the item that holds a policy."""
     return _stored(POLICY_PREFIX + program.name, program)
 
 
 def choice_item(choice: PolicyChoice) -> StoredItem:
-    """Return what puts a policy in force for a service."""
+    """Return the item that puts a policy in force for a service."""
     return _stored(CHOICE_PREFIX + choice.service, choice)
 
 
 def decode_own(item: Item) -> Optional[Resource]:
-    """Return what an item of the product's own says; None for other keys.
+    """Return the resource of an item under the product's own keys; None for other keys.
 
     Raises:
-        MalformedItemError: When it cannot be read.
+        MalformedItemError: When its value does not decode.
     """
     for prefix, kind in _KINDS.items():
         if item.key.startswith(prefix):
--- a/sprucewinch/gateway/state/replica.py
+++ b/sprucewinch/gateway/state/replica.py
@@ -1,20 +1,30 @@
-"""A replica of the store's keys in memory: newest revision of each key, and what was removed.
+"""Rule: which of two versions of a key is held, in a replica of the store's keys in memory.
 
-Items arrive from watches, listings and peers, in any order and more than once. A key never
-goes back to an older revision, and a removed key stays removed until a newer write.
+Question: does an item or a removal that arrives change what is held?
+
+Inputs: deltas from listings, watches and peers, in any order and more than once; each item and each
+removal has the store's revision of its change.
+
+Rule: a key never goes back to an older revision, and a removed key stays removed until a newer
+write. A whole delta also removes the keys that it lacks, unless they are newer than it. Removals
+are held for `MAX_REMOVED` keys; a peer behind the oldest of them gets a whole delta.
+
+Why: with it the order of arrival does not matter, so that a VM may follow the store and several
+peers at once. Tests: `test_gateway_replica`.
 """
 
 from typing import NamedTuple
 
 MAX_REMOVED = 4096
-"""Most removed keys that are remembered; older ones make a full copy necessary."""
+"""Removed keys held at the most; a peer that is behind a dropped one needs a whole delta. A guess,
+never measured."""
 
 
 class Item(NamedTuple):
     """A key's value at one revision.
 
     Args:
-        key: Its key.
+        key: The key.
         value: Its bytes.
         revision: Revision of its last change.
     """
@@ -25,11 +35,11 @@
 
 
 class Removal(NamedTuple):
-    """A key that is gone.
+    """A key that was removed.
 
     Args:
-        key: Its key.
-        revision: Revision at which it was gone.
+        key: The key.
+        revision: Revision of its removal, or a later one at which it was missing.
     """
 
     key: str
@@ -41,9 +51,9 @@
 
     Args:
         items: Newer items; all items when `whole`.
-        removals: Keys gone since.
+        removals: Keys removed since.
         at: Revision that this brings a replica to.
-        whole: True when keys that are not listed are gone.
+        whole: True when keys that are not listed were removed.
     """
 
     items: tuple[Item, ...]
@@ -53,7 +63,11 @@
 
 
 class Replica:
-    """The newest known state of some prefixes of the store."""
+    """The newest received state of some prefixes of the store.
+
+    `at` is the revision up to which changes were received. `floor` is the newest revision of a
+    removal that was dropped: a delta after an older revision has to be whole.
+    """
 
     def __init__(self) -> None:
         self.items: dict[str, Item] = {}
@@ -62,7 +76,7 @@
         self.floor = 0
 
     def apply(self, delta: Delta) -> set[str]:
-        """Take over what is newer.
+        """Apply the items and removals that are newer than what is held.
 
         Args:
             delta: Changes from the store or from a peer.
@@ -78,7 +92,7 @@
         return changed
 
     def since(self, revision: int) -> Delta:
-        """Return what has changed after a revision; everything when that is not known."""
+        """Return what has changed after a revision; whole when removals were dropped since."""
         if revision < self.floor:
             return Delta(tuple(self.items.values()), (), self.at, whole=True)
         items = tuple(item for item in self.items.values() if item.revision > revision)
@@ -101,10 +115,10 @@
         if held is None and self.removed.get(key, 0) >= revision:
             return False
         self.items.pop(key, None)
-        self._remember(key, revision)
+        self._record_removal(key, revision)
         return held is not None
 
-    def _remember(self, key: str, revision: int) -> None:
+    def _record_removal(self, key: str, revision: int) -> None:
         self.removed.pop(key, None)
         self.removed[key] = revision
         if len(self.removed) > MAX_REMOVED:
--- a/sprucewinch/gateway/state/store.py
+++ b/sprucewinch/gateway/state/store.py
@@ -1,4 +1,8 @@
-"""The platform's store as the routed request path needs it."""
+"""The interface of the platform's store as the routed path needs it.
+
+Owns the interface and its errors; the platform's adapter implements it. Relies on `replica` for
+what a listing or a watch returns. A call that fails raises; it is the caller that repeats it.
+"""
 
 import abc
 
@@ -6,11 +10,11 @@
 
 
 class HistoryGoneError(Exception):
-    """The store has forgotten what happened after the revision asked for; list everything."""
+    """The store no longer has the changes after the revision asked for; list everything."""
 
 
 class StoreUnavailableError(Exception):
-    """The store did not answer, or refused the call; nothing is known of a write's effect."""
+    """The store did not answer, or refused the call: repeat it; a write may have taken effect."""
 
 
 class Store(abc.ABC):
@@ -21,7 +25,7 @@
 
     @abc.abstractmethod
     def move(self, address: str) -> None:
-        """Use another address from the next call on, when it differs.
+        """Use an address from the next call on.
 
         Args:
             address: `IP:PORT`.
@@ -29,7 +33,7 @@
 
     @abc.abstractmethod
     async def listing(self) -> Delta:
-        """Return everything that matters here, as a whole delta.
+        """Return all keys that the routed path reads, as a whole delta.
 
         Raises:
             StoreUnavailableError: When the store did not answer.
@@ -53,7 +57,7 @@
         """Write a value of this system's own, whatever it was before.
 
         Raises:
-            StoreUnavailableError: When the answer is not known.
+            StoreUnavailableError: When the store did not answer.
         """
 
     @abc.abstractmethod
@@ -61,5 +65,5 @@
         """Remove a key of this system's own if it is still at the item's revision.
 
         Raises:
-            StoreUnavailableError: When the answer is not known.
+            StoreUnavailableError: When the store did not answer.
         """
--- a/sprucewinch/gateway/state/store_view.py
+++ b/sprucewinch/gateway/state/store_view.py
@@ -1,4 +1,9 @@
-"""What this VM believes: the replica's items, decoded, each with the time it was learnt."""
+"""The store as this VM reads it: the replica's items, decoded into resources.
+
+Owns the replica, the resources by kind, and the listeners that get each change. Relies on a decoder
+of the platform's adapter. A configuration is replaced by a newer version alone and is not dropped.
+An item that cannot be decoded leaves the resource that is held and is reported to `on_unreadable`.
+"""
 
 import abc
 from collections.abc import Callable, Iterable
@@ -19,24 +24,24 @@
 
 
 class Decoder(abc.ABC):
-    """Reads the store's items."""
+    """Decodes the store's items."""
 
     @abc.abstractmethod
     def decode(self, item: Item) -> Optional[Resource]:
-        """Return what an item says; None when it says nothing that matters here.
+        """Return the resource of an item; None for a key that the routed path does not read.
 
         Raises:
-            MalformedItemError: When it cannot be read.
+            MalformedItemError: When its value does not decode.
         """
 
 
 class Change(NamedTuple):
-    """One fact that was learnt, changed or dropped.
+    """One resource that is new, changed or removed.
 
     Args:
         key: Key of its item.
-        before: What was believed; None when it is new.
-        after: What is believed now; None when it is gone.
+        before: The resource before; None when it is new.
+        after: The resource now; None when it was removed.
         revision: Revision of the item, or of its removal.
         at: Monotonic time at which this VM received it, in seconds.
     """
@@ -52,11 +57,11 @@
 
 
 class StoreView:
-    """Decoded facts, never older than what was believed before.
+    """Decoded resources; none goes back to an older revision.
 
     Args:
-        decoder: Reads items.
-        on_unreadable: Told of an item that cannot be read, with the cause.
+        decoder: Decodes items.
+        on_unreadable: Takes the key of an item that cannot be decoded, and the cause.
     """
 
     def __init__(
@@ -67,7 +72,7 @@
         self.replica = Replica()
         self.decoder = decoder
         self.on_unreadable = on_unreadable
-        self.facts: dict[str, Resource] = {}
+        self.resources: dict[str, Resource] = {}
         self.configuration: Optional[RouteConfiguration] = None
         self.backends: dict[str, BackendEntry] = {}
         self.members: dict[str, Member] = {}
@@ -80,29 +85,29 @@
 
     @property
     def has_configuration(self) -> bool:
-        """Tell whether a configuration is known."""
+        """Return whether a configuration is held."""
         return self.configuration is not None
 
     @property
     def complete_revision(self) -> int:
-        """Return the newest revision of a fact up to which nothing is missing here."""
+        """Return the newest revision of a resource up to which this VM holds everything."""
         return min(self.revision, self.replica.at)
 
     def apply(self, delta: Delta, now: float) -> None:
-        """Take over what a store or a peer says.
+        """Apply a delta of the store or of a peer, and report the changes to the listeners.
 
         Args:
-            delta: The changes.
+            delta: The delta.
             now: Monotonic time, in seconds.
         """
         changed = self.replica.apply(delta)
         self.confirmed_at = now
-        changes = [change for key in sorted(changed) for change in self._learn(key, now)]
+        changes = [change for key in sorted(changed) for change in self._decode(key, now)]
         if changes:
             self._report(changes)
 
     def confirm(self, at: float) -> None:
-        """Note that a store follower vouches for what is held here.
+        """Record that a store follower holds no more than this VM.
 
         Args:
             at: Monotonic time of the store's answer to that follower, in seconds.
@@ -110,7 +115,7 @@
         self.confirmed_at = max(self.confirmed_at, at)
 
     def store_answered(self, now: float) -> None:
-        """Note that the store itself has answered this VM.
+        """Record that the store itself has answered this VM.
 
         Args:
             now: Monotonic time, in seconds.
@@ -125,15 +130,15 @@
                 listener(change)
 
     def _of(self, kind: type) -> Iterable:
-        return [fact for fact in self.facts.values() if isinstance(fact, kind)]
+        return [held for held in self.resources.values() if isinstance(held, kind)]
 
-    def _learn(self, key: str, now: float) -> list[Change]:
+    def _decode(self, key: str, now: float) -> list[Change]:
         item = self.replica.items.get(key)
-        before = self.facts.get(key)
+        before = self.resources.get(key)
         revision = item.revision if item else self.replica.removed.get(key, self.replica.at)
         self.revision = max(self.revision, revision)
         if item is None:
-            return self._drop(Change(key, before, None, revision, now))
+            return self._remove(Change(key, before, None, revision, now))
         try:
             after = self.decoder.decode(item)
         except MalformedItemError as error:
@@ -141,20 +146,20 @@
             return []
         if after is None or after == before:
             return []
-        return self._keep(Change(key, before, after, revision, now))
+        return self._put(Change(key, before, after, revision, now))
 
-    def _drop(self, change: Change) -> list[Change]:
+    def _remove(self, change: Change) -> list[Change]:
         before = change.before
         if before is None or isinstance(before, RouteConfiguration):
             return []
-        del self.facts[change.key]
+        del self.resources[change.key]
         if isinstance(before, BackendEntry):
             self.backends.pop(before.id, None)
         elif isinstance(before, Member):
             self.members.pop(before.name, None)
         return [change]
 
-    def _keep(self, change: Change) -> list[Change]:
+    def _put(self, change: Change) -> list[Change]:
         after = change.after
         assert after is not None
         if isinstance(after, RouteConfiguration):
@@ -166,5 +171,5 @@
             self.backends[after.id] = after
         elif isinstance(after, Member):
             self.members[after.name] = after
-        self.facts[change.key] = after
+        self.resources[change.key] = after
         return [change]
--- a/sprucewinch/gateway/timing.py
+++ b/sprucewinch/gateway/timing.py
@@ -1,11 +1,14 @@
-"""Where a loop takes its time and its randomness from."""
+"""Sources of time and randomness of a loop.
+
+Owns the pair that each loop gets in its constructor, so that tests steer both. Relies on nothing.
+"""
 
 import random
 from collections.abc import Callable
 from typing import NamedTuple
 
 _JITTER = 0.1
-"""Part of a pause by which it is shortened or lengthened at most. A guess, never measured."""
+"""Fraction of a pause by which it is shortened or lengthened at most. A guess, never measured."""
 
 
 class Timing(NamedTuple):
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -3,7 +3,10 @@
 import random
 import unittest
 
+from sprucewinch.gateway.membership.directory import LOOKUP_TTL_S, MAX_ADDRESSES, Directory
 from sprucewinch.gateway.membership.gossip import HEARTBEAT_S, SILENCE_S, Gossip
+from sprucewinch.gateway.resources import Member
+from sprucewinch.gateway.state.store_view import StoreView
 
 
 class Fleet:
@@ -109,3 +112,53 @@
         fleet.cut = set()
         fleet.run(3.0)
         self.assertEqual(len(fleet.named("vm0")), 12)
+
+
+class Answers(unittest.TestCase):
+    """Look-ups at one VM of a fleet whose VMs take turns in two regions."""
+
+    def setUp(self) -> None:
+        self.fleet = Fleet(12)
+        self.fleet.run(5.0)
+        view = StoreView(decoder=None)  # type: ignore[arg-type]
+        for number, name in enumerate(self.fleet.machines):
+            region = ("east", "west")[number % 2]
+            view.members[name] = Member(name, "z", region, self._address(name), "")
+        self.view = view
+        self.directory = Directory(view, self.fleet.machines["vm0"], 30.0)
+
+    def _address(self, name: str) -> str:
+        return f"10.0.0.{int(name[2:]) + 1}:80"
+
+    def _found(self, region: str) -> set[str]:
+        return set(self.directory.find(region, self.fleet.now).addresses)
+
+    def _addresses(self, numbers: range) -> set[str]:
+        return {self._address(f"vm{number}") for number in numbers}
+
+    def test_callers_get_the_machines_of_their_region(self) -> None:
+        self.assertEqual(self._found("east"), self._addresses(range(0, 12, 2)))
+        self.assertEqual(self._found("west"), self._addresses(range(1, 12, 2)))
+
+    def test_a_region_without_machines_gets_all(self) -> None:
+        self.assertEqual(self._found("north"), self._addresses(range(12)))
+
+    def test_a_region_whose_machines_are_out_of_touch_gets_the_others(self) -> None:
+        self.fleet.dead = {f"vm{number}" for number in range(1, 12, 2)}
+        self.fleet.run(SILENCE_S + 2.0)
+        self.assertEqual(self._found("west"), self._addresses(range(0, 12, 2)))
+
+    def test_machines_that_are_not_registered_are_not_named(self) -> None:
+        del self.view.members["vm2"]
+        self.assertNotIn(self._address("vm2"), self._found("east"))
+
+    def test_the_number_of_addresses_is_bounded(self) -> None:
+        for number in range(200):
+            self.view.members[f"x{number}"] = Member("vm0", "z", "east", f"10.1.0.{number}:80", "")
+        found = self.directory.find("east", self.fleet.now).addresses
+        self.assertEqual(len(found), MAX_ADDRESSES)
+
+    def test_answers_are_kept_for_the_shorter_time(self) -> None:
+        self.assertEqual(self.directory.find("east", self.fleet.now).ttl_s, LOOKUP_TTL_S)
+        self.directory.limit(0.5)
+        self.assertEqual(self.directory.find("east", self.fleet.now).ttl_s, 0.5)
--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -187,7 +187,7 @@
         "DRAIN",
         "every entry that goes is held for a while",
         f"{_GATEWAY}/state/outages.py",
-        "return self._long(now) or now < self._over_until",
+        "return self._is_long(now) or now < self._grace_until",
         "return True",
         ("tests.test_gateway_outages",),
     ),
