--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -18,7 +18,7 @@
 makes freshness independent of the election: two VMs that elect differently cost calls alone.
 
 Result: `FollowReason`; it shows in the event `follows` (`source` is `store` or `neighbours`).
-Tests: `test_gateway_relay`, `test_platform_store`.
+Tests: `test_gateway_follow_role`, `test_gateway_relay`, `test_platform_store`.
 """
 
 import enum
--- a/sprucewinch/gateway/membership/gossip.py
+++ b/sprucewinch/gateway/membership/gossip.py
@@ -7,7 +7,7 @@
 
 Rule: a VM whose counter has not risen here for `SILENCE_S` is out of touch: callers are not sent to
 it and it is not elected. After `_DROP_ROW_S` its row is dropped. When this process itself stood
-still, the times of all rows move by that pause, as silence heard while stopped proves nothing.
+still, the times of all rows move by that pause, as heartbeats may have arrived unread.
 
 Why: gossip needs no call to the store and its load on a VM does not depend on one other VM. A
 limit of 30 rows a message lost sight of a quarter of 90 VMs (docs/CAPACITY.md), so none applies.
--- a/sprucewinch/gateway/membership/registration.py
+++ b/sprucewinch/gateway/membership/registration.py
@@ -16,7 +16,7 @@
 holds for one revision of the key.
 
 Result: `Register` or `Remove`; it shows as the event `fact` of the member's key at every VM.
-Tests: `test_platform_store`, `test_gateway_relay`.
+Tests: `test_gateway_registration`, `test_platform_store`.
 """
 
 from typing import NamedTuple, Optional, Union
