--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet that follows one store on a virtual clock: followers, heartbeats, notices; no requests."""
+"""A fleet that follows one store on a virtual clock: roles, heartbeats, notices; no requests."""
 
 import asyncio
 import random
