--- a/sprucewinch/gateway/composition.py
+++ b/sprucewinch/gateway/composition.py
@@ -72,7 +72,7 @@
 
 
 class State(NamedTuple):
-    """What is held of the store."""
+    """What is held of the store, who talks to it, and whether it is out of reach."""
 
     store: Store
     view: StoreView
--- a/sprucewinch/gateway/internal_apps.py
+++ b/sprucewinch/gateway/internal_apps.py
@@ -1,6 +1,11 @@
-"""Small ASGI applications: readiness, peers and metrics."""
+"""Small ASGI applications for other VMs and operators: changes of the store, metrics, state.
+
+Owns what is answered on the ports between VMs and for metrics. Relies on the replica for the
+changes and on the functions it is given for texts. An adapter's own applications use `send_bytes`.
+"""
 
 from collections.abc import Callable, Mapping
+from http import HTTPStatus
 from typing import Any
 from urllib.parse import parse_qs
 
@@ -10,7 +15,14 @@
 
 
 async def send_bytes(send: Send, status: int, body: bytes, kind: str = "text/plain") -> None:
-    """Send a whole answer."""
+    """Send a whole answer.
+
+    Args:
+        send: ASGI's way to the caller.
+        status: HTTP status.
+        body: The body.
+        kind: Its media type.
+    """
     headers = [
         (b"content-type", kind.encode()),
         (b"content-length", b"%d" % len(body)),
@@ -20,7 +32,7 @@
 
 
 class DeltaApp:
-    """Hands on to peers what this VM knows.
+    """Sends other VMs the changes of the store after a revision that they name.
 
     Args:
         store_view: What this VM holds of the store.
@@ -33,10 +45,10 @@
         """Serve one request."""
         after = parse_qs(scope["query_string"].decode("latin-1")).get("after", ["0"])[0]
         if scope["path"] != DELTA_PATH or not after.isdigit():
-            await send_bytes(send, 404, b"")
+            await send_bytes(send, HTTPStatus.NOT_FOUND, b"")
             return
         delta = self.store_view.replica.since(int(after))
-        await send_bytes(send, 200, encode_delta(delta), "application/msgpack")
+        await send_bytes(send, HTTPStatus.OK, encode_delta(delta), "application/msgpack")
 
 
 class TextApp:
@@ -53,6 +65,6 @@
         """Serve one request."""
         text = self.texts.get(scope["path"])
         if text is None:
-            await send_bytes(send, 404, b"")
+            await send_bytes(send, HTTPStatus.NOT_FOUND, b"")
             return
-        await send_bytes(send, 200, text().encode())
+        await send_bytes(send, HTTPStatus.OK, text().encode())
--- a/sprucewinch/gateway/listeners.py
+++ b/sprucewinch/gateway/listeners.py
@@ -1,4 +1,8 @@
-"""The HTTP listeners of one VM, with limits that follow the configuration."""
+"""The HTTP listeners of one VM, with limits that follow the configuration.
+
+Owns the listeners and the limits that they share. Relies on `net.http_server` for what a listener
+refuses, and on `StoreView` for changes of the limits on callers.
+"""
 
 import asyncio
 
@@ -9,13 +13,34 @@
 from .state.store_view import Change
 
 _CONNECTIONS_PART = 0.5
-"""Part of the descriptors that callers' connections may take."""
+"""Part of the descriptors that callers' connections may take. A guess, never measured (3e61232).
+
+The rest is for connections to backend servers, the store and other VMs.
+"""
 
 _FIRST_HEADER_BYTES = 65_536
+"""Most bytes of headers before a configuration is known. A guess, never measured (d796da6)."""
+
 _HEADER_SLACK_BYTES = 1024
+"""Safety margin on the header limit that callers are told, in bytes.
+
+A guess, never measured (d796da6).
+"""
+
 _HEADER_SLACK_S = 1.0
+"""Safety margin on the header time that callers are told, in seconds.
+
+A guess, never measured (d796da6).
+"""
+
 _IDLE_SLACK_S = 5.0
+"""Safety margin on the rest of a kept connection that callers are told, in seconds.
+
+A guess, never measured (d796da6).
+"""
+
 _LOOK_S = 0.005
+"""Time between two looks at whether a listener has started, in seconds. A guess, never measured."""
 
 
 class Listeners:
@@ -55,15 +80,21 @@
 
     @property
     def closed(self) -> bool:
-        """Tell whether every connection has ended, with all that was written to it read."""
+        """Return whether every connection has ended, with all that was written to it read."""
         return all(task.done() for task in self.tasks)
 
     def on_change(self, change: Change) -> None:
-        """Follow the limits on callers; a connection rests a little longer than they are told."""
+        """Follow the limits on callers; a connection rests a little longer than they are told.
+
+        Args:
+            change: Any change of what is held of the store.
+        """
         if not isinstance(change.after, RouteConfiguration):
             return
         limits = change.after.limits
-        self.limits.header_bytes = limits.header_bytes + _HEADER_SLACK_BYTES
-        self.limits.header_s = limits.header_s + _HEADER_SLACK_S
+        self.limits.change(
+            header_bytes=limits.header_bytes + _HEADER_SLACK_BYTES,
+            header_s=limits.header_s + _HEADER_SLACK_S,
+        )
         for server in self.servers:
             keep_alive(server, limits.idle_s + _IDLE_SLACK_S)
--- a/sprucewinch/gateway/settings.py
+++ b/sprucewinch/gateway/settings.py
@@ -7,7 +7,10 @@
 
 
 class Bounds(NamedTuple):
-    """Figures that the fleet has to keep together.
+    """Figures that the fleet has to keep together; the platform's settings give them.
+
+    The defaults stand for a settings file that leaves one out. They are the platform's usual bounds
+    where it has one, and else the strictest value.
 
     Args:
         grace_s: Time from the order to stop until the process is killed, in seconds.
--- a/sprucewinch/gateway/vm_state.py
+++ b/sprucewinch/gateway/vm_state.py
@@ -1,6 +1,8 @@
 """What a VM shows operators of itself on `/state`: what it holds, how old that is, its shares.
 
-Owns the shape of that JSON. Relies on the parts of `composition`; changes nothing.
+Owns the shape of that JSON, which the command line reads: names and order of its fields stay.
+Relies on the parts of `composition`; changes nothing. The result of the region rules shows here
+alone: `policy`, `shares` and `limits` of each service.
 """
 
 from typing import Any, NamedTuple
@@ -9,18 +11,39 @@
 
 from .composition import Context, Fleet, Regions, Servers, State
 
-_MAX_AGE_S = 1e9
+_HIGHEST_AGE_S = 1e9
 """Age shown when the store was never heard, in seconds: JSON has no infinity."""
 
 _SHARE_DIGITS = 4
 """Decimal places of a share: a hundredth of a per cent."""
 
+_LOAD_DIGITS = 2
+"""Decimal places of a server's load, in requests."""
+
+_AGE_DIGITS = 3
+"""Decimal places of an age in seconds: a millisecond."""
+
+_MS_PER_S = 1000
+"""Milliseconds in a second."""
+
 _SHOWN_NAMES = {"hall": "zone"}
 """Names of fields in `/state` where they differ from the field's own; operators read them."""
 
 
 class BackendState(NamedTuple):
-    """One backend server as this VM sees it."""
+    """One backend server as this VM sees it.
+
+    Args:
+        id: Its name.
+        service: Service that it runs.
+        hall: Its data hall.
+        in_flight: This VM's requests there.
+        load: Requests that it probably holds, of all VMs.
+        cold: True while it has just started or lost what it kept warm.
+        draining: True when it is about to leave.
+        paused: True while nothing is sent there, as it rests or is silent.
+        latency_ms: Mean time of a request there, in milliseconds; 0 when unknown.
+    """
 
     id: str
     service: str
@@ -38,7 +61,14 @@
 
 
 class ServiceState(NamedTuple):
-    """One service's steering at this VM."""
+    """One service's steering at this VM.
+
+    Args:
+        service: Its name.
+        policy: Policy in force.
+        shares: Share of each region in the callers of this VM's region.
+        limits: Why the target differs from what the policy wants, see `ShareTarget.notes`.
+    """
 
     service: str
     policy: str
@@ -47,7 +77,20 @@
 
 
 class VmState(NamedTuple):
-    """Everything that an operator asks of one VM."""
+    """Everything that an operator asks of one VM.
+
+    Args:
+        name: Its name.
+        region: Its region.
+        ready: True when callers may be sent here.
+        configuration_version: Version in force; 0 before the first.
+        store_revision: Revision of the store that is held.
+        store_age_s: Time since that was last confirmed, in seconds.
+        evacuated: Data halls that get nothing.
+        members: Whether each registered VM accepts callers.
+        services: Steering by service.
+        backend_servers: All that are known.
+    """
 
     name: str
     region: str
@@ -73,7 +116,15 @@
 def vm_state(
     context: Context, state: State, fleet: Fleet, servers: Servers, regions: Regions
 ) -> VmState:
-    """Return the state of a VM."""
+    """Return the state of a VM.
+
+    Args:
+        context: What every part may need.
+        state: What is held of the store.
+        fleet: The other VMs.
+        servers: Backend servers.
+        regions: Steering between regions.
+    """
     now = context.monotonic()
     view = state.view
     return VmState(
@@ -82,7 +133,7 @@
         ready=context.ready(),
         configuration_version=view.configuration.version if view.configuration else 0,
         store_revision=view.replica.at,
-        store_age_s=round(min(now - view.confirmed_at, _MAX_AGE_S), 3),
+        store_age_s=round(min(now - view.confirmed_at, _HIGHEST_AGE_S), _AGE_DIGITS),
         evacuated=tuple(sorted(view.evacuated)),
         members={n: fleet.gossip.accepts_callers(n, now) for n in sorted(view.members)},
         services=_services(regions),
@@ -110,11 +161,11 @@
             service=server.backend.service,
             hall=server.backend.hall,
             in_flight=server.in_flight,
-            load=round(server.load(now), 2),
+            load=round(server.load(now), _LOAD_DIGITS),
             cold=server.cold(now),
             draining=server.backend.draining,
             paused=server.paused_until > now or server.silent(now),
-            latency_ms=round((server.latency_s or 0.0) * 1000, 1),
+            latency_ms=round((server.latency_s or 0.0) * _MS_PER_S, 1),
         )
         for _, server in sorted(servers.registry.servers.items())
     )
--- a/sprucewinch/net/http_server.py
+++ b/sprucewinch/net/http_server.py
@@ -51,6 +51,16 @@
         self.requests = requests
         self.header_s = header_s
 
+    def change(self, *, header_bytes: int, header_s: Optional[float]) -> None:
+        """Replace the limits on headers; requests whose headers are being read follow the new size.
+
+        Args:
+            header_bytes: Most bytes of a request's headers.
+            header_s: Longest time for headers that begin later, in seconds; None for any time.
+        """
+        self.header_bytes = header_bytes
+        self.header_s = header_s
+
     @classmethod
     def of(cls, limits: Limits) -> "ListenerLimits":
         """Return the limits that the daemon's settings name."""
--- a/tests/test_gateway_decision_log.py
+++ b/tests/test_gateway_decision_log.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from sprucewinch.gateway.decision_log import DecisionLog
+from sprucewinch.gateway.telemetry.line_rate import LineRate
 from standins.virtual import VirtualLoop, run_virtual
 
 from .gateway_fakes import Path, route
@@ -58,6 +59,21 @@
         self.assertEqual([send[1] for send in row["sends"]][1], "answered")
 
 
+class LineRates(unittest.TestCase):
+    def test_plain_lines_leave_room_for_others(self) -> None:
+        rate = LineRate(0.0)
+        plain = sum(rate.admits(0.0, plain=True) for _ in range(1000))
+        others = sum(rate.admits(0.0, plain=False) for _ in range(1000))
+        self.assertEqual((plain, others), (150, 150))
+
+    def test_the_bucket_fills_again_and_no_further_than_a_burst(self) -> None:
+        rate = LineRate(0.0)
+        first = sum(rate.admits(0.0, plain=False) for _ in range(1000))
+        later = sum(rate.admits(1.0, plain=False) for _ in range(1000))
+        much_later = sum(rate.admits(1000.0, plain=False) for _ in range(1000))
+        self.assertEqual((first, later, much_later), (300, 150, 300))
+
+
 class Volume(unittest.TestCase):
     def test_lines_are_bounded_and_what_is_dropped_is_counted(self) -> None:
         lines = Lines()
