--- a/sprucewinch/gateway/requests/outcome/hold_time.py
+++ b/sprucewinch/gateway/requests/outcome/hold_time.py
@@ -73,26 +73,23 @@
     source: WaitSource
 
 
-_ABSENT = CallerWait(DEFAULT_WAIT_S, WaitSource.ABSENT)
-_UNREADABLE = CallerWait(DEFAULT_WAIT_S, WaitSource.UNREADABLE)
-_CAPPED = CallerWait(MAX_WAIT_S, WaitSource.CAPPED)
-
-
 def caller_wait(text: Optional[str]) -> CallerWait:
-    """Return how long a caller waits.
+    """Return how long a caller waits; the source says when a default stands in for its header.
 
     Args:
         text: The caller's header, in milliseconds; None or empty when there is none.
     """
     if not text:
-        return _ABSENT
+        return CallerWait(DEFAULT_WAIT_S, WaitSource.ABSENT)
     try:
         seconds = float(text) / MS_PER_S
     except ValueError:
-        return _UNREADABLE
+        return CallerWait(DEFAULT_WAIT_S, WaitSource.UNREADABLE)
     if not math.isfinite(seconds) or seconds <= 0:
-        return _UNREADABLE
-    return CallerWait(seconds, WaitSource.STATED) if seconds <= MAX_WAIT_S else _CAPPED
+        return CallerWait(DEFAULT_WAIT_S, WaitSource.UNREADABLE)
+    if seconds > MAX_WAIT_S:
+        return CallerWait(MAX_WAIT_S, WaitSource.CAPPED)
+    return CallerWait(seconds, WaitSource.STATED)
 
 
 class HoldBound(enum.Enum):
--- a/sprucewinch/gateway/requests/server_selection.py
+++ b/sprucewinch/gateway/requests/server_selection.py
@@ -14,10 +14,11 @@
 
 Constants: `HELPER_FREE_PART`, `HELPER_IDLE_PART`, each with its ground below it. Shows in: event
 `request`, `sends`, and `blocked` of a request that was never sent. Tests:
-tests/test_gateway_admit.py (`SilentServers`, `Overload`), tests/test_gateway_outliers.py.
+tests/test_gateway_request_rules.py (`Selections`), tests/test_gateway_admit.py (`SilentServers`,
+`Overload`), tests/test_gateway_outliers.py.
 """
 
-from typing import Union
+from typing import Optional, Union
 
 from ..resources import Route
 from ..servers.backend_registry import BackendRegistry
@@ -76,21 +77,19 @@
             return RefusalReason.NO_SERVER
         no_room = no_room_reason(server, route, self.registry, now)
         if no_room is not None or server.load(now) >= server.backend.capacity:
-            helper = self._helper(request, ranking, server, now)
-            if helper is not None and no_room is not None:
-                return Selection(helper, service, SelectionReason.HELPS_FULL)
-            if helper is not None and self._is_near(helper, ranking):
-                return Selection(helper, service, SelectionReason.SHARES_BUSY)
+            helped = self._help(request, ranking, service, server, no_room, now)
+            if helped is not None:
+                return helped
         if no_room is not None:
             request.blocked = _blocked(server, no_room, now)
             return RefusalReason.NO_ROOM
-        if server is ranking.servers[0]:
-            return Selection(server, service)
-        return Selection(server, service, SelectionReason.FIRST_USABLE)
+        first = server is ranking.servers[0]
+        reason = SelectionReason.FIRST_CHOICE if first else SelectionReason.FIRST_USABLE
+        return Selection(server, service, reason)
 
     def candidate(
         self, request: ClientRequest, ranking: Ranking, now: float
-    ) -> BackendServer | None:
+    ) -> Optional[BackendServer]:
         """Return the server that a request belongs to now; None when no untried one may be used."""
         tried_servers = request.tried_servers()
         untried = [s for s in ranking.servers if s.backend.id not in tried_servers]
@@ -100,9 +99,27 @@
         resting = [server for server in untried if not server.cold(now)]
         return resting[0] if resting else None
 
+    def _help(
+        self,
+        request: ClientRequest,
+        ranking: Ranking,
+        service: str,
+        busy: BackendServer,
+        no_room: Optional[BlockedReason],
+        now: float,
+    ) -> Optional[Selection]:
+        """Return the selection of the helper of a full or busy server; None when none helps."""
+        helper = self._helper(request, ranking, busy, now)
+        if helper is None:
+            return None
+        if no_room is not None:
+            return Selection(helper, service, SelectionReason.HELPS_FULL)
+        near = helper in ranking.servers[: ranking.near]
+        return Selection(helper, service, SelectionReason.SHARES_BUSY) if near else None
+
     def _helper(
         self, request: ClientRequest, ranking: Ranking, full: BackendServer, now: float
-    ) -> BackendServer | None:
+    ) -> Optional[BackendServer]:
         """Return the server after a full one in its object's order, if it has slots to spare.
 
         It is always the same one, so that it soon keeps the object warm too.
@@ -116,9 +133,6 @@
         part = HELPER_FREE_PART if at < ranking.near else HELPER_IDLE_PART
         return server if server.load(now) < server.backend.capacity * part else None
 
-    def _is_near(self, server: BackendServer, ranking: Ranking) -> bool:
-        return server in ranking.servers[: ranking.near]
-
     def _reachable(self, server: BackendServer, now: float) -> bool:
         if server.paused_until > now or server.silent(now) or self.outliers.ejected(server, now):
             return False
--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -45,7 +45,7 @@
 
 
 class FactsByKey(Decoder):
-    """Decodes an item by looking its key up in a table of facts."""
+    """Decodes an item by looking its value up in a table of resources."""
 
     def __init__(self) -> None:
         self.table: dict[bytes, Resource] = {}
@@ -69,11 +69,11 @@
 
 
 class World:
-    """What a machine believes, fed by a test.
+    """What a VM holds of the store, fed by a test.
 
     Args:
-        machines: How many machines are registered.
-        name: Name of this machine.
+        machines: How many VMs are registered.
+        name: Name of this VM.
     """
 
     def __init__(self, *, machines: int = 1, name: str = "vm0") -> None:
@@ -93,7 +93,7 @@
             self.say(f"members/vm{number}", member)
 
     def say(self, key: str, fact: Resource, now: float = 0.0) -> None:
-        """Let the store say a fact."""
+        """Let the store list a resource."""
         self.revision += 1
         token = str(next(self._numbers)).encode()
         self.decoder.table[token] = fact
@@ -101,7 +101,7 @@
         self.store_view.apply(Delta((item,), (), self.revision), now)
 
     def drop(self, key: str, now: float = 0.0) -> None:
-        """Let the store say that a key is gone."""
+        """Let the store remove a key."""
         self.revision += 1
         removal = Removal(key, self.revision)
         self.store_view.apply(Delta((), (removal,), self.revision), now)
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -1,9 +1,9 @@
-"""Rules that end a request: how long it is held, whether it is sent again, what its caller gets."""
+"""Rules of a request: its body, its server, its room, its time, its retries, its final answer."""
 
 import itertools
 import random
 import unittest
-from typing import Optional
+from typing import Optional, Union
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -21,6 +21,7 @@
     BlockedReason,
     ClientRequest,
     RefusalReason,
+    SelectionReason,
     Verdict,
 )
 from sprucewinch.gateway.requests.outcome import final_answer
@@ -38,9 +39,12 @@
     decide_retry,
     without_budget,
 )
+from sprucewinch.gateway.requests.room import no_room_reason, room_wait_s
 from sprucewinch.net.connection import Answer
+from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import NAMES, route
+from .formats_gateway import VirtualGateway
+from .gateway_fakes import NAMES, Path, route
 
 _PROMISES = (408, 421, 429, 503)
 
@@ -205,6 +209,101 @@
         self.assertNotIn("content-length", dict(read.request.headers))
 
 
+class Selections(unittest.TestCase):
+    """Why a server is selected, or why none is."""
+
+    def _choose(
+        self, *loads: int, tried: int = 0, zones: tuple[str, ...] = ("east-a",)
+    ) -> tuple[int, Union[SelectionReason, BlockedReason]]:
+        """Return the place of the selected server in the ranking, or -1, and the reason.
+
+        Args:
+            *loads: Requests that each server holds, in the order of the ranking.
+            tried: How many servers could not be reached before.
+            zones: Data halls of the servers, in turn.
+        """
+
+        async def main(loop: VirtualLoop) -> tuple[int, Union[SelectionReason, BlockedReason]]:
+            path = Path(loop, servers=len(loads), zones=zones)
+            ranking = path.ranker.place("rates", "lane-1", (), loop.time())
+            for server, load in zip(ranking.servers, loads, strict=True):
+                server.record_reported_load(load, 0, loop.time())
+            ids = [server.backend.id for server in ranking.servers]
+            dark = [Attempt(i, Verdict.NOT_RUN, False, "unreachable") for i in ids[:tried]]
+            request = _request(*dark)
+            chosen = path.pipeline.selector.choose(
+                request, ranking, "rates", loop.time(), route(timeout_s=None)
+            )
+            if isinstance(chosen, RefusalReason):
+                return -1, request.blocked.reason
+            return ids.index(chosen.server.backend.id), chosen.reason
+
+        return run_virtual(main)
+
+    def test_the_first_server_that_can_be_used(self) -> None:
+        self.assertEqual(self._choose(0, 0), (0, SelectionReason.FIRST_CHOICE))
+        self.assertEqual(self._choose(0, 0, tried=1), (1, SelectionReason.FIRST_USABLE))
+        self.assertEqual(self._choose(0, tried=1), (-1, BlockedReason.NO_SERVER))
+
+    def test_the_next_server_helps(self) -> None:
+        self.assertEqual(self._choose(6, 2), (1, SelectionReason.SHARES_BUSY))
+        self.assertEqual(self._choose(12, 2), (1, SelectionReason.HELPS_FULL))
+        self.assertEqual(self._choose(12, 3), (-1, BlockedReason.LOAD_LIMIT))
+
+    def test_a_server_of_another_region_helps_only_a_full_one(self) -> None:
+        halls = ("east-a", "west-a")
+        self.assertEqual(self._choose(6, 0, zones=halls), (0, SelectionReason.FIRST_CHOICE))
+        self.assertEqual(self._choose(12, 2, zones=halls), (1, SelectionReason.HELPS_FULL))
+        self.assertEqual(self._choose(12, 3, zones=halls), (-1, BlockedReason.LOAD_LIMIT))
+
+    def test_the_concurrency_limit_and_more_urgent_requests_leave_no_room(self) -> None:
+        async def main(loop: VirtualLoop) -> None:
+            path = Path(loop, servers=1)
+            server, registry = path.world.registry.servers["s0"], path.world.registry
+            urgent = loop.create_task(server.wait_for_room(0.1, 0))
+            await pass_time(0.01)
+            reason = no_room_reason(server, route(priority=1), registry, loop.time())
+            self.assertIs(reason, BlockedReason.MORE_URGENT_WAITS)
+            self.assertIsNone(no_room_reason(server, route(), registry, loop.time()))
+            server.in_flight = 6
+            reason = no_room_reason(server, route(), registry, loop.time())
+            self.assertIs(reason, BlockedReason.CONCURRENCY_LIMIT)
+            await urgent
+
+        run_virtual(main)
+
+    def test_only_a_request_without_attempts_waits_for_room(self) -> None:
+        self.assertAlmostEqual(room_wait_s(_request(), route(latency_target_s=0.5), 10.0), 0.1)
+        lost = _unanswered(Verdict.UNKNOWN, "reset")
+        self.assertEqual(room_wait_s(_request(lost), route(), 10.0), 0.0)
+
+
+class CallersSide(unittest.TestCase):
+    def test_an_unreadable_deadline_is_counted_and_a_missing_one_is_not(self) -> None:
+        async def main(loop: VirtualLoop) -> tuple[str, str]:
+            vm = await VirtualGateway(loop).started()
+            await vm.ask("/x")
+            before = vm.metrics()
+            await vm.ask("/x", headers=((NAMES.deadline_ms, "soon"),))
+            return before, vm.metrics()
+
+        before, after = run_virtual(main)
+        self.assertNotIn("requests_with_unreadable_deadline", before)
+        self.assertIn("requests_with_unreadable_deadline 1\n", after)
+
+    def test_a_body_without_memory_is_refused_with_a_time_to_come_back(self) -> None:
+        async def main(loop: VirtualLoop) -> None:
+            vm = await VirtualGateway(loop).started()
+            app = vm.gateway.requests.app
+            app.bodies.take(app.bodies.max_bytes)
+            answer = await vm.ask("/book/1", method="POST", body=b"x")
+            self.assertEqual((answer.status, answer.body), (503, b'{"reason":"no-room"}'))
+            self.assertIn("retry-after: 1\n", answer.headers)
+            self.assertEqual(app.buffered, app.bodies.max_bytes)
+
+        run_virtual(main)
+
+
 class BlockedFields(unittest.TestCase):
     @given(st.floats(0, 1e9), st.floats(0, 1e9), st.floats(0, allow_infinity=True))
     def test_the_fields_of_a_line_keep_their_names_and_have_numbers(self, limit, load, age) -> None:
