--- a/sprucewinch/gateway/composition.py
+++ b/sprucewinch/gateway/composition.py
@@ -73,7 +73,7 @@
 
 
 class State(NamedTuple):
-    """What is held of the store."""
+    """What is held of the store, who talks to it, and whether it is out of reach."""
 
     store: Store
     view: StoreView
@@ -262,6 +262,7 @@
         events=context.events,
         monotonic=context.monotonic,
         memory_bytes=settings.memory_bytes,
+        counters=context.events,
     )
     return Requests(pipeline, app)
 
