--- a/sprucewinch/gateway/composition.py
+++ b/sprucewinch/gateway/composition.py
@@ -1,8 +1,8 @@
 """The composition root of the gateway: every part, with what it gets in its constructor.
 
-Owns the order in which parts are made: state, membership and following, servers, regions, requests.
-Each function shows what its parts depend on. Relies on every folder of the gateway; nothing but
-`daemon` uses it.
+Owns the order in which parts are made (`make_parts`): state, membership and following, servers,
+regions, requests. Each function shows what its parts depend on. Relies on every folder of the
+gateway but `lifecycle`; `daemon`, `lifecycle`, `vm_state` and `vm_metrics` use its types.
 """
 
 import random
@@ -117,6 +117,37 @@
     app: GatewayApp
 
 
+class Parts(NamedTuple):
+    """All parts of one VM but its listeners and those of `lifecycle`."""
+
+    state: State
+    fleet: Fleet
+    servers: Servers
+    regions: Regions
+    requests: Requests
+    reporter: RegionReporter
+
+
+def make_parts(context: Context, incarnation: int, unreadable: Callable[[str, str], None]) -> Parts:
+    """Return all parts, each made from those before it.
+
+    Args:
+        context: What every part may need.
+        incarnation: Number of this process, higher than that of any earlier one of this VM.
+        unreadable: Takes the key of an item that cannot be read, and the cause.
+
+    Raises:
+        SettingsError: When the settings name a policy that is not shipped.
+    """
+    state = make_state(context, unreadable)
+    fleet = make_fleet(context, state, incarnation)
+    servers = make_servers(context, state, fleet)
+    regions = make_regions(context, state, servers, unreadable)
+    requests = make_requests(context, state, servers, regions)
+    reporter = make_reporter(context, state, fleet, regions, requests)
+    return Parts(state, fleet, servers, regions, requests, reporter)
+
+
 def make_state(context: Context, unreadable: Callable[[str, str], None]) -> State:
     """Return the parts that hold the store's items.
 
@@ -239,15 +270,12 @@
         servers: Backend servers.
         regions: Steering between regions.
     """
-    settings, names = context.settings, context.adapter.names
-    sender = Sender(
-        servers.registry, servers.outliers, servers.pool, names, context.monotonic, context.events
-    )
+    settings = context.settings
     pipeline = Pipeline(
         state.view,
         servers.registry,
         ServerRanker(servers.registry, regions.shares, settings.regions),
-        sender,
+        _sender(context, servers),
         bounds=settings.bounds,
         monotonic=context.monotonic,
         rng=context.rng,
@@ -255,7 +283,7 @@
     app = GatewayApp(
         state.view,
         pipeline,
-        names=names,
+        names=context.adapter.names,
         events=context.events,
         monotonic=context.monotonic,
         memory_bytes=settings.memory_bytes,
@@ -263,6 +291,17 @@
     return Requests(pipeline, app)
 
 
+def _sender(context: Context, servers: Servers) -> Sender:
+    return Sender(
+        servers.registry,
+        servers.outliers,
+        servers.pool,
+        context.adapter.names,
+        context.monotonic,
+        context.events,
+    )
+
+
 def make_reporter(
     context: Context, state: State, fleet: Fleet, regions: Regions, requests: Requests
 ) -> RegionReporter:
--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -14,15 +14,7 @@
 from .._supervise import Step, forever
 from ..clock import Clock, SystemClock
 from ..net.http_server import AsgiApp
-from .composition import (
-    Context,
-    make_fleet,
-    make_regions,
-    make_reporter,
-    make_requests,
-    make_servers,
-    make_state,
-)
+from .composition import Context, make_parts
 from .decision_log import DecisionLog
 from .internal_apps import DeltaApp, TextApp
 from .lifecycle.reload import Reloader
@@ -35,8 +27,14 @@
 from .vm_metrics import vm_metrics
 from .vm_state import vm_state
 
-_RESTART_PAUSE_S = 0.2
-"""Time between a loop's failure and its next run, in seconds. A guess, never measured (3e61232)."""
+_MS_PER_S = 1000
+"""Milliseconds in a second: an incarnation is the time of day of the start, in milliseconds."""
+
+_TICK_S = 0.2
+"""Time between two ticks, and between a loop's failure and its next run, in seconds.
+
+A guess, never measured (3e61232). A tenth of the shift cap's window, so shares move in small steps.
+"""
 
 
 class Gateway:
@@ -69,18 +67,13 @@
         self.stop_asked = stop_asked
         self.clock = clock or SystemClock()
         self.stopping = asyncio.Event()
-        self.incarnation = int(self.clock.wall() * 1000)
+        self.incarnation = int(self.clock.wall() * _MS_PER_S)
         self.events = DecisionLog(log.line, monotonic=self.clock.monotonic, wall=self.clock.wall)
-        context = Context(
+        self.context = Context(
             settings, adapter, self.clock, rng or random.Random(), self.events, self.ready
         )
-        self.context = context
-        self.state = make_state(context, self._unreadable)
-        self.fleet = make_fleet(context, self.state, self.incarnation)
-        self.servers = make_servers(context, self.state, self.fleet)
-        self.regions = make_regions(context, self.state, self.servers, self._unreadable)
-        self.requests = make_requests(context, self.state, self.servers, self.regions)
-        self.reporter = make_reporter(context, self.state, self.fleet, self.regions, self.requests)
+        parts = make_parts(self.context, self.incarnation, self._unreadable)
+        self.state, self.fleet, self.servers, self.regions, self.requests, self.reporter = parts
         self.listeners = Listeners(settings.max_files)
         self.state.view.listeners.append(self.events.learned)
         self.state.view.listeners.append(self.listeners.on_change)
@@ -97,6 +90,7 @@
             self.regions,
             reload_if_changed=self.reloader.reload_if_changed,
             monotonic=self.clock.monotonic,
+            tick_s=_TICK_S,
         )
 
     def _make_shutdown(self) -> Shutdown:
@@ -172,7 +166,7 @@
             self.reporter.run,
             self._tick_loop,
         ):
-            supervised = forever(loop, self._loop_failed, pause_s=_RESTART_PAUSE_S)
+            supervised = forever(loop, self._loop_failed, pause_s=_TICK_S)
             self._tasks.append(asyncio.ensure_future(supervised))
 
     async def _tick_loop(self) -> None:
--- a/sprucewinch/gateway/lifecycle/upkeep.py
+++ b/sprucewinch/gateway/lifecycle/upkeep.py
@@ -8,12 +8,6 @@
 
 from ..composition import Regions, Servers, State
 
-TICK_S = 0.2
-"""Time between two ticks, in seconds. A guess, never measured (3e61232).
-
-A tenth of the shift cap's window, so that shares move in small steps.
-"""
-
 _SWEEP_S = 1.0
 """Time between two sweeps, in seconds. A guess, never measured (3e61232)."""
 
@@ -27,6 +21,7 @@
         regions: Steering between regions.
         reload_if_changed: Looks at the settings.
         monotonic: Source of time, in seconds.
+        tick_s: Time between two ticks, in seconds.
     """
 
     def __init__(
@@ -37,12 +32,14 @@
         *,
         reload_if_changed: Callable[[], bool],
         monotonic: Callable[[], float],
+        tick_s: float,
     ) -> None:
         self.state = state
         self.servers = servers
         self.regions = regions
         self.reload_if_changed = reload_if_changed
         self.monotonic = monotonic
+        self.tick_s = tick_s
 
     async def run(self) -> None:
         """Tick until cancelled, and sweep every so many ticks."""
@@ -53,7 +50,7 @@
             if now - swept_at > _SWEEP_S:
                 swept_at = now
                 self._sweep()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(self.tick_s)
 
     def _tick(self, now: float) -> None:
         if self.state.view.has_configuration:
--- a/sprucewinch/gateway/settings.py
+++ b/sprucewinch/gateway/settings.py
@@ -9,8 +9,8 @@
 class Bounds(NamedTuple):
     """Figures that the fleet has to keep together; the platform's settings give them.
 
-    The defaults stand for a settings file that leaves one out. They are the platform's usual bounds
-    where it has one, and else the strictest value.
+    The defaults stand for a settings file that leaves one out. They are the bounds that both sites
+    state, but for `retry_slack`, `cold_over` and `cold_slack`, which are stricter.
 
     Args:
         grace_s: Time from the order to stop until the process is killed, in seconds.
