--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -151,7 +151,7 @@
         self.entry.set_hall_view(view_digest(holders))
         for member in self.membership.of_hall(now):
             if member is not self.own:
-                self.hall.mark_leaving(member.leaving_servers, now + _HEARD_LEAVING_S)
+                self.hall.mark_heard_leaving(member.leaving_servers, now + _HEARD_LEAVING_S)
         self.hall.serve_waiting(now)
 
     def label(self, service: str) -> Label:
--- a/sprucewinch/hall/own_entry.py
+++ b/sprucewinch/hall/own_entry.py
@@ -79,7 +79,7 @@
             revision: Configuration revision in force; 0 when there is none.
             in_flight: Requests of callers and peers under way.
             loads: Load of each service.
-            leaving_servers: Backend servers that are leaving.
+            leaving_servers: Backend servers that reported to this VM that they are leaving.
             held: Requests that still run on draining halls and servers, by drain key.
         """
         member = self.member
--- a/sprucewinch/hall/requests/admission.py
+++ b/sprucewinch/hall/requests/admission.py
@@ -56,6 +56,7 @@
 
     __slots__ = (
         "address",
+        "heard_leaving_until",
         "in_use",
         "latency_ms",
         "leaving_until",
@@ -70,12 +71,17 @@
         self.in_use = 0
         self.paused_until = 0.0
         self.leaving_until = 0.0
+        self.heard_leaving_until = 0.0
         self.warm_from = float("-inf")
         self.latency_ms: Optional[float] = None
 
     def is_open(self, now: float) -> bool:
         """Return whether the server takes new requests: it is neither paused nor leaving."""
-        return self.paused_until <= now and self.leaving_until <= now
+        return self.paused_until <= now and not self.is_leaving(now)
+
+    def is_leaving(self, now: float) -> bool:
+        """Return whether the server is marked as leaving, by this VM's own knowledge or not."""
+        return max(self.leaving_until, self.heard_leaving_until) > now
 
     def allowed(self, usable: int, now: float) -> int:
         """Return how many of the usable slots may be in use now; fewer while it is cold."""
@@ -99,9 +105,13 @@
         self.warm_from = self.paused_until
 
     def mark_leaving(self, until: float) -> None:
-        """Give the server no new request until some time; a later time stands."""
+        """Give the server no new request until some time, on its own report to this VM."""
         self.leaving_until = max(self.leaving_until, until)
 
+    def mark_heard_leaving(self, until: float) -> None:
+        """Do the same on a report of another VM or of the platform's list; see `Admission`."""
+        self.heard_leaving_until = max(self.heard_leaving_until, until)
+
 
 class Slot:
     """A slot of a backend server, held by one request until it is released."""
@@ -120,6 +130,10 @@
 class Admission:
     """Gives out the slots of one service that this entry VM may use.
 
+    A server that leaves is marked on its own report to this VM (`leaving`) or on the report of
+    others (`heard_leaving`). Both marks keep new requests away. Only the first kind is listed for
+    other VMs: two VMs that listed marks of each other would renew them without end.
+
     Args:
         usable: Returns the usable slots of a backend server at a time.
         rng: Source of randomness for ties.
@@ -208,13 +222,24 @@
                 free.server.in_use -= 1
 
     def leaving(self, address: str, until: float) -> None:
-        """Mark a backend server as leaving until some time; an unknown address is passed over."""
+        """Mark a backend server that reported to this VM that it is leaving.
+
+        Args:
+            address: The server; an unknown one is passed over.
+            until: Monotonic time at which the mark ends, in seconds; a later end stands.
+        """
         server = self.servers.get(address)
         if server is not None:
             server.mark_leaving(until)
 
+    def heard_leaving(self, address: str, until: float) -> None:
+        """Mark a backend server that others report as leaving; arguments as of `leaving`."""
+        server = self.servers.get(address)
+        if server is not None:
+            server.mark_heard_leaving(until)
+
     def leaving_servers(self, now: float) -> list[str]:
-        """Return the addresses of the backend servers that are marked as leaving."""
+        """Return the backend servers that reported to this VM that they are leaving."""
         return [s.address for s in self.servers.values() if s.leaving_until > now]
 
     def _open(self, now: float) -> list[ServerState]:
--- a/sprucewinch/hall/requests/admissions.py
+++ b/sprucewinch/hall/requests/admissions.py
@@ -47,14 +47,19 @@
         """Return the admission of a service; None when this hall does not run it."""
         return self.admissions.get(service)
 
-    def mark_leaving(self, servers: Sequence[str], until: float) -> None:
-        """Mark backend servers that another VM reports as leaving, until a monotonic time."""
+    def mark_heard_leaving(self, servers: Sequence[str], until: float) -> None:
+        """Mark backend servers that another VM or the platform's list reports as leaving.
+
+        Args:
+            servers: Their addresses; those that this hall does not have are passed over.
+            until: Monotonic time at which the marks end, in seconds.
+        """
         for admission in self.admissions.values():
             for server in servers:
-                admission.leaving(server, until)
+                admission.heard_leaving(server, until)
 
     def leaving_servers(self, now: float) -> list[str]:
-        """Return the backend servers that are leaving as far as this VM knows."""
+        """Return the backend servers that reported to this VM that they are leaving."""
         return [s for a in self.admissions.values() for s in a.leaving_servers(now)]
 
     def held(self, topology: Topology, now: float) -> dict[str, int]:
@@ -62,7 +67,7 @@
         held: dict[str, int] = {}
         for admission in self.admissions.values():
             for server in admission.servers.values():
-                if server.address in admission.drained or server.leaving_until > now:
+                if server.address in admission.drained or server.is_leaving(now):
                     held[drain_key("server", server.address)] = server.in_use
         if topology.hall_drained(self.hall):
             held[drain_key("hall", self.hall)] = sum(held.values())
--- /dev/null
+++ b/tests/test_leaving_marks.py
@@ -0,0 +1,103 @@
+"""Marks of leaving backend servers among the VMs of a hall."""
+
+import unittest
+
+from sprucewinch.config.configuration import drain_key
+from sprucewinch.hall.node import LEAVING_S, Node
+from sprucewinch.hall.peers.exchange import Exchange
+from sprucewinch.hall.peers.membership import SILENT_S
+
+from . import fakes
+
+HALL = {"hall": "van-1", "region": "lower-mainland"}
+STEP_S = 0.5
+PROBE_S = 1.0
+
+
+def exchange(asking: Node, answering: Node, now: float) -> None:
+    message = Exchange(asking).ask()
+    for _ in range(2):
+        reply = Exchange(answering).answer(message, now)
+        message = Exchange(asking).learn(reply, now)
+        if message is None:
+            return
+
+
+class Hall:
+    """Three VMs of one hall; the first one alone hears a server's report that it is leaving."""
+
+    def __init__(self) -> None:
+        self.now = 0.0
+        self.nodes = [
+            fakes.node(vm=vm, incarnation=number, **HALL) for number, vm in enumerate("abc", 1)
+        ]
+        for node in self.nodes:
+            fakes.configure(node)
+        self.service, admission = next(iter(self.nodes[0].hall.admissions.items()))
+        self.server = next(iter(admission.servers))
+
+    def report(self) -> None:
+        """Let the first VM hear the report, by a probe or with an answer."""
+        self.nodes[0].hall.admissions[self.service].leaving(self.server, self.now + LEAVING_S)
+
+    def step(self) -> None:
+        self.now += STEP_S
+        for node in self.nodes:
+            node.tick(self.now)
+        first, second, third = self.nodes
+        for asking, answering in ((first, second), (second, third), (third, first)):
+            exchange(asking, answering, self.now)
+
+    def pass_time(self, seconds: float) -> None:
+        for _ in range(int(seconds / STEP_S)):
+            self.step()
+
+    def gives_slots(self) -> list[bool]:
+        """Return for each VM whether it gives new requests to the server."""
+        states = (n.hall.admissions[self.service].servers[self.server] for n in self.nodes)
+        return [state.is_open(self.now) for state in states]
+
+    def listed(self) -> list[bool]:
+        """Return for each VM whether its entry lists the server as leaving."""
+        return [self.server in node.own.leaving_servers for node in self.nodes]
+
+
+class LeavingMarks(unittest.TestCase):
+    def test_a_single_report_ends_at_all_vms(self) -> None:
+        hall = Hall()
+        hall.pass_time(20.0)
+        hall.report()
+        hall.pass_time(LEAVING_S / 2)
+        self.assertEqual(hall.gives_slots(), [False, False, False])
+        hall.pass_time(LEAVING_S / 2 + SILENT_S + LEAVING_S)
+        self.assertEqual(hall.gives_slots(), [True, True, True])
+        self.assertEqual(hall.listed(), [False, False, False])
+
+    def test_only_the_vm_that_has_the_report_lists_the_server(self) -> None:
+        hall = Hall()
+        hall.pass_time(20.0)
+        hall.report()
+        hall.pass_time(LEAVING_S / 2)
+        self.assertEqual(hall.listed(), [True, False, False])
+
+    def test_a_server_that_still_leaves_stays_marked_at_all_vms(self) -> None:
+        hall = Hall()
+        hall.pass_time(20.0)
+        hall.report()
+        hall.pass_time(PROBE_S)
+        for _ in range(60):
+            hall.report()
+            hall.pass_time(PROBE_S)
+            self.assertEqual(hall.gives_slots(), [False, False, False], f"at {hall.now} s")
+
+    def test_the_requests_on_a_server_marked_by_another_vm_are_still_reported(self) -> None:
+        hall = Hall()
+        hall.pass_time(20.0)
+        hall.report()
+        hall.pass_time(LEAVING_S / 2)
+        for node in hall.nodes:
+            self.assertIn(drain_key("server", hall.server), dict(node.own.held))
+
+
+if __name__ == "__main__":
+    unittest.main()
