--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -21,7 +21,7 @@
 
 from . import adapter  # noqa: F401 - makes the next imports possible
 
-from node_settings import load  # isort: skip
+from node_settings import SettingsFile, load  # isort: skip
 from store_items import StoreItems  # isort: skip
 
 SETTINGS = {
@@ -114,6 +114,37 @@
         with self.assertRaises(SettingsError):
             load(Path("/nowhere/settings"))
 
+    def test_ports_and_zones_that_cannot_be_used_are_named_with_the_remedy(self) -> None:
+        broken = (
+            ("InternalPorts", []),
+            ("Zones", {"a": 3}),
+            ("Zones", {"a": "east", "b": None}),
+            ("Zones", {"a": ["east"]}),
+        )
+        for name, value in broken:
+            with self.subTest(name=name, value=value):
+                with self.assertRaises(SettingsError) as caught:
+                    self._load(json.dumps({**SETTINGS, name: value}))
+                self.assertIn(name, caught.exception.problem)
+                self.assertIn("platform/settings.json", caught.exception.remedy)
+
+    def test_a_reload_of_settings_without_ports_is_refused_and_the_last_good_ones_stay(
+        self,
+    ) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            path = Path(folder) / "settings"
+            path.write_text(json.dumps(SETTINGS))
+            file = SettingsFile(path)
+            held = file.settings
+            path.write_text(json.dumps({**SETTINGS, "InternalPorts": []}))
+            with self.assertRaises(SettingsError):
+                file.reread()
+            self.assertIs(file.settings, held)
+
+    def test_a_single_port_is_enough(self) -> None:
+        settings = self._load(json.dumps({**SETTINGS, "InternalPorts": [7540]}))
+        self.assertEqual(settings.peer_address, "10.1.0.34:7540")
+
 
 class Items(unittest.TestCase):
     def test_a_configuration(self) -> None:
