--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,7 +1,9 @@
 """The adapter's store client and the product's followers against the store's stand-in."""
 
+import asyncio
 import random
 import unittest
+from typing import Any
 
 from sprucewinch.gateway.datagrams import Datagrams
 from sprucewinch.gateway.decision_log import DecisionLog
@@ -12,6 +14,7 @@
 from sprucewinch.gateway.membership.registrar import Registrar
 from sprucewinch.gateway.resources import Member
 from sprucewinch.gateway.state.outages import StoreOutages
+from sprucewinch.gateway.state.store import StoreUnavailableError
 from sprucewinch.gateway.state.store_view import StoreView
 from sprucewinch.gateway.timing import Timing
 from standins.consortium_store import LATE_S, Fault, StoreStandIn
@@ -182,6 +185,65 @@
         run_virtual(main)
 
 
+class EmptyLastPages(StoreStandIn):
+    """A store whose page after the last item is empty and says that more follows."""
+
+    def _range(self, query: dict[str, str]) -> dict[str, Any]:
+        return {**super()._range(query), "more": True}
+
+
+class DeafToAfter(StoreStandIn):
+    """A store that answers each page of a listing with the first one."""
+
+    def _range(self, query: dict[str, str]) -> dict[str, Any]:
+        return super()._range({**query, "after": ""})
+
+
+class Listing(unittest.TestCase):
+    """A listing whose pages lead nowhere ends with an error."""
+
+    async def _listing(self, loop: VirtualLoop, store: StoreStandIn, items: int) -> None:
+        loop.listen(ADDRESS, store.accept)
+        for number in range(items):
+            store.put(f"op/evacuate/z{number:02}", b"{}")
+        async with asyncio.timeout(5.0):
+            await KvStore(ADDRESS, loop.time).listing()
+
+    def _fails(self, kind: type[StoreStandIn], items: int) -> None:
+        async def main(loop: VirtualLoop) -> None:
+            store = kind(loop, page=3)
+            with self.assertRaisesRegex(StoreUnavailableError, "kv-range: .*more"):
+                await self._listing(loop, store, items)
+            self.assertLessEqual(len(store.calls), items // 3 + 2)
+
+        run_virtual(main)
+
+    def test_an_empty_page_that_says_more(self) -> None:
+        self._fails(EmptyLastPages, 5)
+        self._fails(EmptyLastPages, 6)
+
+    def test_an_empty_first_page_that_says_more_is_no_empty_store(self) -> None:
+        self._fails(EmptyLastPages, 0)
+
+    def test_a_page_that_comes_again(self) -> None:
+        self._fails(DeafToAfter, 5)
+
+    def test_the_follower_keeps_what_it_holds_and_goes_on_once_the_store_recovers(self) -> None:
+        async def main(loop: VirtualLoop) -> None:
+            store, machine = await started(loop)
+            whole = store._range
+            store._range = lambda query: {**whole(query), "more": True}
+            store.forget()
+            await pass_time(3.0)
+            self.assertEqual(machine.version(), 3)
+            store.put("op/config", configuration(9))
+            store._range = whole
+            await pass_time(CONTACT_S)
+            self.assertEqual(machine.version(), 9)
+
+        run_virtual(main)
+
+
 class Registered(unittest.TestCase):
     def test_a_lost_answer_or_a_key_taken_away_is_made_up_for(self) -> None:
         async def main(loop: VirtualLoop) -> None:
