--- a/sprucewinch/daemon.py
+++ b/sprucewinch/daemon.py
@@ -189,12 +189,12 @@
 
     async def _finish_requests(self, *, until: float) -> None:
         reported = self.clock.monotonic()
-        while self.clock.monotonic() < until or self.node.requests_in_flight:
+        while self.clock.monotonic() < until or self.node.in_flight.count:
             await asyncio.sleep(_STOP_POLL_S)
             now = self.clock.monotonic()
-            if now - reported >= self.settings.stop.report_s and self.node.requests_in_flight:
+            if now - reported >= self.settings.stop.report_s and self.node.in_flight.count:
                 reported = now
-                log.state(f"event=stopping in_flight={self.node.requests_in_flight}")
+                log.state(f"event=stopping in_flight={self.node.in_flight.count}")
 
     async def _close(self) -> None:
         await self.loops.stop()
--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -12,6 +12,7 @@
 from ..net.outcome import Refusal
 from ..steering.policy import Policy
 from .drains import DrainTimer
+from .in_flight import InFlight
 from .in_force import DocumentsInForce
 from .load_report import LoadReport
 from .metrics import Label, Metrics
@@ -49,7 +50,7 @@
 
     Attributes:
         tickets: Tickets of this process; None until the VM serves.
-        requests_in_flight: Requests of callers and peers under way.
+        in_flight: Requests of callers and peers under way.
     """
 
     def __init__(
@@ -67,7 +68,7 @@
         self.ticket_key = ticket_key
         self.started_at = self.ticked_at = now
         self.tickets: Optional[TicketBook] = None
-        self.requests_in_flight = 0
+        self.in_flight = InFlight()
         self.metrics = Metrics()
         self.membership = Membership(new_entry(settings, incarnation))
         self.entry = OwnEntry(self.membership, log)
@@ -123,7 +124,7 @@
             self.drains.update(held, now)
         self.entry.describe(
             revision=self.revision,
-            in_flight=self.requests_in_flight,
+            in_flight=self.in_flight.count,
             loads=self.load.loads(now),
             leaving_servers=self.hall.leaving_servers(now),
             held=held,
--- a/sprucewinch/hall/peers/peer_server.py
+++ b/sprucewinch/hall/peers/peer_server.py
@@ -1,7 +1,7 @@
 """The server for other entry VMs: exchanges, and requests that they hand on.
 
 Refuses requests beyond this VM's limits, runs the others through the dispatcher and sends each
-answer back as frames. Owns no state but the count of requests in flight at the node. Relies on
+answer back as frames. Owns no state; the node counts the requests in flight. Relies on
 `exchange`, `frames` and `requests.dispatch`. A request handed on for this hall's slots is not
 handed on again; one handed to its ticket's home is decided as if it came from a caller.
 """
@@ -83,13 +83,13 @@
         opened = frame.open
         responder = _FrameResponder(stream, opened.request_id)
         node = self.dispatcher.node
-        node.requests_in_flight += 1
+        node.in_flight.enter()
         try:
             refusal = await self._run(stream, opened, responder)
         except BrokenAnswerError as error:
             raise GRPCError(Status.DATA_LOSS, str(error)) from None
         finally:
-            node.requests_in_flight -= 1
+            node.in_flight.leave()
         if refusal is not None:
             await stream.send_message(refused_frame(opened.request_id, refusal))
 
@@ -105,7 +105,7 @@
         request = request_of(opened, FrameBody(opened, stream.recv_message, ask), now)
         if opened.home:
             return await self._run_home(request, responder)
-        if node.requests_in_flight > self.max_requests:
+        if node.in_flight.count > self.max_requests:
             return not_run(Reason.OVERLOADED_VM, RETRY_AFTER_MS)
         if not node.cross_link(opened.from_region, now):
             return not_run(Reason.LINK_FULL, RETRY_AFTER_MS)
--- a/sprucewinch/hall/requests/callers.py
+++ b/sprucewinch/hall/requests/callers.py
@@ -168,7 +168,7 @@
 
     def _gate(self, request: Request, now: float) -> Optional[Refusal]:
         """Return the refusal of a request beyond this VM's limits, before it is run."""
-        if self.node.requests_in_flight >= self.limits.requests:
+        if self.node.in_flight.count >= self.limits.requests:
             return not_run(Reason.OVERLOADED_VM, RETRY_AFTER_MS)
         if request.client_region and not self.node.cross_link(request.client_region, now):
             return not_run(Reason.LINK_FULL, RETRY_AFTER_MS)
@@ -177,7 +177,7 @@
     async def _run(self, request: Request, responder: AsgiResponder) -> Optional[Refusal]:
         body = request.body
         assert isinstance(body, AsgiBody)
-        self.node.requests_in_flight += 1
+        self.node.in_flight.enter()
         try:
             async with asyncio.timeout(request.deadline - self.clock.monotonic()):
                 await body.keep_start(self.limits.memory_body_bytes)
@@ -190,7 +190,7 @@
         except CallerLeftError:
             return unknown(Reason.CALLER_LEFT)
         finally:
-            self.node.requests_in_flight -= 1
+            self.node.in_flight.leave()
 
     async def _run_while_caller_stays(
         self, request: Request, body: AsgiBody, responder: AsgiResponder
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -76,7 +76,7 @@
     """A refusal before the ticket's home has looked at the ticket says nothing about the run."""
 
     def overload(self, target: Node) -> None:
-        target.requests_in_flight = target.settings.limits.requests
+        target.in_flight.count = target.settings.limits.requests
 
     async def test_new_process_without_configuration(self) -> None:
         ticket = self.issue(self.node)
@@ -100,13 +100,13 @@
             self.settle(self.node, ticket, outcome)
             self.overload(self.node)
             self.assertEqual((await self.book(self.node, ticket))["outcome"], "unknown")
-            self.node.requests_in_flight = 0
+            self.node.in_flight.count = 0
 
     async def test_overloaded_home_refuses_an_unused_ticket_for_ever(self) -> None:
         ticket = self.issue(self.node)
         self.overload(self.node)
         self.assertEqual((await self.book(self.node, ticket))["outcome"], "not-run")
-        self.node.requests_in_flight = 0
+        self.node.in_flight.count = 0
         again = await self.book(self.node, ticket)
         self.assertEqual((again["outcome"], again["reason"]), ("not-run", "already-refused"))
 
--- a/tests/test_formats_own_lines.py
+++ b/tests/test_formats_own_lines.py
@@ -202,11 +202,11 @@
     async def test_a_stop(self) -> None:
         running = daemon()
         task = await self.until_started(running)
-        running.node.requests_in_flight = 1
+        running.node.in_flight.count = 1
         signal_to(running)
         signal_to(running)
         await asyncio.sleep(0.6)
-        running.node.requests_in_flight = 0
+        running.node.in_flight.count = 0
         await task
         self.assertEqual(
             self.of(lambda event: event != "platform"),
