--- a/sprucewinch/hall/peers/peer_server.py
+++ b/sprucewinch/hall/peers/peer_server.py
@@ -16,8 +16,8 @@
 from ...net.outcome import Reason, Refusal, not_run, unknown
 from ...net.request import Headers, Request, Responder
 from ..requests.backend import BrokenAnswerError
-from ..requests.comeback import RETRY_AFTER_MS
 from ..requests.dispatch import Dispatcher
+from ..requests.return_time import RETRY_AFTER_MS
 from ..requests.tickets import parse_ticket
 from .exchange import Exchange
 from .frames import (
--- a/sprucewinch/hall/requests/backend.py
+++ b/sprucewinch/hall/requests/backend.py
@@ -2,7 +2,7 @@
 
 Owns the client session and its connections, and decides from what the server or the library
 reports whether a request certainly did not run. Relies on aiohttp, and on `net.http_client`, which
-switches off the library's own resends. Repeats are the rule of `again`.
+switches off the library's own resends. Repeats are the rule of `retry_rule`.
 """
 
 import asyncio
--- a/sprucewinch/hall/requests/callers.py
+++ b/sprucewinch/hall/requests/callers.py
@@ -23,8 +23,8 @@
 from ..peers.peer_pb2 import SERVING
 from ..planning.topology import Topology
 from .backend import BrokenAnswerError
-from .comeback import RETRY_AFTER_MS
 from .dispatch import Dispatcher
+from .return_time import RETRY_AFTER_MS
 from .tickets import MAX_BATCH
 
 _LOOKUP = "/v1/lookup"
--- a/sprucewinch/hall/requests/dispatch.py
+++ b/sprucewinch/hall/requests/dispatch.py
@@ -1,8 +1,8 @@
 """The request path of the product's own interface: the order of its filters.
 
-Known service -> at most once (`once`) -> this hall (`local`) -> other halls (`elsewhere`) ->
-Retry-After (`comeback`). Each filter is a module of this folder and holds its own rule; this module
-owns only the order. It relies on the node's state and does no I/O of its own.
+Known service -> `at_most_once` -> this hall (`local`) -> `other_halls` -> Retry-After
+(`return_time`). Each filter is a module of this folder and holds its own rule; this module owns
+only the order. It relies on the node's state and does no I/O of its own.
 """
 
 from typing import Optional
@@ -11,13 +11,13 @@
 from ...net.outcome import Reason, Refusal, not_run
 from ...net.request import Request, Responder
 from ..node import Node
-from .again import RetryRule
+from .at_most_once import AtMostOnce
 from .backend import Attempt, BackendClient
-from .comeback import RETRY_AFTER_MS, ReturnTimes
-from .elsewhere import OtherHalls
 from .handover import PeerLink
 from .local import LocalHall
-from .once import AtMostOnce
+from .other_halls import OtherHalls
+from .retry_rule import RetryRule
+from .return_time import RETRY_AFTER_MS, ReturnTimes
 
 __all__ = ["Dispatcher", "PeerLink"]
 
@@ -35,9 +35,9 @@
     def __init__(self, node: Node, backend: BackendClient, peers: PeerLink, clock: Clock) -> None:
         self.node = node
         self.retries = RetryRule(node)
-        self.once = AtMostOnce(node, peers, clock, self._anywhere)
+        self.at_most_once = AtMostOnce(node, peers, clock, self._anywhere)
         self.local = LocalHall(node, backend, clock, self.retries)
-        self.elsewhere = OtherHalls(node, peers, clock, self.retries)
+        self.other_halls = OtherHalls(node, peers, clock, self.retries)
         self.return_times = ReturnTimes(node, clock)
 
     async def enter(self, request: Request, responder: Responder) -> Optional[Refusal]:
@@ -57,11 +57,11 @@
             return self.certain(not_run(Reason.NO_SUCH_SERVICE), request.ticket)
         if service.repeatable:
             return (await self._anywhere(request, responder)).refusal
-        return await self.once.enter(request, responder)
+        return await self.at_most_once.enter(request, responder)
 
     def certain(self, refusal: Refusal, ticket: Optional[str]) -> Refusal:
         """Return a refusal that is true also when the operation ran before; see `AtMostOnce`."""
-        return self.once.certain(refusal, ticket)
+        return self.at_most_once.certain(refusal, ticket)
 
     async def run_here(self, request: Request, responder: Responder) -> Attempt:
         """Run a request that another hall handed on; see `LocalHall.run`."""
@@ -71,7 +71,7 @@
         """Try this hall, then others, as long as it is certain that nothing ran."""
         attempt = await self.local.run(request, responder)
         if attempt.refusal is not None:
-            attempt = await self.elsewhere.run(attempt, request, responder)
+            attempt = await self.other_halls.run(attempt, request, responder)
         if attempt.refusal is None:
             self.retries.succeeded(request.service)
             return attempt
--- a/sprucewinch/hall/requests/local.py
+++ b/sprucewinch/hall/requests/local.py
@@ -1,8 +1,8 @@
 """The filter that runs a request on the backend servers of this VM's own data hall.
 
 Takes a slot (`admission`), or waits for one (`_slot_wait`), sends the request (`backend`) and
-records the result at the server. Repeats on another server as long as `again` allows it. Owns the
-number of tries; the servers' state belongs to the admission.
+records the result at the server. Repeats on another server as long as `retry_rule` allows it. Owns
+the number of tries; the servers' state belongs to the admission.
 """
 
 from typing import Union
@@ -13,8 +13,8 @@
 from ..node import LEAVING_S, Node
 from ._slot_wait import wait_for_slot
 from .admission import Admission, Slot
-from .again import RetryRule
 from .backend import Attempt, BackendClient
+from .retry_rule import RetryRule
 
 _MAX_TRIES = 3
 """Most backend servers of this hall that one request is sent to. A guess, never measured."""
--- a/sprucewinch/hall/requests/elsewhere.py
+++ b/sprucewinch/hall/requests/other_halls.py
@@ -4,7 +4,7 @@
 order of the regions by distance in milliseconds.
 The rule: entry VMs of other halls that report free slots for the service are tried, those of the
 nearest region first and by most free slots within it; ties are broken at random. At most
-`_MAX_HAND_ONS` are tried, each only if `again` allows a repeat.
+`_MAX_HAND_ONS` are tried, each only if `retry_rule` allows a repeat.
 Why: distance costs every request, while reported free slots are up to some rounds old. A longer
 list would send refused load around all halls while all are full.
 Constants: `_MAX_HAND_ONS` below, a guess.
@@ -19,9 +19,9 @@
 from ...net.request import Request, Responder
 from ..node import Node
 from ..peers.peer_pb2 import Member
-from .again import RetryRule
 from .backend import Attempt
 from .handover import PeerLink
+from .retry_rule import RetryRule
 
 _MAX_HAND_ONS = 2
 """Most entry VMs of other halls that one request is handed to. A guess, never measured."""
--- a/sprucewinch/hall/requests/recorder.py
+++ b/sprucewinch/hall/requests/recorder.py
@@ -1,7 +1,7 @@
 """A responder that also keeps a small answer, for a caller that repeats its request.
 
 Owns the copy of the one answer that passes through it, up to a limit in bytes. Relies on the
-responder that it wraps; `once` stores the copy under the operation's ticket.
+responder that it wraps; `at_most_once` stores the copy under the operation's ticket.
 """
 
 from typing import Optional
