--- a/sprucewinch/hall/requests/return_time.py
+++ b/sprucewinch/hall/requests/return_time.py
@@ -8,7 +8,7 @@
 Why: one time for all refused callers brings them back together; the rate spreads them as fast as
 the servers can run them.
 Constants: `_UNMEASURED_REQUEST_S` below, a guess; the shortest and the longest time are those of
-`retry.ComeBack`.
+`retry.ReturnSchedule`.
 Where it shows: `retry_after_ms` of the refusal's body and the `Retry-After` header.
 Tests: `tests.test_retry`, `tests.test_formats_own`.
 """
@@ -16,7 +16,7 @@
 from ...clock import Clock
 from ...net.outcome import Outcome, Refusal
 from ...net.request import Request
-from ...retry import ComeBack
+from ...retry import ReturnSchedule
 from ..node import Node
 
 RETRY_AFTER_MS = 1000
@@ -38,7 +38,7 @@
     def __init__(self, node: Node, clock: Clock) -> None:
         self.node = node
         self.clock = clock
-        self.come_backs: dict[str, ComeBack] = {}
+        self.schedules: dict[str, ReturnSchedule] = {}
 
     def stamp(self, request: Request, refusal: Refusal) -> Refusal:
         """Return a refusal with the time after which to return, where returning can help."""
@@ -46,8 +46,8 @@
             return refusal
         now = self.clock.monotonic()
         rate_per_s = self._slots_freed_per_s(request.service, now)
-        come_back = self.come_backs.setdefault(request.service, ComeBack(self.node.rng))
-        return refusal._replace(retry_after_ms=come_back.retry_after_ms(now, rate_per_s))
+        schedule = self.schedules.setdefault(request.service, ReturnSchedule(self.node.rng))
+        return refusal._replace(retry_after_ms=schedule.retry_after_ms(now, rate_per_s))
 
     def _slots_freed_per_s(self, service: str, now: float) -> float:
         admission = self.node.hall.find(service)
--- a/sprucewinch/retry.py
+++ b/sprucewinch/retry.py
@@ -5,7 +5,7 @@
 tenth of the successes, and no storm of them is saved up while all goes well; a fixed number of
 tries a request would multiply the load of a failing service.
 
-Question 2: when may a refused caller return, in milliseconds? `ComeBack`: each gets the next
+Question 2: when may a refused caller return, in milliseconds? `ReturnSchedule`: each gets the next
 moment at which a slot becomes free, at a measured rate in requests a second. Callers that are
 refused together then do not return together, and those refused first return about first.
 
@@ -73,7 +73,7 @@
         return True
 
 
-class ComeBack:
+class ReturnSchedule:
     """Gives refused callers times to return, one after the other.
 
     Each refusal gets the next free moment at the rate at which slots become free. A caller whose
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -2,7 +2,7 @@
 import unittest
 
 from sprucewinch.hall.planning.links import RateAllowance
-from sprucewinch.retry import ComeBack, TokenRetryBudget, backoff_s
+from sprucewinch.retry import ReturnSchedule, TokenRetryBudget, backoff_s
 
 
 class Budget(unittest.TestCase):
@@ -25,17 +25,17 @@
         self.assertLessEqual(sum(budget.take() for _ in range(1000)), 10)
 
 
-class ComingBack(unittest.TestCase):
+class ReturnTimes(unittest.TestCase):
     def test_callers_refused_together_return_one_after_the_other(self) -> None:
-        come_back = ComeBack(random.Random(1))
-        times = sorted(come_back.retry_after_ms(0.0, 100.0) for _ in range(500))
+        schedule = ReturnSchedule(random.Random(1))
+        times = sorted(schedule.retry_after_ms(0.0, 100.0) for _ in range(500))
         self.assertGreaterEqual(times[0], 100)
         busiest = max(sum(a <= t < a + 1000 for t in times) for a in range(0, 6000, 100))
         self.assertLessEqual(busiest, 115)
 
     def test_nobody_is_sent_away_for_ever(self) -> None:
-        come_back = ComeBack(random.Random(1), most_ms=2000)
-        times = [come_back.retry_after_ms(0.0, 1.0) for _ in range(100)]
+        schedule = ReturnSchedule(random.Random(1), most_ms=2000)
+        times = [schedule.retry_after_ms(0.0, 1.0) for _ in range(100)]
         self.assertLessEqual(max(times), 2200)
         self.assertGreater(len({t // 100 for t in times[10:]}), 5)
 
