--- /dev/null
+++ b/tests/test_gateway_request_rules.py
@@ -0,0 +1,314 @@
+"""Rules of a request: its body, its server, its room, its time, its retries, its final answer."""
+
+import itertools
+import random
+import unittest
+from typing import Optional, Union
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from sprucewinch.gateway.requests.callers.body_admission import (
+    BodyAdmission,
+    BodyMemory,
+    admit_body,
+)
+from sprucewinch.gateway.requests.callers.request_reader import RequestReader
+from sprucewinch.gateway.requests.client_request import (
+    TIMED_OUT,
+    Attempt,
+    Blocked,
+    BlockedReason,
+    ClientRequest,
+    RefusalReason,
+    SelectionReason,
+    Verdict,
+)
+from sprucewinch.gateway.requests.outcome import final_answer
+from sprucewinch.gateway.requests.outcome.hold_time import (
+    ANSWER_MARGIN_S,
+    DEFAULT_WAIT_S,
+    MAX_WAIT_S,
+    HoldBound,
+    WaitSource,
+    caller_wait,
+    hold_time,
+)
+from sprucewinch.gateway.requests.outcome.retry_decision import (
+    RetryReason,
+    decide_retry,
+    without_budget,
+)
+from sprucewinch.gateway.requests.room import no_room_reason, room_wait_s
+from sprucewinch.net.connection import Answer
+from standins.virtual import VirtualLoop, pass_time, run_virtual
+
+from .formats_gateway import VirtualGateway
+from .gateway_fakes import NAMES, Path, route
+
+_PROMISES = (408, 421, 429, 503)
+
+
+def _request(*attempts: Attempt) -> ClientRequest:
+    """Return a request that arrived at 10 s, whose caller leaves at 12.5 s."""
+    path = "/rates/a"
+    request = ClientRequest("q", "GET", "quotes.example", path, path, (), b"", 10.0, 12.5)
+    request.attempts.extend(attempts)
+    return request
+
+
+def _answered(status: int) -> Attempt:
+    return Attempt("s0", Verdict.ANSWERED, True, "answered", Answer(status, (), b""))
+
+
+def _unanswered(verdict: Verdict, why: str, *, arrived: bool = True) -> Attempt:
+    return Attempt("s0", verdict, arrived, why)
+
+
+class CallersWait(unittest.TestCase):
+    def test_each_source(self) -> None:
+        for text, seconds, source in (
+            ("2500", 2.5, WaitSource.STATED),
+            ("300001", MAX_WAIT_S, WaitSource.CAPPED),
+            (None, DEFAULT_WAIT_S, WaitSource.ABSENT),
+            ("", DEFAULT_WAIT_S, WaitSource.ABSENT),
+            ("soon", DEFAULT_WAIT_S, WaitSource.UNREADABLE),
+            ("-1", DEFAULT_WAIT_S, WaitSource.UNREADABLE),
+            ("inf", DEFAULT_WAIT_S, WaitSource.UNREADABLE),
+            ("nan", DEFAULT_WAIT_S, WaitSource.UNREADABLE),
+        ):
+            with self.subTest(text):
+                self.assertEqual(caller_wait(text), (seconds, source))
+
+
+class HoldTimes(unittest.TestCase):
+    def _hold(self, timeout_s: Optional[float]) -> tuple[float, HoldBound]:
+        return tuple(hold_time(_request(), route(timeout_s=timeout_s)))
+
+    def test_the_routes_time_or_shortly_before_the_caller_leaves(self) -> None:
+        self.assertEqual(self._hold(0.8), (10.8, HoldBound.ROUTE))
+        self.assertEqual(self._hold(9.0), (12.5 - ANSWER_MARGIN_S, HoldBound.CALLER))
+        self.assertEqual(self._hold(None), (12.5 - ANSWER_MARGIN_S, HoldBound.CALLER))
+
+
+class RetryDecisions(unittest.TestCase):
+    """Each reason, on a route of two runs."""
+
+    def _reason(self, *attempts: Attempt, repeatable: bool = True) -> RetryReason:
+        found = route(max_attempts=2, repeatable=repeatable)
+        return decide_retry(_request(*attempts), found, attempts[-1]).reason
+
+    def test_a_servers_own_answer(self) -> None:
+        failure = _answered(500)
+        self.assertIs(self._reason(_answered(404)), RetryReason.SERVER_ANSWERED)
+        self.assertIs(self._reason(failure), RetryReason.SERVER_FAILED)
+        self.assertIs(self._reason(failure, failure), RetryReason.FAILURE_IS_FINAL)
+        self.assertIs(self._reason(failure, repeatable=False), RetryReason.FAILURE_IS_FINAL)
+
+    def test_an_attempt_that_may_have_run(self) -> None:
+        lost = _unanswered(Verdict.UNKNOWN, "reset")
+        late = _unanswered(Verdict.UNKNOWN, TIMED_OUT)
+        self.assertIs(self._reason(lost), RetryReason.NOT_ANSWERED)
+        self.assertIs(self._reason(lost, lost), RetryReason.MAY_HAVE_RUN)
+        self.assertIs(self._reason(lost, repeatable=False), RetryReason.MAY_HAVE_RUN)
+        self.assertIs(self._reason(late), RetryReason.TIME_IS_UP)
+
+    def test_an_attempt_that_did_not_run(self) -> None:
+        shed = _unanswered(Verdict.NOT_RUN, "shed-503")
+        dark = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
+        self.assertIs(self._reason(shed, repeatable=False), RetryReason.NOT_ANSWERED)
+        self.assertIs(self._reason(shed, shed, shed), RetryReason.TOO_MANY_ATTEMPTS)
+        self.assertIs(self._reason(dark, dark), RetryReason.UNREACHABLE)
+        self.assertIs(self._reason(dark, dark, dark), RetryReason.TOO_MANY_UNREACHABLE)
+
+    def test_only_a_server_that_got_nothing_costs_no_retry(self) -> None:
+        dark = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
+        self.assertFalse(decide_retry(_request(dark), route(), dark).costs_retry)
+        for attempt in (_answered(500), _unanswered(Verdict.NOT_RUN, "shed-503")):
+            self.assertTrue(decide_retry(_request(attempt), route(), attempt).costs_retry)
+
+    def test_without_budget_nothing_is_sent_again(self) -> None:
+        for verdict, refusal in (
+            (Verdict.ANSWERED, None),
+            (Verdict.NOT_RUN, RefusalReason.NO_ROOM),
+            (Verdict.UNKNOWN, RefusalReason.FAILED),
+        ):
+            decision = without_budget(_unanswered(verdict, ""))
+            self.assertEqual((decision.again, decision.refusal), (False, refusal))
+            self.assertIs(decision.reason, RetryReason.BUDGET_SPENT)
+
+
+class FinalAnswers(unittest.TestCase):
+    def test_no_promise_once_a_server_may_have_run_it(self) -> None:
+        lost = _unanswered(Verdict.UNKNOWN, "reset")
+        shed = _unanswered(Verdict.NOT_RUN, "shed-503")
+        for refusal, attempts in itertools.product(
+            (RefusalReason.TIMEOUT, RefusalReason.NO_ROOM, RefusalReason.NO_SERVER),
+            ((lost,), (lost, shed), (shed, lost)),
+        ):
+            request = _request(*attempts)
+            reply = final_answer.not_served(request, route(), refusal, random.Random(1))
+            self.assertNotIn(reply.status, _PROMISES)
+            self.assertIsNone(reply.retry_after_s)
+
+    def test_a_request_that_ran_nowhere_gets_a_promise_and_a_time(self) -> None:
+        request = _request(_unanswered(Verdict.NOT_RUN, "shed-503"))
+        reply = final_answer.not_served(request, route(), RefusalReason.TIMEOUT, random.Random(1))
+        self.assertEqual((reply.status, reply.refusal), (503, RefusalReason.NO_ROOM))
+        low, high = final_answer.RETRY_AFTER_RANGE_S
+        self.assertTrue(low <= reply.retry_after_s <= high)
+
+    def test_a_servers_failure_is_passed_on(self) -> None:
+        request = _request(_answered(500), _unanswered(Verdict.UNKNOWN, "reset"))
+        reply = final_answer.not_served(request, route(), RefusalReason.FAILED, random.Random(1))
+        self.assertEqual((reply.status, reply.refusal), (500, None))
+
+    def test_a_stop_promises_only_what_no_server_has_seen(self) -> None:
+        request = _request()
+        self.assertEqual(final_answer.stopped(request, random.Random(1)).status, 503)
+        request.at_server = True
+        self.assertEqual(final_answer.stopped(request, random.Random(1)).status, 502)
+
+
+class BodiesInMemory(unittest.TestCase):
+    def test_a_body_may_fill_what_the_limit_and_the_memory_leave(self) -> None:
+        memory = BodyMemory(400)
+        self.assertEqual((memory.room_bytes(30), memory.room_bytes(300)), (30, 100))
+        memory.take(80)
+        self.assertEqual((memory.room_bytes(30), memory.held_bytes), (20, 80))
+        memory.take(80)
+        self.assertEqual(memory.room_bytes(30), 0)
+        memory.release(160)
+        self.assertEqual(memory.room_bytes(30), 30)
+
+    def test_what_does_not_end_is_refused_with_its_reason(self) -> None:
+        self.assertIs(admit_body(10, 10, complete=True), BodyAdmission.ADMITTED)
+        self.assertIs(admit_body(11, 10, complete=False), BodyAdmission.TOO_LARGE)
+        self.assertIs(admit_body(5, 10, complete=False), BodyAdmission.NO_MEMORY)
+
+
+class ReadRequests(unittest.TestCase):
+    def test_the_first_of_two_headers_counts_and_own_ones_stay_here(self) -> None:
+        headers = (
+            (NAMES.deadline_ms, "soon"),
+            (NAMES.deadline_ms, "2500"),
+            (NAMES.request_id, "q1"),
+            ("host", "quotes.example"),
+            ("content-length", "0"),
+        )
+        scope = {
+            "method": "GET",
+            "raw_path": b"/rates/a?q=1",
+            "headers": [(name.encode(), value.encode()) for name, value in headers],
+        }
+        read = RequestReader(NAMES).read(scope, b"", 10.0)
+        self.assertIs(read.wait_source, WaitSource.UNREADABLE)
+        self.assertEqual(read.request.deadline, 10.0 + DEFAULT_WAIT_S)
+        self.assertEqual((read.request.id, read.request.path), ("q1", "/rates/a"))
+        self.assertNotIn(NAMES.deadline_ms, dict(read.request.headers))
+        self.assertNotIn("content-length", dict(read.request.headers))
+
+
+class Selections(unittest.TestCase):
+    """Why a server is selected, or why none is."""
+
+    def _choose(
+        self, *loads: int, tried: int = 0, zones: tuple[str, ...] = ("east-a",)
+    ) -> tuple[int, Union[SelectionReason, BlockedReason]]:
+        """Return the place of the selected server in the ranking, or -1, and the reason.
+
+        Args:
+            *loads: Requests that each server holds, in the order of the ranking.
+            tried: How many servers could not be reached before.
+            zones: Data halls of the servers, in turn.
+        """
+
+        async def main(loop: VirtualLoop) -> tuple[int, Union[SelectionReason, BlockedReason]]:
+            path = Path(loop, servers=len(loads), zones=zones)
+            ranking = path.ranker.place("rates", "lane-1", (), loop.time())
+            for server, load in zip(ranking.servers, loads, strict=True):
+                server.estimate.record(load, server.in_flight, loop.time())
+            ids = [server.backend.id for server in ranking.servers]
+            dark = [Attempt(i, Verdict.NOT_RUN, False, "unreachable") for i in ids[:tried]]
+            request = _request(*dark)
+            chosen = path.pipeline.selector.choose(
+                request, ranking, "rates", loop.time(), route(timeout_s=None)
+            )
+            if isinstance(chosen, RefusalReason):
+                return -1, request.blocked.reason
+            return ids.index(chosen.server.backend.id), chosen.reason
+
+        return run_virtual(main)
+
+    def test_the_first_server_that_can_be_used(self) -> None:
+        self.assertEqual(self._choose(0, 0), (0, SelectionReason.FIRST_CHOICE))
+        self.assertEqual(self._choose(0, 0, tried=1), (1, SelectionReason.FIRST_USABLE))
+        self.assertEqual(self._choose(0, tried=1), (-1, BlockedReason.NO_SERVER))
+
+    def test_the_next_server_helps(self) -> None:
+        self.assertEqual(self._choose(6, 2), (1, SelectionReason.SHARES_BUSY))
+        self.assertEqual(self._choose(12, 2), (1, SelectionReason.HELPS_FULL))
+        self.assertEqual(self._choose(12, 3), (-1, BlockedReason.LOAD_LIMIT))
+
+    def test_a_server_of_another_region_helps_only_a_full_one(self) -> None:
+        halls = ("east-a", "west-a")
+        self.assertEqual(self._choose(6, 0, zones=halls), (0, SelectionReason.FIRST_CHOICE))
+        self.assertEqual(self._choose(12, 2, zones=halls), (1, SelectionReason.HELPS_FULL))
+        self.assertEqual(self._choose(12, 3, zones=halls), (-1, BlockedReason.LOAD_LIMIT))
+
+    def test_the_concurrency_limit_and_more_urgent_requests_leave_no_room(self) -> None:
+        async def main(loop: VirtualLoop) -> None:
+            path = Path(loop, servers=1)
+            server, registry = path.world.registry.servers["s0"], path.world.registry
+            urgent = loop.create_task(server.wait_for_room(0.1, 0))
+            await pass_time(0.01)
+            reason = no_room_reason(server, route(priority=1), registry, loop.time())
+            self.assertIs(reason, BlockedReason.MORE_URGENT_WAITS)
+            self.assertIsNone(no_room_reason(server, route(), registry, loop.time()))
+            server.in_flight = 6
+            reason = no_room_reason(server, route(), registry, loop.time())
+            self.assertIs(reason, BlockedReason.CONCURRENCY_LIMIT)
+            await urgent
+
+        run_virtual(main)
+
+    def test_only_a_request_without_attempts_waits_for_room(self) -> None:
+        self.assertAlmostEqual(room_wait_s(_request(), route(latency_target_s=0.5), 10.0), 0.1)
+        lost = _unanswered(Verdict.UNKNOWN, "reset")
+        self.assertEqual(room_wait_s(_request(lost), route(), 10.0), 0.0)
+
+
+class CallersSide(unittest.TestCase):
+    def test_an_unreadable_deadline_is_counted_and_a_missing_one_is_not(self) -> None:
+        async def main(loop: VirtualLoop) -> tuple[str, str]:
+            vm = await VirtualGateway(loop).started()
+            await vm.ask("/x")
+            before = vm.metrics()
+            await vm.ask("/x", headers=((NAMES.deadline_ms, "soon"),))
+            return before, vm.metrics()
+
+        before, after = run_virtual(main)
+        self.assertNotIn("requests_with_unreadable_deadline", before)
+        self.assertIn("requests_with_unreadable_deadline 1\n", after)
+
+    def test_a_body_without_memory_is_refused_with_a_time_to_come_back(self) -> None:
+        async def main(loop: VirtualLoop) -> None:
+            vm = await VirtualGateway(loop).started()
+            app = vm.gateway.requests.app
+            app.bodies.take(app.bodies.max_bytes)
+            answer = await vm.ask("/book/1", method="POST", body=b"x")
+            self.assertEqual((answer.status, answer.body), (503, b'{"reason":"no-room"}'))
+            self.assertIn("retry-after: 1\n", answer.headers)
+            self.assertEqual(app.buffered, app.bodies.max_bytes)
+
+        run_virtual(main)
+
+
+class BlockedFields(unittest.TestCase):
+    @given(st.floats(0, 1e9), st.floats(0, 1e9), st.floats(0, allow_infinity=True))
+    def test_the_fields_of_a_line_keep_their_names_and_have_numbers(self, limit, load, age) -> None:
+        blocked = Blocked("s0", BlockedReason.LOAD_LIMIT, 3, limit, load, age)
+        fields = blocked.log_fields()
+        self.assertEqual(list(fields), ["server_id", "in_flight", "window", "load", "told_s"])
+        self.assertLessEqual(fields["told_s"], 1e6)
+        self.assertEqual(list(Blocked("").log_fields().values()), ["", 0, 0.0, 0.0, 0.0])
