--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -262,11 +262,11 @@
             server, registry = path.world.registry.servers["s0"], path.world.registry
             urgent = loop.create_task(server.wait_for_room(0.1, 0))
             await pass_time(0.01)
-            reason = no_room_reason(server, route(priority=1), registry, loop.time())
+            reason = no_room_reason(server, route(priority=1), registry.times, loop.time())
             self.assertIs(reason, BlockedReason.MORE_URGENT_WAITS)
-            self.assertIsNone(no_room_reason(server, route(), registry, loop.time()))
+            self.assertIsNone(no_room_reason(server, route(), registry.times, loop.time()))
             server.in_flight = 6
-            reason = no_room_reason(server, route(), registry, loop.time())
+            reason = no_room_reason(server, route(), registry.times, loop.time())
             self.assertIs(reason, BlockedReason.CONCURRENCY_LIMIT)
             await urgent
 
