--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -6,6 +6,7 @@
 A wrong version that stays green is a proof that proves nothing.
 """
 
+import os
 import shutil
 import subprocess
 import sys
@@ -348,10 +349,16 @@
 
 
 def _passes(tests: Iterable[str], folder: Path) -> bool:
-    command = [sys.executable, "-m", "unittest", "-q", *tests]
+    command = [sys.executable, "-P", "-m", "unittest", "-q", *tests]
+    environment = {**os.environ, "PYTHONPATH": str(folder)}
     try:
         done = subprocess.run(
-            command, cwd=folder, capture_output=True, timeout=_LONGEST_S, check=False
+            command,
+            cwd=folder,
+            env=environment,
+            capture_output=True,
+            timeout=_LONGEST_S,
+            check=False,
         )
     except subprocess.TimeoutExpired:
         return False
