--- a/sprucewinch/hall/requests/admissions.py
+++ b/sprucewinch/hall/requests/admissions.py
@@ -47,8 +47,19 @@
         """Return the admission of a service; None when this hall does not run it."""
         return self.admissions.get(service)
 
+    def mark_leaving(self, servers: Sequence[str], until: float) -> None:
+        """Mark backend servers that the platform lists as leaving; other VMs are told of them.
+
+        Args:
+            servers: Their addresses; those that this hall does not have are passed over.
+            until: Monotonic time at which the marks end, in seconds.
+        """
+        for admission in self.admissions.values():
+            for server in servers:
+                admission.leaving(server, until)
+
     def mark_heard_leaving(self, servers: Sequence[str], until: float) -> None:
-        """Mark backend servers that another VM or the platform's list reports as leaving.
+        """Mark backend servers that another VM reports as leaving.
 
         Args:
             servers: Their addresses; those that this hall does not have are passed over.
--- a/sprucewinch/hall/store/store_reader.py
+++ b/sprucewinch/hall/store/store_reader.py
@@ -118,7 +118,7 @@
         self.listed = tuple(r.address for r in listing if r.kind == "entry" and r.address != own)
         leaving = [r.address for r in listing if r.kind == "backend" and r.leaving]
         until = self.clock.monotonic() + _LISTING_HOLD * POLL_S
-        self.node.hall.mark_heard_leaving(leaving, until)
+        self.node.hall.mark_leaving(leaving, until)
 
     def _watches(self) -> bool:
         """Return whether this VM watches for its hall: it is the first live one by name."""
--- a/tests/test_leaving_marks.py
+++ b/tests/test_leaving_marks.py
@@ -63,6 +63,15 @@
 
 
 class LeavingMarks(unittest.TestCase):
+    def test_what_the_platform_lists_at_one_vm_reaches_all(self) -> None:
+        hall = Hall()
+        hall.pass_time(20.0)
+        hall.nodes[0].hall.mark_leaving([hall.server], hall.now + LEAVING_S)
+        hall.pass_time(2.0)
+        self.assertEqual(hall.gives_slots(), [False, False, False])
+        hall.pass_time(3 * LEAVING_S)
+        self.assertEqual(hall.gives_slots(), [True, True, True])
+
     def test_a_single_report_ends_at_all_vms(self) -> None:
         hall = Hall()
         hall.pass_time(20.0)
