--- a/sprucewinch/cli.py
+++ b/sprucewinch/cli.py
@@ -238,7 +238,7 @@
             logs: Files with the lines of the VMs that may have received it.
         """
         found = read_story(logs, request_id)
-        values = {"request": found.request_id, "meaning": found.meaning}
+        values = {"request": found.request_id, "meaning": found.meaning, "rule": found.rule}
         self._printer.record_with_lines(values, found.lines)
 
     @SetParseFn(str)
--- /dev/null
+++ b/sprucewinch/operators/deciding_rule.py
@@ -0,0 +1,52 @@
+"""Names the rule of the routed path that decided a request's end, from its log line alone.
+
+Question: which module of `sprucewinch/gateway` does somebody on call read to see why a request
+ended as it did? Input: the fields of an event `request`. Rule: the outcome names the module; where
+one outcome has several rules, whether the request was sent and whether a server is named decides.
+
+Owns the table. Relies on the names of outcomes and fields, which `tests.test_formats_lines` holds,
+and on module paths, which `tests.test_story` checks. Imports nothing of the gateway: logs may come
+from VMs of another version.
+"""
+
+from typing import Any
+
+_BY_OUTCOME = {
+    "answered": "requests/verdict.py",
+    "no-configuration": "requests/pipeline.py",
+    "no-route": "requests/routes.py",
+    "too-large": "requests/callers/body_admission.py",
+    "malformed": "requests/callers/request_reader.py",
+    "stopping": "requests/outcome/final_answer.py",
+    "timeout": "requests/outcome/hold_time.py",
+    "failed": "requests/outcome/retry_decision.py",
+    "left": "requests/app.py",
+}
+"""The deciding module of each outcome that has one."""
+
+RETRY_DECISION = "requests/outcome/retry_decision.py"
+ROOM = "requests/room.py"
+BODY_ADMISSION = "requests/callers/body_admission.py"
+USABILITY = "servers/usability.py"
+
+RULES = frozenset((*_BY_OUTCOME.values(), RETRY_DECISION, ROOM, BODY_ADMISSION, USABILITY))
+"""All modules that are named."""
+
+
+def deciding_rule(fields: dict[str, Any]) -> str:
+    """Return the module that decided a request's end, below `sprucewinch/gateway`.
+
+    Args:
+        fields: Fields of its event `request`.
+
+    Returns:
+        The module's path; empty for an outcome that is not known here.
+    """
+    outcome = str(fields.get("outcome", ""))
+    if outcome not in ("no-room", "no-server"):
+        return _BY_OUTCOME.get(outcome, "")
+    if fields.get("sends"):
+        return RETRY_DECISION
+    if outcome == "no-server":
+        return USABILITY
+    return ROOM if fields.get("blocked") else BODY_ADMISSION
--- a/sprucewinch/operators/story.py
+++ b/sprucewinch/operators/story.py
@@ -13,6 +13,7 @@
 import msgspec
 
 from ..errors import LogError
+from .deciding_rule import deciding_rule
 
 NEAR_S = 5.0
 """How long before a request's last line related lines are looked for, in seconds. A guess, never
@@ -62,11 +63,13 @@
     Args:
         request_id: Id of the request.
         meaning: What its outcome means.
+        rule: Module below `sprucewinch/gateway` that decided; empty when the outcome is not known.
         lines: One text for each thing that happened, in order of time.
     """
 
     request_id: str
     meaning: str
+    rule: str
     lines: tuple[str, ...]
 
 
@@ -105,7 +108,12 @@
     servers = _servers(request)
     texts = [_text(line, request.time) for line in held if _belongs(line, request, servers)]
     outcome = str(request.fields.get("outcome", ""))
-    return Story(str(request.fields["id"]), _MEANINGS.get(outcome, outcome), tuple(texts))
+    return Story(
+        str(request.fields["id"]),
+        _MEANINGS.get(outcome, outcome),
+        deciding_rule(request.fields),
+        tuple(texts),
+    )
 
 
 def read_story(paths: Iterable[str], request_id: str) -> Story:
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -12,8 +12,12 @@
 
 from sprucewinch.cli import Sprucewinch
 from sprucewinch.errors import LogError
+from sprucewinch.gateway.requests.client_request import RefusalReason
+from sprucewinch.operators.deciding_rule import RETRY_DECISION, RULES, deciding_rule
 from sprucewinch.operators.story import parse, read_story, reconstruct
 
+GATEWAY = Path(__file__).resolve().parent.parent / "sprucewinch" / "gateway"
+
 
 def _line(time: float, event: str, machine: str = "vm1", **fields: object) -> str:
     return f"{time:9.3f} {machine} " + json.dumps({"time": time, "event": event, **fields})
@@ -78,6 +82,30 @@
         self.assertIn("not run", story.meaning)
         self.assertIn("s2 had 2 of this machine's requests (2.2 allowed)", story.lines[-1])
 
+    def test_the_rule_that_decided_is_named(self) -> None:
+        room = {"server_id": "s2"}
+        cases = (
+            ("no-room", [], room, "requests/room.py"),
+            ("no-room", [], None, "requests/callers/body_admission.py"),
+            ("no-room", [["s1", "not-run", "shed-503", 1]], None, RETRY_DECISION),
+            ("no-server", [], {"server_id": ""}, "servers/usability.py"),
+            ("no-server", [["s1", "not-run", "unreachable", 1]], None, RETRY_DECISION),
+            ("timeout", [["s1", "unknown", "timeout", 9]], None, "requests/outcome/hold_time.py"),
+            ("of-another-version", [], None, ""),
+        )
+        for outcome, sends, blocked, rule in cases:
+            fields = {"outcome": outcome, "sends": sends, "blocked": blocked}
+            with self.subTest(outcome=outcome, sends=sends):
+                self.assertEqual(deciding_rule(fields), rule)
+        self.assertEqual(reconstruct(parse(LOG), "abc1").rule, RETRY_DECISION)
+
+    def test_every_outcome_has_a_rule_and_every_rule_is_a_module(self) -> None:
+        outcomes = [reason.value for reason in RefusalReason]
+        for outcome in (*outcomes, "answered", "left"):
+            self.assertTrue(deciding_rule({"outcome": outcome}), outcome)
+        for rule in RULES:
+            self.assertTrue((GATEWAY / rule).is_file(), rule)
+
     def test_lines_of_other_machines_and_servers_do_not_belong_to_it(self) -> None:
         text = "\n".join(reconstruct(parse(LOG), "abc1").lines)
         self.assertNotIn("s7", text)
