--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -66,9 +66,10 @@
         store_view.listeners.append(self._on_change)
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Use other figures of the fleet from now on; retry budgets start anew with them."""
+        """Use other figures of the fleet from now on; retries and requests stay counted."""
         self.bounds = bounds
-        self.budgets.clear()
+        for budget in self.budgets.values():
+            budget.set_bounds(bounds)
 
     async def run(self, request: ClientRequest) -> Reply:
         """Run a request and return its final answer."""
--- a/sprucewinch/gateway/requests/retry_budget.py
+++ b/sprucewinch/gateway/requests/retry_budget.py
@@ -44,6 +44,16 @@
         self.requests = SlidingCount(bounds.retry_window_s * REQUEST_WINDOW_PART)
         self.retries = SlidingCount(bounds.retry_window_s * RETRY_WINDOW_PART)
 
+    def set_bounds(self, bounds: Bounds) -> None:
+        """Use other figures from now on; what is counted stays, so no reload gives a second budget.
+
+        Args:
+            bounds: The fleet's figures.
+        """
+        self.bounds = bounds
+        self.requests.resize(bounds.retry_window_s * REQUEST_WINDOW_PART)
+        self.retries.resize(bounds.retry_window_s * RETRY_WINDOW_PART)
+
     def arrived(self, now: float) -> None:
         """Count a caller's request."""
         self.requests.add(now)
--- a/sprucewinch/gateway/requests/sliding_count.py
+++ b/sprucewinch/gateway/requests/sliding_count.py
@@ -27,6 +27,14 @@
         self.total = 0
         self._buckets: deque[list[float]] = deque()
 
+    def resize(self, window_s: float) -> None:
+        """Count over a window of another length from now on; dropped events do not come back.
+
+        Args:
+            window_s: Length of the window, in seconds.
+        """
+        self.window_s = window_s
+
     def add(self, now: float) -> None:
         """Count one event."""
         start = now - now % self.bucket_s
