--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -129,7 +129,12 @@
         self.events.state("unreadable", key=key, cause=cause)
 
     def _apply_settings(self, settings: GatewaySettings) -> None:
-        """Put settings in force; listeners stay where they are until the next start."""
+        """Put a part of changed settings in force; the others count from the next start on.
+
+        In force at once: limits on cold servers and retries, grace time, time of look-up answers,
+        address of the store. From the next start on: shift cap, policy, memory, descriptors,
+        heartbeat of the servers, width of the link, data halls, addresses to listen on.
+        """
         self.settings = settings
         self.context = self.context._replace(settings=settings)
         self.servers.registry.set_bounds(settings.bounds)
--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -12,7 +12,7 @@
 `NOTICE_SILENCE_S`, when it stays behind an announced revision for more than `_CATCH_UP_S`, and for
 `_DISTRUST_S` after a peer failed to give a delta.
 
-Why: calls to the store are limited and priced. One follower in each region cut the calls of a day
+Why: calls to the store are limited and priced. One follower in each region cut the calls on one day
 from 1,302 to 308 at 12 VMs (1fb4c16). Fewer and longer watches brought changes late; a lease for
 the follower costs a call more and does not help when its holder is paused (1fb4c16). The fallback
 makes freshness independent of the election: two VMs that elect differently cost calls alone.
--- a/sprucewinch/gateway/lifecycle/reload.py
+++ b/sprucewinch/gateway/lifecycle/reload.py
@@ -4,9 +4,12 @@
 upkeep. Owns nothing but the outcome's line. Relies on the function that reads the settings and on
 the one that puts them in force.
 
-Rule: settings that have changed and can be used are put in force at once; settings that cannot be
-used leave the last good ones, with the cause in a line, as a process that steers by old settings
-is better than one that ends. Unchanged settings are named in a line only when a signal has asked.
+Rule: settings that have changed and can be used are taken; `daemon.Gateway` puts a part of them in
+force at once (limits on cold servers and retries, grace time, time of look-up answers, address of
+the store) and leaves the others until the next start, though the line says `taken` of all. Settings
+that cannot be used leave the last good ones, with the cause in a line, as a process that steers by
+old settings is better than one that ends. Unchanged settings are named in a line only when a signal
+has asked.
 
 Constants: none. The result shows in the event `reload` (`taken`, `refused`, `unchanged`). Tests:
 `test_formats_lines`, `test_process_gateway`.
--- a/sprucewinch/gateway/membership/registrar.py
+++ b/sprucewinch/gateway/membership/registrar.py
@@ -1,8 +1,9 @@
 """Writes this VM's registration to the store and removes those of VMs that are gone.
 
 Owns the loop, its pauses and the calls. Relies on `registration` for which write is due. A failed
-call is repeated after a random pause that doubles with each failure up to a bound: until the write
-succeeds other VMs do not know this one, and the store follower reports the outage.
+call is repeated after a random pause that doubles with each failure up to a bound. Until a
+registration succeeds other VMs do not know this one. The store follower reports the outage only
+where this VM follows the store; where it follows peers, a failed write shows nowhere here.
 """
 
 import asyncio
@@ -61,7 +62,8 @@
                 failures = 0
                 await asyncio.sleep(_REGISTER_S)
             except StoreUnavailableError:
-                # Silent: the store follower calls the same store and writes the event `store`.
+                # Silent: the write is repeated. A VM that follows the store itself writes the event
+                # `store` as well; one that follows peers has no line of it.
                 failures += 1
                 await asyncio.sleep(self._backoff_s(failures))
 
--- a/sprucewinch/gateway/requests/outcome/hold_time.py
+++ b/sprucewinch/gateway/requests/outcome/hold_time.py
@@ -20,6 +20,8 @@
   refused at once with `no-server`; it does not wait until the allowance allows one more.
 - All servers rest, are silent or ejected, and at least one is not cold: the first that is not cold
   is tried all the same; it is not refused.
+- All servers are cold, and those with an allowance left rest, are silent or ejected: refused at
+  once with `no-server`.
 - The deadline is shorter than any usual work: not recognised. It is sent if a server has room, and
   is held until the time of this module, then gets `timeout`. Only a deadline that is over on
   arrival, margin included, is refused at once, as `no-room`.
--- a/sprucewinch/gateway/requests/server_selection.py
+++ b/sprucewinch/gateway/requests/server_selection.py
@@ -2,10 +2,11 @@
 
 Question: which server of the ranking gets this request now? Inputs: the request with its attempts,
 its ranking, its route, time in monotonic seconds. Rule: the first untried server that can be used;
-one that rests, is silent, ejected or cold past its allowance gives its objects to the next. A
-server without room, or of the same region without a free slot, shares its objects with the next in
-their order, always the same one, as long as that one has slots to spare. Otherwise the request is
-refused, or waits (`room`).
+one that rests, is silent, ejected or cold past its allowance gives its objects to the next. When
+all are passed over, the first untried one that is not cold is tried all the same; when all are
+cold, none. A server without room, or of the same region without a free slot, shares its objects
+with the next in their order, always the same one, as long as that one has slots to spare. Otherwise
+the request is refused, or waits (`room`).
 
 Why so: work at a server that has not seen its object takes three times as long and pushes out what
 that server keeps warm, which sends still more requests astray (2e5e43d, trials: to second 20
--- a/sprucewinch/gateway/servers/backend_registry.py
+++ b/sprucewinch/gateway/servers/backend_registry.py
@@ -135,7 +135,7 @@
         _mark(server, self.cold_starts.on_entry(backend, now, new=new), self.to_probe)
 
     def _return_hall(self, hall: str, now: float) -> None:
-        """Count a data hall's servers as cold: it is taken back after an evacuation."""
+        """Count a data hall's servers as cold: its evacuation has ended."""
         for server in self.servers.values():
             if server.backend.hall == hall:
                 _mark(server, self.cold_starts.on_return(server.backend, now), self.to_probe)
--- a/sprucewinch/gateway/servers/cold_limit.py
+++ b/sprucewinch/gateway/servers/cold_limit.py
@@ -6,11 +6,12 @@
 cold servers were answered in time.
 
 Rules. Cold is a server whose entry says so, one that appears after this VM's start, and all of a
-data hall that is taken back after an evacuation, each for its time and `COLD_MARGIN_S`. The fleet's
-bound, less a margin, is divided by the number of VMs; what is left over goes to the VMs that come
-first in an order by hash, those of the server's region before others. Divided, as VMs that ask each
-other before each send would be late, and a bound that nobody divides is overrun. Where under half
-of the requests to cold servers are answered in time, the fleet sends only `_COLD_TRIALS`.
+data hall whose evacuation has ended, each for its time and `COLD_MARGIN_S`. The fleet's bound, less
+a margin, is divided by the number of VMs; what is left over goes to the VMs of the server's region
+first, then to others, each in an order by hash. Where the configuration states no bound, or 0, each
+VM may send a cold server as many as it has slots. Divided, as VMs that ask each other before each
+send would be late, and a bound that nobody divides is overrun. Where under half of the requests to
+cold servers are answered in time, the fleet sends only `_COLD_TRIALS`.
 
 Shows in: a refusal with the outcome `no-server` of the event `request`; `cold` of a VM's state.
 Tests: `test_gateway_servers`, `test_gateway_outliers.ColdServers`. Owns the sends to cold servers
@@ -115,7 +116,7 @@
         return max(1, len(self.store_view.members))
 
     def allowance(self, backend: BackendEntry) -> int:
-        """Return how many requests this VM may send a cold server in a second."""
+        """Return how many requests this VM may send a cold server in `_COLD_WINDOW_S`."""
         rule = service_rule(self.store_view, backend.service)
         if rule is None or rule.cold_per_s <= 0:
             return backend.capacity
@@ -198,7 +199,7 @@
         return ColdStart(now + left_s + COLD_MARGIN_S if left_s > 0 else float("-inf"), probe)
 
     def on_return(self, backend: BackendEntry, now: float) -> ColdStart:
-        """Return what follows when a server's data hall is taken back after an evacuation.
+        """Return what follows when the evacuation of a server's data hall has ended.
 
         Args:
             backend: The server's entry.
--- a/sprucewinch/gateway/servers/load.py
+++ b/sprucewinch/gateway/servers/load.py
@@ -9,7 +9,8 @@
 every `_LOAD_HALF_LIFE_S`. Limit: additive increase, multiplicative decrease (AIMD) between 1 and
 the server's slots; it shrinks when the server is overloaded, at most once in `_SHRINK_PAUSE_S`, and
 grows with each load figure that shows no overload. AIMD, as the VMs of a fleet share a server
-without asking each other: each backs off by a part and all return to even parts.
+without asking each other: each shrinks its limit by the same factor and grows it by the same
+amount, which brings their limits closer to each other.
 
 Shows in: `load` and `window` under `blocked` of the event `request`. Tests:
 `test_gateway_admit.Overload`. Owns two figures for each server; relies on nothing.
--- a/sprucewinch/gateway/servers/probe.py
+++ b/sprucewinch/gateway/servers/probe.py
@@ -3,11 +3,11 @@
 Question: how much longer is this server cold? Inputs: the answer to one GET on the service's health
 path: its status, the server's id and the time left in milliseconds.
 
-Rule: servers of a data hall that is taken back, and servers that appear while the store is away,
-count as cold and are asked once. An answer of that very server with a time left ends or sets the
-time; with any other answer, or none, the server stays cold for its service's warm-up. Once and not
-in a loop, as each probe costs the server a new connection (2e5e43d; docs/FINDINGS.md: without
-probes a hall taken back warm got few requests for 3.5 s).
+Rule: servers of a data hall whose evacuation has ended, and servers that appear while the store is
+away, count as cold and are asked once. An answer of that very server with a time left ends or sets
+the time; with any other answer, or none, the server stays cold for its service's warm-up. Once and
+not in a loop, as each probe costs the server a new connection (2e5e43d; docs/FINDINGS.md: without
+probes a hall back from an evacuation warm got few requests for 3.5 s).
 
 Shows in: the event `probe` (status 0 for no answer), the metric `probes`. Tests:
 `test_gateway_probe`. Relies on the registry for the servers to ask and on `net.connection`.
--- a/sprucewinch/gateway/servers/usability.py
+++ b/sprucewinch/gateway/servers/usability.py
@@ -8,7 +8,8 @@
 evacuated, is not offered at all. For each request: a server that rests, is silent, is ejected, or
 is cold and has had its allowance, is passed over. The first reason that holds is the answer. Two
 steps, as the first changes with the store only and the second with each request; room is a question
-of its own, as a request may wait for room but not for a server to come back.
+of its own, as a request may wait for room but not for a server to come back. When every server of
+a request is passed over, `server_selection` tries the first that is not cold all the same.
 
 Constants: none here; those of `rest`, `outliers` and `cold_limit`. Shows in: the outcome
 `no-server` of the event `request`, `paused` and `cold` of a VM's state. Tests:
@@ -62,7 +63,8 @@
         server: The server.
         now: Monotonic time, in seconds.
         ejected: Returns whether a server is ejected at some time.
-        cold_allowance: Returns how many requests a cold server may get from this VM in a second.
+        cold_allowance: Returns how many requests a cold server may get from this VM in the
+            window of `cold_limit`.
     """
     if server.rest.until > now:
         return UnusableReason.RESTING
