--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -103,6 +103,8 @@
         outcomes = [reason.value for reason in RefusalReason]
         for outcome in (*outcomes, "answered", "left"):
             self.assertTrue(deciding_rule({"outcome": outcome}), outcome)
+            line = json.dumps({"time": 1.0, "event": "request", "id": "q", "outcome": outcome})
+            self.assertNotEqual(reconstruct(parse([line]), "q").meaning, outcome)
         for rule in RULES:
             self.assertTrue((GATEWAY / rule).is_file(), rule)
 
