--- a/sprucewinch/gateway/requests/app.py
+++ b/sprucewinch/gateway/requests/app.py
@@ -53,7 +53,7 @@
         events: Gets the end of every request.
         monotonic: Source of time, in seconds.
         memory_bytes: Memory of the process, in bytes.
-        counters: Counts what cannot be read of requests; None for none.
+        counters: Counts requests with an unreadable deadline; None to count none.
     """
 
     def __init__(
@@ -86,9 +86,9 @@
 
     @property
     def limits(self) -> CallerLimits:
-        """Limits in force."""
-        held = self.store_view.configuration
-        return held.limits if held else CallerLimits()
+        """Limits on callers in force: the configuration's, else the defaults."""
+        configuration = self.store_view.configuration
+        return configuration.limits if configuration else CallerLimits()
 
     def stop(self) -> None:
         """End each connection with its next answer from now on."""
@@ -140,7 +140,7 @@
             return self.pipeline.stop_reply(exchange.request or self._read_request(exchange))
 
     async def _read_body(self, body: AsgiBody) -> None:
-        """Read a body as far as it may be held, and one byte more to see whether it ends there."""
+        """Read a body up to the most that is accepted, and one byte more to see whether it ends."""
         await body.keep_start(self.bodies.room_bytes(self.limits.body_bytes) + 1)
         self.bodies.take(len(body.first))
 
--- a/sprucewinch/gateway/requests/callers/body_admission.py
+++ b/sprucewinch/gateway/requests/callers/body_admission.py
@@ -3,8 +3,8 @@
 Question: how much of a body may be read, and is it accepted? Inputs, all in bytes: the
 configuration's limit on a body, the bytes of bodies that are held, the size of what was read. Rule:
 a body is read up to the configured limit or the memory that is left, whichever is less, and one
-byte more to see whether it ends there. What does not end there is refused: as too large past the
-configured limit, else for want of memory.
+byte more to see whether it ends there. A longer body is refused: as too large if it passes the
+configured limit, else because memory is short.
 
 Why so: a body has to be whole before a request is sent, as it may be sent twice, and the process
 has to stay below its memory whatever callers send. Memory is counted once a body is read, not
@@ -22,7 +22,7 @@
 
 
 class BodyAdmission(enum.Enum):
-    """What becomes of a request with its body."""
+    """Whether a body is accepted, and why not."""
 
     ADMITTED = "admitted"
     """The whole body is held."""
@@ -49,7 +49,7 @@
         """Return how large a body may be now, in bytes.
 
         Args:
-            limit_bytes: The configuration's limit on a body.
+            limit_bytes: The configuration's limit on a body, in bytes.
         """
         return max(0, min(limit_bytes, self.max_bytes - self.held_bytes))
 
@@ -58,17 +58,17 @@
         self.held_bytes += size_bytes
 
     def release(self, size_bytes: int) -> None:
-        """Count a body off that is no longer held."""
+        """Subtract a body that is no longer held."""
         self.held_bytes -= size_bytes
 
 
 def admit_body(size_bytes: int, limit_bytes: int, *, complete: bool) -> BodyAdmission:
-    """Return what becomes of a request with its body.
+    """Return whether a body is accepted, and why not.
 
     Args:
-        size_bytes: What was read of it.
-        limit_bytes: The configuration's limit on a body.
-        complete: True when that is the whole body.
+        size_bytes: Bytes that were read of the body.
+        limit_bytes: The configuration's limit on a body, in bytes.
+        complete: True when they are the whole body.
     """
     if complete:
         return BodyAdmission.ADMITTED
--- a/sprucewinch/gateway/requests/client_request.py
+++ b/sprucewinch/gateway/requests/client_request.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way, and what became of it.
+"""The data of a caller's request: its attempts, its selection and its reply.
 
 Owns the types that the steps of a request share: the request, its attempts with their verdicts, why
 it is blocked or refused, its selection and its reply. Relies on the resources and on what is known
@@ -17,7 +17,7 @@
 """Cause of an attempt that ended at the time until which its request is held."""
 
 MISDIRECTED = "misdirected"
-"""Cause of an attempt whose address belongs to another server by now."""
+"""Cause of an attempt whose address now belongs to another server."""
 
 SHED = "shed"
 """Start of the cause of an attempt that its server refused to run; its status follows."""
@@ -49,10 +49,10 @@
         body: The whole body.
         arrived_at: Monotonic time of arrival, in seconds.
         deadline: Monotonic time until which the caller waits, in seconds.
-        key: Names the object that it is about; empty when it names none.
+        key: Names the object that it concerns; empty when it names none.
         attempts: Its attempts so far.
-        blocked: Why it was not sent the last time that no server could be selected, if ever.
-        at_server: True while a backend server may be at work on it.
+        blocked: Why no server could be selected, the last time that this happened; None if never.
+        at_server: True while a backend server may work on it.
     """
 
     id: str
@@ -92,11 +92,11 @@
 
 
 class Blocked(NamedTuple):
-    """Why the server that a request belongs to did not get it.
+    """Why a request was not sent to its first usable server.
 
     Args:
         server_id: The server; empty when none can be used.
-        reason: What decided it; not part of the line.
+        reason: The rule that decided it; not part of the log line.
         in_flight: This VM's requests there.
         concurrency_limit: Most requests that this VM may have there.
         load: Requests that the server probably holds, of all VMs.
@@ -139,8 +139,8 @@
     Args:
         server_id: Backend server.
         verdict: What is certain about it.
-        arrived: True when a byte of it may have reached the server.
-        why: Cause, for the log.
+        arrived: True when a byte of the request may have reached the server.
+        why: Cause of the verdict, for the log.
         answer: The whole answer, when there is one.
         seconds: How long it took.
     """
@@ -172,10 +172,10 @@
 
     Args:
         answer: A backend server's answer, passed on.
-        refusal: Why there is none.
+        refusal: Why no server's answer is passed on; None when one is.
         status: HTTP status.
-        retry_after_s: When the caller may come back, in seconds; None when it is not told.
-        route: Route it took, if any.
+        retry_after_s: Value of Retry-After, in seconds; None to send no such header.
+        route: Route of the request, if any.
     """
 
     answer: Optional[Answer]
--- a/sprucewinch/gateway/requests/outcome/final_answer.py
+++ b/sprucewinch/gateway/requests/outcome/final_answer.py
@@ -2,7 +2,7 @@
 
 Question: which status, reason and Retry-After end a request? Inputs: the request with its attempts,
 its route if any, why no server served it, a random source; times in seconds. Rule: a server's own
-answer is passed on, its own failure too once asking another server came to nothing. Otherwise 503
+answer is passed on, its own failure too once other servers failed as well. Otherwise 503
 with Retry-After promises that the request has not run and never will; as soon as a server may have
 run it, it gets 504 or 502, which promise nothing. A reason stands for one status.
 
@@ -33,17 +33,15 @@
 from ..client_request import Attempt, ClientRequest, RefusalReason, Reply, Verdict
 
 RETRY_AFTER_RANGE_S = (0.25, 0.75)
-"""When a caller that met no room is told to come back, in seconds: spread, so that callers refused
+"""Range of Retry-After when no server has room, in seconds: spread, so that callers refused
 together do not return together, and late enough that there may be room. Set in 2e5e43d among other
 changes (kovacs trouble-3 0.611 to 0.706 with all of them); never measured by itself."""
 
 STARTING_RETRY_AFTER_S = 0.3
-"""When a caller that met a VM without a configuration is told to come back, in seconds. A guess,
-never measured."""
+"""Retry-After of a VM that has no configuration yet, in seconds. A guess, never measured."""
 
 NO_MEMORY_RETRY_AFTER_S = 1.0
-"""When a caller whose body found no memory is told to come back, in seconds. A guess, never
-measured."""
+"""Retry-After of a request whose body finds no memory, in seconds. A guess, never measured."""
 
 SERVICE_UNAVAILABLE = 503
 """HTTP status of a refusal that promises that the request did not run; set by the HTTP standard and
@@ -107,7 +105,7 @@
 
 
 def stopped(request: ClientRequest, rng: random.Random) -> Reply:
-    """Return the final answer of a request that is given up where it stands: the process ends."""
+    """Return the final answer of a request that is given up because the process ends."""
     may_run = request.at_server or request.possible_runs()
     return refused(RefusalReason.FAILED if may_run else RefusalReason.STOPPING, rng)
 
--- a/sprucewinch/gateway/requests/outcome/hold_time.py
+++ b/sprucewinch/gateway/requests/outcome/hold_time.py
@@ -3,8 +3,8 @@
 Question: until when may a request wait or be worked on? Inputs: the caller's stated wait as text
 in milliseconds, the arrival in monotonic seconds, the route's time in seconds. Rule: until shortly
 before the caller gives up, and never past the route's time. A request without a readable wait is
-held for a default, and a longer one than the limit only until that limit, so that a caller cannot
-hold memory for ever. Only the caller's own deadline has a margin, for the way back of the answer;
+held for a default, and one with too long a wait for the limit, so that a caller cannot hold memory
+without end. Only the caller's own deadline has a margin, for the way back of the answer;
 a route's time is kept to the end.
 
 Constants: `ANSWER_MARGIN_S`, `DEFAULT_WAIT_S`, `MAX_WAIT_S`, each with its ground below it.
@@ -35,10 +35,10 @@
 from ..client_request import ClientRequest
 
 DEFAULT_WAIT_S = 10.0
-"""How long a caller waits that does not say, in seconds. A guess, never measured."""
+"""Assumed wait of a caller that states none, in seconds. A guess, never measured."""
 
 MAX_WAIT_S = 300.0
-"""Longest wait that a caller may ask for, in seconds. A guess, never measured."""
+"""Longest wait that a caller's header may set, in seconds. A guess, never measured."""
 
 ANSWER_MARGIN_S = 0.04
 """How long before a caller leaves it gets its final answer, in seconds: a safety margin for the way
--- a/sprucewinch/gateway/requests/outcome/retry_decision.py
+++ b/sprucewinch/gateway/requests/outcome/retry_decision.py
@@ -1,6 +1,6 @@
 """Rule: whether a request is sent again after an attempt, and why.
 
-Question: is the attempt's end final, or may another server be asked? Inputs: the request with its
+Question: is the attempt's end final, or may another server be tried? Inputs: the request with its
 attempts, its route, the last attempt. Rule: a server's own answer is final unless it says that the
 server failed and the route is repeatable. A request that may have run is sent again only where its
 route is repeatable and allows one more run; one that was not run may be sent again on any route. A
@@ -28,7 +28,7 @@
 """How many servers that cannot be reached one request tries. A guess, never measured."""
 
 SERVER_FAILED_STATUS = 500
-"""Least HTTP status of an answer that says that the server failed, by the HTTP standard."""
+"""Lowest HTTP status that states a failure of the server, by the HTTP standard."""
 
 
 class RetryReason(enum.Enum):
@@ -39,7 +39,7 @@
     FAILURE_IS_FINAL = "failure-is-final"
     """The server failed, and the route is not repeatable or the request has run often enough."""
     SERVER_FAILED = "server-failed"
-    """The server failed, and another one may be asked."""
+    """The server failed, and another one may be tried."""
     TIME_IS_UP = "time-is-up"
     """The attempt ended at the time until which the request is held."""
     MAY_HAVE_RUN = "may-have-run"
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -96,7 +96,7 @@
             return self._not_served(request, route, decision.refusal)
 
     def stop_reply(self, request: ClientRequest) -> Reply:
-        """Return the final answer of a request that is given up where it stands."""
+        """Return the final answer of a request that is given up because the process ends."""
         return final_answer.stopped(request, self.rng)
 
     def arrivals_per_s(self, service: str, now: float) -> float:
--- a/sprucewinch/gateway/requests/request_log.py
+++ b/sprucewinch/gateway/requests/request_log.py
@@ -1,6 +1,7 @@
-"""How requests end, as the callers' side reports it.
+"""The interface that records how requests end.
 
-Owns the interface; `decision_log` implements it. Relies on the request's own types.
+Owns the interface; `app` calls it and `decision_log` implements it. Relies on the
+types of a request.
 """
 
 import abc
@@ -9,7 +10,7 @@
 
 
 class RequestLog(abc.ABC):
-    """Takes the end of each request."""
+    """Records the end of each request."""
 
     @abc.abstractmethod
     def replied(self, request: ClientRequest, reply: Reply, seconds: float) -> None:
--- a/sprucewinch/gateway/requests/retry_budget.py
+++ b/sprucewinch/gateway/requests/retry_budget.py
@@ -1,9 +1,10 @@
 """Rule: how many retries of a service this VM may send, so that the fleet keeps its limit.
 
-Question: is a retry left? Inputs: this VM's counts of requests and retries over the window in
-seconds, the fleet's ratio and slack, the number of VMs. Rule: a VM spends at most the ratio of its
-own requests and its part of the slack. The sum over all VMs stays under the fleet's limit whatever
-they know of each other; only the number of VMs enters, and it is rather too high than too low.
+Question: may this VM send one more retry? Inputs: this VM's counts of requests and retries over the
+window in seconds, the fleet's ratio and slack, the number of VMs. Rule: a VM spends at most the
+ratio of its own requests and its part of the slack. The sum over all VMs stays under the fleet's
+limit without any exchange between them; only the number of VMs enters, and it is too high rather
+than too low.
 
 Why so: a budget that VMs would have to agree on would fail when they cannot reach each other, which
 is when retries are many. The two windows differ so that what is counted at callers here and at
--- a/sprucewinch/gateway/requests/room.py
+++ b/sprucewinch/gateway/requests/room.py
@@ -26,7 +26,7 @@
 from .client_request import BlockedReason, ClientRequest
 
 DEFAULT_LATENCY_TARGET_S = 0.4
-"""Latency target of a route that states none, in seconds. A guess, never measured."""
+"""Latency target of a route that sets none, in seconds. A guess, never measured."""
 
 ROOM_WAIT_PART = 0.2
 """Part of a route's latency target that a request waits for room; a refusal after a quarter of it
@@ -34,13 +34,13 @@
 
 LOOK_AGAIN_S = 0.02
 """Longest time between two looks for room, in seconds: room may also come from a server's load
-report, which wakes nobody. A guess, never measured."""
+report, which wakes no waiting request. A guess, never measured."""
 
 
 def no_room_reason(
     server: BackendServer, route: Route, times: ServiceTimes, now: float
 ) -> Optional[BlockedReason]:
-    """Return why a server has no room for a request of a route; None when it has.
+    """Return why a server has no room for a request of a route; None when it has room.
 
     Args:
         server: The server.
--- a/sprucewinch/gateway/requests/routes.py
+++ b/sprucewinch/gateway/requests/routes.py
@@ -1,6 +1,6 @@
 """Rule: which route a request takes.
 
-Question: which route of the configuration in force fits? Inputs: the `Host` header and the path
+Question: which route of the configuration in force matches? Inputs: the `Host` header and the path
 without its query. Rule: the host's longest prefix that begins the path; hosts are compared without
 port and case. Prefixes end with a slash, so looking up the path's own starts finds the longest one
 in as many steps as the path has segments. Constants: none. Shows in: event `request`, `route`, or
@@ -34,7 +34,7 @@
             host: Value of the `Host` header.
             path: Path without the query.
         """
-        prefixes = self._by_host.get(_bare(host))
+        prefixes = self._by_host.get(_without_port(host))
         if prefixes is None:
             return None
         end = len(path)
@@ -47,7 +47,7 @@
         return None
 
 
-def _bare(host: str) -> str:
+def _without_port(host: str) -> str:
     """Return a host without its port, in lower case."""
     name, colon, port = host.rpartition(":")
     return (name if colon and port.isdigit() else host).lower()
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -1,4 +1,4 @@
-"""Sends a request to one backend server and returns what came of it.
+"""Sends a request to one backend server and returns the attempt.
 
 Owns one attempt: its connection, its encoding, its time, and what the VM learns of the server from
 it (load, latency, rest, outlier samples). Relies on `verdict` for what an answer proves, on the
@@ -33,15 +33,14 @@
 from .verdict import judge_answer, load_report
 
 SHED_PAUSE_S = 0.05
-"""How long a server that refused to run a request gets none, in seconds. A guess, never
-measured."""
+"""Pause of a server that refused to run a request, in seconds. A guess, never measured."""
 
 MISDIRECTED_PAUSE_S = 60.0
-"""How long an address that belongs to another server gets nothing, in seconds. A
-guess, never measured."""
+"""Pause of a server whose address now belongs to another server, in seconds. A guess, never
+measured."""
 
 MIN_DEADLINE_MS = 1
-"""Least deadline that is sent to a server, in milliseconds, so that none reads 0 or less."""
+"""Least deadline that is sent to a server, in milliseconds, so that none is 0 or less."""
 
 _KEEP_ALIVE = "timeout="
 """Field of the keep-alive header that holds the time, in seconds."""
@@ -58,8 +57,8 @@
         outliers: Gets every attempt at a warm server as a sample.
         pool: Connections.
         names: Names of headers.
-        monotonic: Source of time.
-        events: Takes a line when a server rests after a failure; None for none.
+        monotonic: Source of time, in seconds.
+        events: Logs when a server rests after a failure; None to log nothing.
     """
 
     def __init__(
@@ -85,8 +84,8 @@
 
         Args:
             request: The request.
-            selection: Where to.
-            until: Monotonic time at which it is given up, in seconds.
+            selection: The chosen server.
+            until: Monotonic time at which the attempt is given up, in seconds.
             fresh: Open a new connection for it.
         """
         server = selection.server
@@ -155,8 +154,8 @@
                 self.outliers.record_failure(server, now)
                 return
             load = load_report(attempt.answer, self.names)
-            held = load.running + load.waiting if load else 0
-            self.outliers.record_success(server, key, attempt.seconds, held, now)
+            requests_there = load.running + load.waiting if load else 0
+            self.outliers.record_success(server, key, attempt.seconds, requests_there, now)
 
     def _learn(
         self, server: BackendServer, attempt: Attempt, started: float, now: float, request_id: str
@@ -180,9 +179,10 @@
 
 
 def _keep_alive_s(answer: Answer) -> float:
-    """Return how long a server keeps a connection open, in seconds; unbounded when it is not said.
+    """Return how long a server keeps a connection open, in seconds; infinite when it states none.
 
-    An unreadable time is passed over in silence: a connection that the server closes is replaced.
+    An unreadable time is ignored without a log line: a connection that the server closes is
+    replaced.
     """
     text = answer.header("keep-alive") or ""
     for word in text.replace(" ", "").split(","):
--- a/sprucewinch/gateway/requests/server_order.py
+++ b/sprucewinch/gateway/requests/server_order.py
@@ -1,4 +1,4 @@
-"""Rule: in which order the backend servers of a service are asked for an object.
+"""Rule: in which order the backend servers of a service are tried for an object.
 
 Question: which servers may run a request about this object, the best first? Inputs: service,
 object, allowed regions, the regions' shares in force, time in monotonic seconds. Rule: the share
@@ -32,9 +32,9 @@
     """Backend servers for one object, in order of preference.
 
     Args:
-        region: Region that the object lives in.
-        servers: Servers of that region, then of the others.
-        near: How many of them stand in that region.
+        region: Region that the object's hash falls into.
+        servers: Servers of that region, then those of the others.
+        near: Number of servers in that region.
     """
 
     region: str
@@ -61,7 +61,7 @@
         self._generation = -1
 
     def place(self, service: str, key: str, allowed: tuple[str, ...], now: float) -> Ranking:
-        """Return the servers for an object.
+        """Return the servers for an object, in order of preference.
 
         Args:
             service: Service.
--- a/sprucewinch/gateway/requests/server_selection.py
+++ b/sprucewinch/gateway/requests/server_selection.py
@@ -1,4 +1,4 @@
-"""Rule: which of an object's servers gets a request now, helper included, or why none does.
+"""Rule: which backend server of the ranking gets a request now, or why none does.
 
 Question: which server of the ranking gets this request now? Inputs: the request with its attempts,
 its ranking, its route, time in monotonic seconds. Rule: the first untried server that can be used;
@@ -8,7 +8,7 @@
 refused, or waits (`room`).
 
 Why so: work at a server that has not seen its object takes three times as long and pushes out what
-that server keeps warm, which sends still more requests astray (2e5e43d, trials: to second 20
+that server keeps warm, which makes still more requests slow (2e5e43d, trials: to second 20
 balance-lookup earned 0.609 of its credit with the soonest free server, 0.748 with two servers an
 object, 0.768 with one). The helper is one fixed server, so that it soon keeps the object warm too.
 
@@ -47,11 +47,11 @@
 
 
 class ServerSelector:
-    """Selects servers by what this VM knows, without asking another one.
+    """Selects servers from what this VM knows, without a call to another VM.
 
     Args:
         registry: Backend servers.
-        outliers: Servers that are slow or fail while others are not.
+        outliers: Holds which servers are ejected.
     """
 
     def __init__(self, registry: BackendRegistry, outliers: OutlierDetector) -> None:
@@ -92,7 +92,7 @@
     def candidate(
         self, request: ClientRequest, ranking: Ranking, now: float
     ) -> Optional[BackendServer]:
-        """Return the server that a request belongs to now; None when no untried one may be used."""
+        """Return the first untried server that can be used; None when there is none."""
         tried_servers = request.tried_servers()
         untried = [s for s in ranking.servers if s.backend.id not in tried_servers]
         for server in untried:
@@ -120,13 +120,13 @@
         return Selection(helper, service, SelectionReason.SHARES_BUSY) if near else None
 
     def _helper(
-        self, request: ClientRequest, ranking: Ranking, full: BackendServer, now: float
+        self, request: ClientRequest, ranking: Ranking, busy: BackendServer, now: float
     ) -> Optional[BackendServer]:
-        """Return the server after a full one in its object's order, if it has slots to spare.
+        """Return the server after a busy one in the ranking, if it has slots to spare.
 
         It is always the same one, so that it soon keeps the object warm too.
         """
-        at = ranking.servers.index(full) + 1
+        at = ranking.servers.index(busy) + 1
         if at >= len(ranking.servers):
             return None
         server = ranking.servers[at]
--- a/sprucewinch/gateway/requests/sliding_count.py
+++ b/sprucewinch/gateway/requests/sliding_count.py
@@ -36,7 +36,7 @@
         self.total += 1
 
     def count(self, now: float) -> int:
-        """Return the events of the window that ends now."""
+        """Return the number of events in the window that ends now."""
         while self._buckets and self._buckets[0][0] + self.bucket_s <= now - self.window_s:
             self.total -= int(self._buckets.popleft()[1])
         return self.total
--- a/sprucewinch/gateway/requests/split.py
+++ b/sprucewinch/gateway/requests/split.py
@@ -1,6 +1,6 @@
 """Rule: which service of a split route gets a request.
 
-Question: which part of the route runs this request? Inputs: the route's parts with their weights,
+Question: which part of the route gets this request? Inputs: the route's parts with their weights,
 the object's key. Rule: the object's hash gives its service, unless that service's running share
 lies too far above its weight; then the service that lies furthest below its weight gets it.
 
@@ -42,7 +42,7 @@
         self._total = 0.0
 
     def choose(self, key: str) -> str:
-        """Return the service of a request about an object."""
+        """Return the service of a request for an object, and count the request."""
         wanted = self._by_key(key)
         near_weight = self._excess(wanted) <= MAX_SHARE_EXCESS
         chosen = wanted if near_weight else min(self._weights, key=self._excess)
--- a/sprucewinch/gateway/requests/verdict.py
+++ b/sprucewinch/gateway/requests/verdict.py
@@ -77,7 +77,7 @@
 def load_report(answer: Answer, names: HeaderNames) -> Optional[LoadReport]:
     """Return the load that an answer reports; None when it reports none that can be read.
 
-    An unreadable report is passed over in silence: the server's next answer brings another one.
+    An unreadable report is ignored without a log line: the server's next answer brings another one.
     """
     text = answer.header(names.load)
     if text is None:
