--- a/sprucewinch/gateway/composition.py
+++ b/sprucewinch/gateway/composition.py
@@ -73,7 +73,7 @@
 
 
 class State(NamedTuple):
-    """What is held of the store, who talks to it, and whether it is out of reach."""
+    """The store's items held here, the loops that call the store, and its outages."""
 
     store: Store
     view: StoreView
@@ -169,7 +169,7 @@
 
     Args:
         context: What every part may need.
-        state: What is held of the store.
+        state: The parts that hold the store's items.
         incarnation: Number of this process, higher than that of any earlier one of this VM.
     """
     settings, timing = context.settings, context.timing
@@ -213,11 +213,11 @@
 
 
 def make_servers(context: Context, state: State, fleet: Fleet) -> Servers:
-    """Return the parts that know backend servers, and let them hear other VMs' reports.
+    """Return the parts that know backend servers, and let them receive other VMs' reports.
 
     Args:
         context: What every part may need.
-        state: What is held of the store.
+        state: The parts that hold the store's items.
         fleet: The other VMs.
     """
     settings, names = context.settings, context.adapter.names
@@ -243,7 +243,7 @@
 
     Args:
         context: What every part may need.
-        state: What is held of the store.
+        state: The parts that hold the store's items.
         servers: Backend servers.
         unreadable: Takes the key of a policy that cannot be used, and the cause.
 
@@ -269,7 +269,7 @@
 
     Args:
         context: What every part may need.
-        state: What is held of the store.
+        state: The parts that hold the store's items.
         servers: Backend servers.
         regions: Steering between regions.
     """
@@ -313,7 +313,7 @@
 
     Args:
         context: What every part may need.
-        state: What is held of the store.
+        state: The parts that hold the store's items.
         fleet: The other VMs.
         regions: Steering between regions.
         requests: Counts the demand at this VM.
--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -110,7 +110,7 @@
     async def run(self) -> None:
         """Serve until told to stop, then stop without cutting a request off.
 
-        A process that was told to stop before this runs serves nobody and ends at once.
+        A process that was told to stop before this runs serves no request and ends at once.
         """
         self.signals.take()
         if self.stop_asked():
--- a/sprucewinch/gateway/datagrams.py
+++ b/sprucewinch/gateway/datagrams.py
@@ -90,4 +90,4 @@
         handler(message, self.monotonic())
 
     def error_received(self, _exc: Exception) -> None:
-        """Ignore that a datagram reached nobody: `gossip` sees that the VM's heartbeats stop."""
+        """Ignore that a datagram was not received: `gossip` sees that the VM's heartbeats stop."""
--- a/sprucewinch/gateway/following/__init__.py
+++ b/sprucewinch/gateway/following/__init__.py
@@ -1,6 +1,6 @@
 """Which VMs follow the store, and how the other VMs follow a VM that does.
 
 Owns the election of store followers, progress notices and deltas between VMs. Relies on
-`membership` for the VMs that are in touch and on `state` for what is held. Read `follow_role`
+`membership` for the VMs that are in touch and on `state` for the revision held. Read `follow_role`
 first, then `store_follower` and `peer_follower`.
 """
--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -15,7 +15,7 @@
 Why: calls to the store are limited and priced. One follower in each region cut the calls of a day
 from 1,302 to 308 at 12 VMs (1fb4c16). Fewer and longer watches brought changes late; a lease for
 the follower costs a call more and does not help when its holder is paused (1fb4c16). The fallback
-makes freshness independent of the election: two VMs that elect differently cost calls alone.
+makes freshness independent of the election: two VMs that elect differently only cost more calls.
 
 Result: `FollowReason`; it shows in the event `follows` (`source` is `store` or `neighbours`).
 Tests: `test_gateway_follow_role`, `test_gateway_relay`, `test_platform_store`.
--- a/sprucewinch/gateway/following/notices.py
+++ b/sprucewinch/gateway/following/notices.py
@@ -56,7 +56,7 @@
             async with asyncio.timeout(timeout_s):
                 await self._behind.wait()
         except TimeoutError:
-            # The end of the wait is a result like a notice: the caller looks at heartbeats then.
+            # No error: after the wait the caller looks at heartbeats, as it does after a notice.
             pass
         self._behind.clear()
 
--- a/sprucewinch/gateway/following/store_follower.py
+++ b/sprucewinch/gateway/following/store_follower.py
@@ -36,7 +36,7 @@
 never measured."""
 
 _REJOIN_S = 10.0
-"""Time after a failed call for which a VM does not stand for election, in seconds, unless the store
+"""Time after a failed call for which a VM cannot be elected, in seconds, unless the store
 answers it. A guess, never measured."""
 
 _MIN_BACKOFF_S = 0.05
--- a/sprucewinch/gateway/header_names.py
+++ b/sprucewinch/gateway/header_names.py
@@ -14,8 +14,8 @@
         deadline_ms: What is left of the caller's time, in milliseconds.
         affinity: Cookie that names the object a request is about.
         expected: Backend server that alone may run the request.
-        signature: A backend server's mark on an answer of its own.
-        not_run: A backend server's word that it did not run the request.
+        signature: Set by a backend server on each answer of its own.
+        not_run: Set by a backend server that did not run the request.
         load: A backend server's load: running, waiting, slots.
         cold_ms: In answers to probes, how much longer a server is cold, in milliseconds.
         instance: In answers to probes, the server's id.
--- a/sprucewinch/gateway/lifecycle/reload.py
+++ b/sprucewinch/gateway/lifecycle/reload.py
@@ -1,4 +1,4 @@
-"""Rule: which settings are in force after a reload?
+"""Rule: which settings are in force after a reload.
 
 Question: what a process does when its settings are looked at again, on SIGHUP or by the regular
 upkeep. Owns nothing but the outcome's line. Relies on the function that reads the settings and on
--- a/sprucewinch/gateway/lifecycle/shutdown.py
+++ b/sprucewinch/gateway/lifecycle/shutdown.py
@@ -1,8 +1,8 @@
-"""Rule: in which order does a VM stop, and how long may each step take?
+"""Rule: in which order a VM stops, and how long each step may take.
 
-Question: what a VM that was told to stop still does for callers before the process is killed. Owns
-the order of the steps and their times (`stop_times`). Relies on the callers' application, the
-listeners and the heartbeats for the steps.
+Question: what a VM still does for callers between the order to stop and its kill. Owns the order of
+the steps and their times (`stop_times`). Relies on the callers' application, the listeners and the
+heartbeats for the steps.
 
 Inputs: the grace time (setting `grace_s`, in seconds: from the order to stop until the process is
 killed), requests in flight, connections not yet ended, monotonic time in seconds.
@@ -119,7 +119,7 @@
         self.events.state("stop", in_flight=self.app.in_flight)
 
     def _announce(self) -> None:
-        """Let callers and VMs know: connections end with their next answer, and a heartbeat."""
+        """Announce the stop: to callers by closing connections, to VMs by a heartbeat."""
         self.app.stop()
         self.events.state("stopping", in_flight=self.app.in_flight)
         self.heartbeats.send(self.store_view.members)
--- a/sprucewinch/gateway/lifecycle/signals.py
+++ b/sprucewinch/gateway/lifecycle/signals.py
@@ -12,7 +12,7 @@
 
 
 class ProcessSignals:
-    """Calls what a signal asks for, between two steps of the event loop.
+    """Calls the handler of a signal, between two steps of the event loop.
 
     Args:
         on_stop: Called for SIGTERM and SIGINT.
--- a/sprucewinch/gateway/lifecycle/upkeep.py
+++ b/sprucewinch/gateway/lifecycle/upkeep.py
@@ -13,10 +13,10 @@
 
 
 class Upkeep:
-    """Runs what has to be done again and again.
+    """Runs the regular upkeep.
 
     Args:
-        state: What is held of the store.
+        state: The parts that hold the store's items.
         servers: Backend servers.
         regions: Steering between regions.
         reload_if_changed: Looks at the settings.
--- a/sprucewinch/gateway/listeners.py
+++ b/sprucewinch/gateway/listeners.py
@@ -34,7 +34,7 @@
 """
 
 _IDLE_SLACK_S = 5.0
-"""Safety margin on the rest of a kept connection that callers are told, in seconds.
+"""Safety margin on the idle time of a kept connection that callers are told, in seconds.
 
 A guess, never measured (d796da6).
 """
@@ -84,7 +84,7 @@
         return all(task.done() for task in self.tasks)
 
     def on_change(self, change: Change) -> None:
-        """Follow the limits on callers; a connection rests a little longer than they are told.
+        """Follow the limits on callers; a connection may be idle a little longer than stated.
 
         Args:
             change: Any change of what is held of the store.
--- a/sprucewinch/gateway/membership/gossip.py
+++ b/sprucewinch/gateway/membership/gossip.py
@@ -9,8 +9,9 @@
 it and it is not elected. After `_DROP_ROW_S` its row is dropped. When this process itself stood
 still, the times of all rows move by that pause, as heartbeats may have arrived unread.
 
-Why: gossip needs no call to the store and its load on a VM does not depend on one other VM. A
-limit of 30 rows a message lost sight of a quarter of 90 VMs (docs/CAPACITY.md), so none applies.
+Why: gossip needs no call to the store and its load on a VM does not depend on one other VM. With
+a limit of 30 rows a message a quarter of 90 VMs was out of touch (docs/CAPACITY.md), so none
+applies.
 
 Result: `members` of `/state` and the metric `members_open`. Tests: `test_gateway_gossip`.
 """
@@ -197,7 +198,7 @@
         """Return the VMs in touch that hold a newer revision.
 
         Args:
-            revision: Revision held here.
+            revision: Newest revision up to which this VM holds everything.
             now: Monotonic time, in seconds.
         """
         newer = (name for name, held in self.revisions.items() if held > revision)
--- a/sprucewinch/gateway/regions/policies.py
+++ b/sprucewinch/gateway/regions/policies.py
@@ -1,4 +1,4 @@
-"""Rule: which policy steers a service?
+"""Rule: which policy steers a service.
 
 Question: the program that turns measures into wanted shares of regions. Owns the compiled programs
 and the choices, both from the store. Relies on `steering.policy` to compile and run programs, and
--- a/sprucewinch/gateway/regions/region_reporter.py
+++ b/sprucewinch/gateway/regions/region_reporter.py
@@ -1,6 +1,6 @@
 """Sends reports of this VM's region to all VMs, while it is one of the region's store followers.
 
-Owns when a report is made and sent. Relies on `region_reports` for what it says and on
+Owns when a report is made and sent. Relies on `region_reports` for its content and on
 `follow_role` for who sends. Nothing is sent while no policy in force reads measures.
 """
 
@@ -97,7 +97,7 @@
         datagrams.register(RegionReport, region_reports.on_region_report)
 
     async def run(self) -> None:
-        """Send a report again and again."""
+        """Send reports at regular times while this VM is elected."""
         while True:
             await asyncio.sleep(self.timing.jittered(REPORT_S))
             now = self.timing.monotonic()
--- a/sprucewinch/gateway/regions/region_reports.py
+++ b/sprucewinch/gateway/regions/region_reports.py
@@ -1,4 +1,4 @@
-"""Rule: what is known of the load and latency of each region, and for how long does it count?
+"""Rule: which load and latency of each region count, and for how long.
 
 Question: the measures that policies which steer by load or latency get of a region. Owns the newest
 report of each region and service, and the messages `RegionReport` and `ServiceReport`. Relies on
--- a/sprucewinch/gateway/regions/share_target.py
+++ b/sprucewinch/gateway/regions/share_target.py
@@ -1,4 +1,4 @@
-"""Rule: towards which shares of the regions do the callers of this VM's region move?
+"""Rule: towards which shares of the regions the callers of this VM's region move.
 
 Question: which part of the callers of one service may run in which region, before the shift cap
 limits how fast that is reached. Owns nothing and has no state. Relies on `steering`: a `Policy`
--- a/sprucewinch/gateway/regions/shares.py
+++ b/sprucewinch/gateway/regions/shares.py
@@ -1,4 +1,4 @@
-"""Rule: which part of the callers of this VM's region runs in which region now?
+"""Rule: which part of the callers of this VM's region is served in which region now.
 
 Question: the shares in force of each service. Owns the shares in force, their targets and the
 shift limiters. Relies on `share_target` for where they move (policy, then guard), on
@@ -8,7 +8,7 @@
 Inputs: slots of the usable backend servers by region, reports of the regions, the policies in
 force, monotonic time in seconds.
 
-Rule: the first request of a service starts with its target, as nobody has been steered before it.
+Rule: the first request of a service starts with its target, as no caller was steered before.
 From then on each tick plans a new target when an input has changed, and moves the shares towards
 the target as far as the shift cap allows. Each VM applies the cap to its own shares: when every
 VM stays under it, the fleet does, whatever each VM knows. A planner with a lease in the store is
@@ -171,7 +171,7 @@
         """Return what is known of a region.
 
         A policy that reads measures gets none where no report has arrived, so that the guard
-        lets the region gain nobody; any other policy needs nothing but the slots.
+        gives the region no further callers; any other policy needs nothing but the slots.
         """
         reported = self.region_reports.region_measures(region, service, slots, now)
         if reported is not None:
--- a/sprucewinch/gateway/resources.py
+++ b/sprucewinch/gateway/resources.py
@@ -55,7 +55,7 @@
 
     Args:
         name: Its name.
-        health_path: Path on which its backend servers say how they are; empty for none.
+        health_path: Path on which its backend servers answer probes; empty for none.
         connections: Connections that one backend server accepts from all VMs together.
         warmup_s: How long a backend server stays cold after its start, in seconds.
         cold_per_s: Requests a second that a cold backend server bears.
@@ -75,7 +75,7 @@
         header_bytes: Most bytes of a request's headers.
         body_bytes: Most bytes of a request's body.
         header_s: Longest time for the headers to arrive, in seconds.
-        idle_s: Longest rest of a kept connection, in seconds.
+        idle_s: Longest idle time of a kept connection, in seconds.
     """
 
     header_bytes: int = 16_384
--- a/sprucewinch/gateway/servers/backend_registry.py
+++ b/sprucewinch/gateway/servers/backend_registry.py
@@ -72,7 +72,7 @@
         return self.cold_limit.vm_count()
 
     def record_success(self, server: BackendServer, seconds: float, now: float) -> None:
-        """Note an answer of a server's own and the time it took, in seconds."""
+        """Record a server's own answer and the time it took, in seconds."""
         server.record_success(seconds, now)
         self.times.record_success(server.backend.service, seconds)
 
--- a/sprucewinch/gateway/servers/backend_server.py
+++ b/sprucewinch/gateway/servers/backend_server.py
@@ -16,7 +16,8 @@
 from .service_times import OVERLOAD_QUEUE_RATIO, is_overloaded
 
 _LATENCY_WEIGHT = 0.2
-"""Weight of the last answer in a server's usual time. A guess, never measured (3e61232)."""
+"""Weight of the last answer in the mean of a server's answer times. A guess, never measured
+(3e61232)."""
 
 _SEED_MASK = 0xFFFFFFFF
 """Keeps 32 bits: the hash that orders servers takes a seed of that length."""
@@ -73,7 +74,7 @@
         return self.limit.value
 
     def silent(self, now: float) -> bool:
-        """Return whether it holds a request for long and has answered none meanwhile."""
+        """Return whether it has held a request for long without answering any."""
         return bool(self.started) and is_silent(
             self.started[0], self.answered_at, self.latency_s, now
         )
@@ -132,7 +133,7 @@
         self.rest.extend(until)
 
     async def wait_for_room(self, longest_s: float, rank: int) -> bool:
-        """Wait until a request here is over; the most urgent goes first, then who came first.
+        """Wait until a request here is over; the most urgent goes first, then the oldest.
 
         Args:
             longest_s: Longest wait, in seconds.
--- a/sprucewinch/gateway/servers/cold_limit.py
+++ b/sprucewinch/gateway/servers/cold_limit.py
@@ -9,7 +9,7 @@
 data hall that is taken back after an evacuation, each for its time and `COLD_MARGIN_S`. The fleet's
 bound, less a margin, is divided by the number of VMs; what is left over goes to the VMs that come
 first in an order by hash, those of the server's region before others. Divided, as VMs that ask each
-other before each send would be late, and a bound that nobody divides is overrun. Where under half
+other before each send would be late, and a bound that is not divided is overrun. Where under half
 of the requests to cold servers are answered in time, the fleet sends only `_COLD_TRIALS`.
 
 Shows in: a refusal with the outcome `no-server` of the event `request`; `cold` of a VM's state.
@@ -28,8 +28,8 @@
 from .lapsed_entries import LapsedEntries
 
 COLD_MARGIN_S = 0.5
-"""How much longer than it says a backend server counts as cold, in seconds; a margin for the delay
-of the store's entry. A guess, never measured."""
+"""How much longer than its entry states a backend server counts as cold, in seconds; a margin for
+the delay of the store's entry. A guess, never measured."""
 
 _COLD_WINDOW_S = 1.15
 """Window of the limit at one VM, in seconds: the second of the platform's bound, and a margin for
@@ -212,6 +212,6 @@
 
 
 def service_rule(store_view: StoreView, service: str) -> Optional[ServiceRule]:
-    """Return what the configuration says of a service; None when it does not name it."""
+    """Return the configuration's rule for a service; None when it has none."""
     configuration = store_view.configuration
     return configuration.services.get(service) if configuration else None
--- a/sprucewinch/gateway/servers/load.py
+++ b/sprucewinch/gateway/servers/load.py
@@ -16,8 +16,9 @@
 """
 
 _LOAD_HALF_LIFE_S = 0.6
-"""Time in which a stated load counts half, in seconds. Commit 2e5e43d, with the concurrency limit:
-kovacs trouble-3 0.611 to 0.706, scale-2 0.617 to 0.734 (one score each); not measured alone."""
+"""Half-life of a stated load in the estimate, in seconds. Commit 2e5e43d, with the concurrency
+limit: kovacs trouble-3 0.611 to 0.706, scale-2 0.617 to 0.734 (one score each); not measured
+alone."""
 
 _SHRINK = 0.7
 """Factor on the limit at an overload. Set in 2e5e43d (see above); not measured alone."""
@@ -48,7 +49,7 @@
         """Keep a load that the server stated, here or to another VM.
 
         Args:
-            held: Requests that it runs and that wait there.
+            held: Requests that run or wait there.
             in_flight: This VM's requests among them.
             now: Monotonic time, in seconds.
         """
--- a/sprucewinch/gateway/servers/load_reports.py
+++ b/sprucewinch/gateway/servers/load_reports.py
@@ -1,4 +1,4 @@
-"""What a server states of its load, taken in here and passed on to other VMs.
+"""Loads that backend servers report: applied here and passed on to other VMs.
 
 Question: which load figures reach which VM? Inputs: counts of running and waiting requests, from a
 server's answer or from another VM's report, and monotonic time in seconds.
--- a/sprucewinch/gateway/servers/outliers.py
+++ b/sprucewinch/gateway/servers/outliers.py
@@ -221,7 +221,8 @@
             server: The server.
             key: Object of the request; empty when it has none.
             seconds: How long the answer took.
-            held: Requests that the server held when it answered, as it said; 0 when it did not.
+            held: Requests that the server held when it answered, as it reports; 0 if it reports
+                none.
             now: Monotonic time, in seconds.
         """
         if not key or not self.sent_objects.record(server.backend.id, key, now):
@@ -236,7 +237,7 @@
         Args:
             server: The server.
             now: Monotonic time, in seconds.
-            late: It was given up for its time; no fault of a server where others wait too.
+            late: True when its time ran out; that is no sample if other requests wait there too.
         """
         if not late or server.load(now) <= server.backend.capacity:
             self._sample(server, True, now)
--- a/sprucewinch/gateway/servers/peer_reports.py
+++ b/sprucewinch/gateway/servers/peer_reports.py
@@ -13,7 +13,7 @@
 
 
 class OverloadReport(msgspec.Struct, array_like=True, frozen=True, tag="crowded"):
-    """Requests wait at a backend server, as it says of itself.
+    """A backend server's load, as its answer to this VM reports it, while requests wait there.
 
     Args:
         server: Id of the server.
--- a/sprucewinch/gateway/servers/pool.py
+++ b/sprucewinch/gateway/servers/pool.py
@@ -41,7 +41,7 @@
 
     Args:
         id_header: Header that names the request in answers.
-        monotonic: Source of time.
+        monotonic: Source of time, in seconds.
     """
 
     def __init__(self, id_header: str, monotonic: Callable[[], float]) -> None:
@@ -59,7 +59,7 @@
             fresh: Open a new one in any case.
 
         Raises:
-            ConnectFailedError: When none came up.
+            ConnectFailedError: When no connection could be opened.
         """
         idle = self._idle.get(address)
         while idle and not fresh:
--- a/sprucewinch/gateway/servers/probe.py
+++ b/sprucewinch/gateway/servers/probe.py
@@ -1,4 +1,4 @@
-"""Asks backend servers whether they are cold, where the store does not say it.
+"""Asks backend servers whether they are cold, where the store does not show it.
 
 Question: how much longer is this server cold? Inputs: the answer to one GET on the service's health
 path: its status, the server's id and the time left in milliseconds.
@@ -43,7 +43,7 @@
 
     Args:
         status: HTTP status; `_NO_ANSWER` when no whole answer came in time.
-        cold_left_s: How much longer the server is cold, in seconds; None when it does not say.
+        cold_left_s: How much longer the server is cold, in seconds; None when it states none.
     """
 
     status: int
@@ -57,7 +57,7 @@
         registry: Backend servers.
         names: Names of headers.
         events: Takes a line for each answer.
-        monotonic: Source of time.
+        monotonic: Source of time, in seconds.
     """
 
     def __init__(
--- a/sprucewinch/gateway/servers/rest.py
+++ b/sprucewinch/gateway/servers/rest.py
@@ -1,6 +1,6 @@
 """When a backend server rests after failures, and when it counts as silent.
 
-Question: has the server just shown that it answers nobody? Inputs: failures and answers of requests
+Question: does the server currently fail or not answer? Inputs: failures and answers of requests
 that this VM sent, the start of its oldest request in flight, what requests took there of late, and
 monotonic time; all in seconds.
 
@@ -31,7 +31,7 @@
 
 
 class Rest:
-    """Until when one server gets nothing, as it failed or asked for it."""
+    """Until when one server gets no request, as it failed or did not run one."""
 
     __slots__ = ("failures", "until")
 
--- a/sprucewinch/gateway/servers/service_times.py
+++ b/sprucewinch/gateway/servers/service_times.py
@@ -1,4 +1,4 @@
-"""What requests of a service take, and how many may wait at a server therefore.
+"""How long requests of a service take, and how many may therefore wait at a server.
 
 Questions: when is a server overloaded; up to which load does it take another request? Inputs: the
 times of answers by service and by server, the routes' latency targets and timeouts, all in seconds,
--- a/sprucewinch/gateway/settings.py
+++ b/sprucewinch/gateway/settings.py
@@ -1,4 +1,4 @@
-"""What one entry VM is told about itself at start, and the figures that the fleet keeps together.
+"""The settings of one entry VM, and the limits that the fleet keeps together.
 
 Owns the types of the settings. Relies on nothing; an adapter fills them from a settings file.
 """
@@ -34,7 +34,7 @@
 
 
 class GatewaySettings(NamedTuple):
-    """What one entry VM is told about itself at start.
+    """Settings of one entry VM.
 
     Args:
         name: Its name.
@@ -49,8 +49,8 @@
         store_address: `IP:PORT` of the platform's store.
         server_heartbeat_s: How often backend servers renew their entries there, in seconds.
         max_files: Descriptors that the process may open.
-        memory_bytes: Memory that the process may use.
-        link_mbps: Width of the VM's link.
+        memory_bytes: Memory that the process may use, in bytes.
+        link_mbps: Width of the VM's link, in Mbit/s; 0 when unknown.
         policy: Shipped policy of services for which operators have chosen none.
         bounds: Figures that the fleet keeps together.
     """
--- a/sprucewinch/gateway/state/store.py
+++ b/sprucewinch/gateway/state/store.py
@@ -1,7 +1,7 @@
 """The interface of the platform's store as the routed path needs it.
 
 Owns the interface and its errors; the platform's adapter implements it. Relies on `replica` for
-what a listing or a watch returns. A call that fails raises; it is the caller that repeats it.
+what a listing or a watch returns. A call that fails raises an error; the caller repeats it.
 """
 
 import abc
--- a/sprucewinch/gateway/state/store_view.py
+++ b/sprucewinch/gateway/state/store_view.py
@@ -1,7 +1,7 @@
 """The store as this VM reads it: the replica's items, decoded into resources.
 
 Owns the replica, the resources by kind, and the listeners that get each change. Relies on a decoder
-of the platform's adapter. A configuration is replaced by a newer version alone and is not dropped.
+of the platform's adapter. Only a newer version replaces a configuration; its removal is ignored.
 An item that cannot be decoded leaves the resource that is held and is reported to `on_unreadable`.
 """
 
--- a/sprucewinch/gateway/telemetry/latency_histograms.py
+++ b/sprucewinch/gateway/telemetry/latency_histograms.py
@@ -14,7 +14,7 @@
 _HIGHEST_US = 600_000_000
 """Longest time that a histogram holds: ten minutes, in microseconds.
 
-Twice the longest time for which a request without a deadline is held (`requests.app`).
+Twice the longest wait that a caller may ask for (`MAX_WAIT_S` in `requests.outcome.hold_time`).
 """
 
 _DIGITS = 2
--- a/sprucewinch/gateway/telemetry/line_rate.py
+++ b/sprucewinch/gateway/telemetry/line_rate.py
@@ -1,4 +1,4 @@
-"""Rule: is a line of the decision log written, or dropped and counted?
+"""Rule: whether a line of the decision log is written, or dropped and counted.
 
 Question: how many lines a process writes when more happens than a log can take. Owns a token
 bucket. Relies on nothing; time comes with each call.
--- a/sprucewinch/gateway/vm_state.py
+++ b/sprucewinch/gateway/vm_state.py
@@ -12,7 +12,7 @@
 from .composition import Context, Fleet, Regions, Servers, State
 
 _HIGHEST_AGE_S = 1e9
-"""Age shown when the store was never heard, in seconds: JSON has no infinity."""
+"""Age shown when the store has never answered, in seconds: JSON has no infinity."""
 
 _SHARE_DIGITS = 4
 """Decimal places of a share: a hundredth of a per cent."""
@@ -120,7 +120,7 @@
 
     Args:
         context: What every part may need.
-        state: What is held of the store.
+        state: The parts that hold the store's items.
         fleet: The other VMs.
         servers: Backend servers.
         regions: Steering between regions.
