--- a/sprucewinch/clock.py
+++ b/sprucewinch/clock.py
@@ -1,7 +1,7 @@
 """The clock that decisions take as an argument, so that tests need not wait.
 
 Owns the two kinds of time: monotonic for durations within a process, wall-clock for what leaves it.
-Relies on the VM's clocks, which may be set wrong or jump: nothing compares the wall clocks of two
+Relies on the VM's clocks, which may be wrong or jump: nothing compares the wall clocks of two
 VMs.
 """
 
--- a/sprucewinch/config/_check.py
+++ b/sprucewinch/config/_check.py
@@ -39,7 +39,7 @@
 measured."""
 
 _SHIFT_CAP = _Range(0.001, 1)
-"""Part of the callers that may move in one window. Nobody can move more than all of them; a cap of
+"""Part of the callers that may move in one window. It cannot exceed 1, all of them; a cap of
 0 would freeze steering. The lower bound is a guess, never measured."""
 
 _SLOTS = _Range(1, 10_000)
--- a/sprucewinch/daemon.py
+++ b/sprucewinch/daemon.py
@@ -171,7 +171,7 @@
             if self.node.membership.superseded:
                 log.trouble("event=superseded note='a newer process has this name'")
                 return
-            # The time limit is a poll: its end is no error, the loop looks again.
+            # No error: the loop checks again after each time limit.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_STOP_POLL_S):
                     await self.stopping.wait()
--- a/sprucewinch/hall/in_flight.py
+++ b/sprucewinch/hall/in_flight.py
@@ -1,4 +1,4 @@
-"""Counts the requests that this VM has under way.
+"""Counts the requests that are in flight at this VM.
 
 Owns the number and the rule that each request that enters also leaves. The callers' interface and
 the server for other entry VMs count their requests here; the node shows the number to other VMs,
@@ -19,9 +19,9 @@
         self.count = 0
 
     def enter(self) -> None:
-        """Count a request that begins; `leave` follows whatever happens to it."""
+        """Count a request that begins; `leave` must follow, also after an error."""
         self.count += 1
 
     def leave(self) -> None:
-        """Count a request off that has ended."""
+        """Subtract a request that has ended."""
         self.count -= 1
--- a/sprucewinch/hall/loops.py
+++ b/sprucewinch/hall/loops.py
@@ -108,7 +108,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def changed(self) -> None:
-        """Send a newer document that is held here to other VMs at once."""
+        """Send a document to other VMs as soon as a newer one is held here."""
         self._changed.set()
 
     async def _tick_loop(self) -> None:
--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -32,7 +32,7 @@
 """Time for which a backend server's report that it is leaving counts, in seconds: ten probes of
 `loops.PROBE_S`. A guess, never measured; commit 11fc8b9 rules a shorter time out."""
 
-_HEARD_LEAVING_S = LEAVING_S / 2
+_PASSED_ON_LEAVING_S = LEAVING_S / 2
 """The same for a report that another VM passes on, in seconds. The part of a half is a guess, never
 measured."""
 
@@ -152,7 +152,7 @@
         self.entry.set_hall_view(view_digest(holders))
         for member in self.membership.of_hall(now):
             if member is not self.own:
-                self.hall.mark_heard_leaving(member.leaving_servers, now + _HEARD_LEAVING_S)
+                self.hall.mark_heard_leaving(member.leaving_servers, now + _PASSED_ON_LEAVING_S)
         self.hall.serve_waiting(now)
 
     def label(self, service: str) -> Label:
--- a/sprucewinch/hall/own_entry.py
+++ b/sprucewinch/hall/own_entry.py
@@ -73,7 +73,7 @@
         leaving_servers: Sequence[str],
         held: Mapping[str, int],
     ) -> None:
-        """Replace what the entry says of this VM's work.
+        """Replace the entry's fields on this VM's work.
 
         Args:
             revision: Configuration revision in force; 0 when there is none.
--- a/sprucewinch/hall/peers/peer_server.py
+++ b/sprucewinch/hall/peers/peer_server.py
@@ -114,9 +114,9 @@
 
     async def _run_home(self, request: Request, responder: Responder) -> Refusal | None:
         """Run an operation whose ticket names this process; no other home is looked for."""
-        book = self.dispatcher.node.tickets
+        tickets = self.dispatcher.node.tickets
         ticket = parse_ticket(request.ticket or "")
-        if book is None or ticket is None or not book.is_home(ticket):
+        if tickets is None or ticket is None or not tickets.is_home(ticket):
             return unknown(Reason.TICKET_HOME_LOST)
         return await self.dispatcher.enter(request, responder)
 
--- a/sprucewinch/hall/peers/view.py
+++ b/sprucewinch/hall/peers/view.py
@@ -14,7 +14,7 @@
 from .peer_pb2 import LEAVING, SERVING, Member, ServiceLoad
 
 _IDLE_WEIGHT = 1.0
-"""Requests added to a member's in the weight of its latency, so that an idle one counts too. A
+"""Requests added to a member's own in the weight of its latency, so that an idle one counts too. A
 guess, never measured."""
 
 KEEP_S = 60.0
--- a/sprucewinch/hall/planning/links.py
+++ b/sprucewinch/hall/planning/links.py
@@ -1,4 +1,4 @@
-"""The rule of links: may one more request cross a link between two regions now?
+"""The rule of links: whether one more request may cross a link between two regions now.
 
 Owns this VM's part of one link's limit; relies on the caller for the limit (requests a second), the
 number of entry VMs that share it and the time (monotonic seconds), and does no I/O.
--- a/sprucewinch/hall/planning/lookup.py
+++ b/sprucewinch/hall/planning/lookup.py
@@ -1,4 +1,4 @@
-"""The rule of look-ups: which entry VMs should a caller use for a service, in which order?
+"""The rule of look-ups: which entry VMs a caller uses for a service, and in which order.
 
 Owns the encoded answers and a bounded cache of callers' keys; relies on `Topology` for regions and
 distances (milliseconds), on `Steering` for the shares in force, and on the caller for the VMs that
--- a/sprucewinch/hall/planning/plan_rounds.py
+++ b/sprucewinch/hall/planning/plan_rounds.py
@@ -2,7 +2,7 @@
 
 Owns the planner while this VM holds the lease. Relies on `planner_lease` for when to ask, on
 `planner` for the plan, on the store for the lease and for compare-and-swap, and on the node for
-configuration, members and measures. A round that comes to nothing shows in the counters
+configuration, members and measures. A round that fails shows in the counters
 `plan_rounds_without_store`, `plan_writes_unknown` and `plan_writes_overtaken`. Tests:
 `tests.test_plan_rounds`, `tests.test_formats_own_lines`.
 """
--- a/sprucewinch/hall/planning/planner.py
+++ b/sprucewinch/hall/planning/planner.py
@@ -1,4 +1,4 @@
-"""The rule of plans: which part of one region's callers should each region serve, by service?
+"""The rule of plans: which part of one region's callers each region serves, by service.
 
 Owns the last confirmed plan, one shift limiter and one history of shares for each service. Relies
 on the caller for policies, snapshots (slots, milliseconds, requests a second) and time (monotonic
--- a/sprucewinch/hall/planning/planner_lease.py
+++ b/sprucewinch/hall/planning/planner_lease.py
@@ -1,4 +1,4 @@
-"""The rule of the planner's lease: does this VM ask for its region's lease now?
+"""The rule of the planner's lease: whether this VM asks for its region's lease now.
 
 Owns the time of the last renewal; relies on the caller for the names of the region's serving VMs
 and for the time (monotonic seconds), and does no I/O: `plan_rounds` calls the store.
@@ -6,7 +6,7 @@
 The rule: only a VM that is among the first `CANDIDATES` of its region by name asks, and again after
 `RENEW_S`. Between two renewals the answer of the last one counts. The lease is an optimization, not
 a lock: a plan takes effect by compare-and-swap, and a planner whose write fails or stays unknown
-starts again from the stored plan. Without the store nobody plans and the shares in force stay.
+starts again from the stored plan. Without the store no VM plans and the shares in force stay.
 
 Why this way: a VM that was paused would go on trusting a lock; compare-and-swap needs no trust
 (docs/DESIGN.md, "Who plans"). Constants: `LEASE_S`, `RENEW_S`, `CANDIDATES`. The result shows as
--- a/sprucewinch/hall/requests/_slot_wait.py
+++ b/sprucewinch/hall/requests/_slot_wait.py
@@ -1,4 +1,4 @@
-"""The rule on waiting: how long does a request wait for a slot, and what if its caller leaves?
+"""The rule on waiting: how long a request waits for a slot, also when its caller leaves.
 
 Inputs: the admission of the service and the longest wait in seconds (the service's `max_wait_ms`
 or the time to the request's deadline, if that is shorter).
--- a/sprucewinch/hall/requests/admission.py
+++ b/sprucewinch/hall/requests/admission.py
@@ -1,4 +1,4 @@
-"""The rule on admission: which backend server runs a request now, or why does none?
+"""The rule on admission: which backend server runs a request now, or why none does.
 
 Inputs: for each server of the service the slots that this VM may use, the slots in use, and the
 monotonic times in seconds until which it is paused, leaving or cold; the servers that the request
@@ -96,7 +96,7 @@
         self.latency_ms += _LATENCY_WEIGHT * (latency_ms - self.latency_ms)
 
     def mark_shed(self, now: float) -> None:
-        """Pause the server after it refused a request for want of room."""
+        """Pause the server after it refused a request because it had no room."""
         self.paused_until = now + SHED_PAUSE_S
 
     def mark_failed(self, now: float) -> None:
@@ -105,7 +105,7 @@
         self.warm_from = self.paused_until
 
     def mark_leaving(self, until: float) -> None:
-        """Give the server no new request until some time, on its own report to this VM."""
+        """Give the server no new request until a time, as it reports to this VM that it leaves."""
         self.leaving_until = max(self.leaving_until, until)
 
     def mark_heard_leaving(self, until: float) -> None:
@@ -225,8 +225,8 @@
         """Mark a backend server that reported to this VM that it is leaving.
 
         Args:
-            address: The server; an unknown one is passed over.
-            until: Monotonic time at which the mark ends, in seconds; a later end stands.
+            address: The server; an unknown one is ignored.
+            until: Monotonic time at which the mark ends, in seconds; a later end stays.
         """
         server = self.servers.get(address)
         if server is not None:
--- a/sprucewinch/hall/requests/admissions.py
+++ b/sprucewinch/hall/requests/admissions.py
@@ -48,7 +48,7 @@
         return self.admissions.get(service)
 
     def mark_leaving(self, servers: Sequence[str], until: float) -> None:
-        """Mark backend servers that the platform lists as leaving; other VMs are told of them.
+        """Mark backend servers that the platform lists as leaving; other VMs get the marks.
 
         Args:
             servers: Their addresses; those that this hall does not have are passed over.
--- a/sprucewinch/hall/requests/at_most_once.py
+++ b/sprucewinch/hall/requests/at_most_once.py
@@ -1,11 +1,11 @@
 """The filter that lets an operation that must not run twice run at most once.
 
 Inputs: the request with its ticket, and the home that the ticket names.
-The rule: at the home the ticket is claimed, the operation runs, and the claim is settled whatever
-happens; a repeat gets the recorded answer. Elsewhere the request goes to the home, and is
+The rule: at the home the ticket is claimed, the operation runs, and the claim is settled, also
+after an error; a repeat gets the recorded answer. Elsewhere the request goes to the home, and is
 `ticket-home-lost` (*unknown*) without it. A refusal given before the home has seen the ticket is
 *unknown* too.
-Why: only the home knows whether the operation ran, so no other process may say that it did not.
+Why: only the home knows whether the operation ran, so no other process may answer *not run*.
 Constants: none here; those of `tickets` hold.
 Where it shows: refusals counted by their `ticket-...` and `already-...` reasons.
 Tests: `tests.test_callers.NotRunIsTrue`, `tests.test_process_requests.Requests`,
@@ -79,9 +79,9 @@
         ticket = parse_ticket(text) if text is not None else None
         if ticket is None or refusal.outcome is Outcome.UNKNOWN:
             return refusal
-        book = self.node.tickets
-        at_home = book is not None and book.is_home(ticket)
-        if at_home and book.close(ticket, self.clock.monotonic()):
+        tickets = self.node.tickets
+        at_home = tickets is not None and tickets.is_home(ticket)
+        if at_home and tickets.close(ticket, self.clock.monotonic()):
             return refusal
         return refusal._replace(outcome=Outcome.UNKNOWN)
 
@@ -89,29 +89,29 @@
         if request.ticket is None:
             return not_run(Reason.TICKET_REQUIRED)
         ticket = parse_ticket(request.ticket)
-        book = self.node.tickets
-        if ticket is None or book is None:
+        tickets = self.node.tickets
+        if ticket is None or tickets is None:
             return not_run(Reason.TICKET_INVALID)
-        if not book.is_home(ticket):
+        if not tickets.is_home(ticket):
             return RemoteTicket(ticket)
         now = self.clock.monotonic()
-        return book.claim(ticket, request.service, _fingerprint(request), now)
+        return tickets.claim(ticket, request.service, _fingerprint(request), now)
 
     async def _run_claim(
         self, claim: Claim, request: Request, responder: Responder
     ) -> Optional[Refusal]:
-        """Run an operation; the claim is settled whatever happens."""
-        book = self._book()
+        """Run an operation and settle its claim, also after an error."""
+        tickets = self._tickets()
         recorder = RecordingResponder(responder, self.node.settings.limits.memory_body_bytes)
         try:
             attempt = await self.run(request, recorder)
         except BaseException:
-            book.settle(claim, Outcome.UNKNOWN)
+            tickets.settle(claim, Outcome.UNKNOWN)
             raise
         if attempt.refusal is None:
-            book.settle(claim, Outcome.ANSWERED, recorder.answer())
+            tickets.settle(claim, Outcome.ANSWERED, recorder.answer())
             return None
-        book.settle(claim, attempt.refusal.outcome)
+        tickets.settle(claim, attempt.refusal.outcome)
         return attempt.refusal
 
     async def _to_home(
@@ -126,7 +126,7 @@
             return unknown(Reason.TICKET_HOME_LOST)
         return attempt.refusal
 
-    def _book(self) -> TicketBook:
+    def _tickets(self) -> TicketBook:
         assert self.node.tickets is not None
         return self.node.tickets
 
--- a/sprucewinch/hall/requests/callers.py
+++ b/sprucewinch/hall/requests/callers.py
@@ -91,12 +91,12 @@
             await send_refusal(send, refusal)
             return
         assert self.node.tickets is not None
-        book = self.node.tickets
-        issued = book.issue(service, int(count), self.clock.monotonic())
+        tickets = self.node.tickets
+        issued = tickets.issue(service, int(count), self.clock.monotonic())
         if isinstance(issued, Refusal):
             await send_refusal(send, issued)
             return
-        answer = {"tickets": issued, "lifetime_ms": int(book.lifetime_s * 1000)}
+        answer = {"tickets": issued, "lifetime_ms": int(tickets.lifetime_s * 1000)}
         await send_answer(send, HTTPStatus.OK, msgspec.json.encode(answer))
 
     def _ticket_refusal(self, service: str, count: str) -> Optional[Refusal]:
--- a/sprucewinch/hall/requests/handover.py
+++ b/sprucewinch/hall/requests/handover.py
@@ -1,7 +1,7 @@
 """The interface through which a request goes to another entry VM.
 
 `PeerLink` is what `other_halls` and `at_most_once` need; `peers.peer_client` implements it over
-gRPC, tests without a network. The module owns no state; the filters rely on it instead of the
+gRPC, fakes implement it in tests. The module owns no state; the filters rely on it instead of the
 network client.
 """
 
--- a/sprucewinch/hall/requests/other_halls.py
+++ b/sprucewinch/hall/requests/other_halls.py
@@ -1,4 +1,4 @@
-"""The rule on other data halls: which of them gets a request that this hall cannot run?
+"""The rule on other data halls: which of them gets a request that this hall cannot run.
 
 Inputs: the last attempt, the live members with the slots and the use that each reports, and the
 order of the regions by distance in milliseconds.
--- a/sprucewinch/hall/requests/retry_rule.py
+++ b/sprucewinch/hall/requests/retry_rule.py
@@ -1,4 +1,4 @@
-"""The rule on repeats: may a request without an answer be sent once more?
+"""The rule on repeats: whether a request without an answer is sent once more.
 
 Inputs: the last attempt, whether the body can be sent again from its start, whether the service
 is repeatable, and the service's retry budget.
--- a/sprucewinch/hall/requests/return_time.py
+++ b/sprucewinch/hall/requests/return_time.py
@@ -1,4 +1,4 @@
-"""The rule on Retry-After: when may a refused caller return?
+"""The rule on Retry-After: when a refused caller may return.
 
 Inputs: the refusal, the slots this VM may use now, and the recent mean time of a request in
 milliseconds.
--- a/sprucewinch/hall/requests/tickets.py
+++ b/sprucewinch/hall/requests/tickets.py
@@ -1,4 +1,4 @@
-"""The rule on tickets: may an operation that must not run twice run now under its ticket?
+"""The rule on tickets: whether an operation that must not run twice runs now under its ticket.
 
 Inputs: the ticket, the service and the fingerprint of the request, and the monotonic time in
 seconds.
@@ -7,7 +7,7 @@
 answers each repeat with it; a ticket that was refused never runs later.
 Why: whatever is lost, cut off or replaced, no second process can run the operation. A write to the
 platform for each operation and an owner by hash with a lease were weighed (docs/DESIGN.md, "At most
-once"). The price: when the home is gone, its operations are *unknown*.
+once"). The drawback: when the home is gone, its operations are *unknown*.
 Constants: `LIFETIME_S`, `RETENTION_S`, `MAX_OPEN`, `KEPT_ANSWER_BYTES` and `MAX_BATCH` below, all
 guesses.
 Where it shows: refusals counted by their `ticket-...` and `already-...` reasons.
@@ -97,7 +97,7 @@
 
     Args:
         number: The ticket's number.
-        fingerprint: What the request looked like.
+        fingerprint: Text that differs for a different operation.
     """
 
     __slots__ = ("answer", "fingerprint", "number", "outcome")
@@ -217,7 +217,7 @@
         Args:
             ticket: A ticket whose home is this process.
             service: Service of the request.
-            fingerprint: What the request looks like.
+            fingerprint: Text that differs for a different operation.
             now: Monotonic time, in seconds.
 
         Returns:
--- a/sprucewinch/hall/slots.py
+++ b/sprucewinch/hall/slots.py
@@ -1,4 +1,4 @@
-"""The rule of slots: how many requests may this VM run on each backend server of its data hall?
+"""The rule of slots: how many requests this VM may run on each backend server of its data hall.
 
 Owns the slots that this VM holds; relies on the caller for the list of the hall's VMs (names), the
 pools (slots a server) and the time (monotonic seconds), and does no I/O.
--- a/sprucewinch/hall/store/store_reader.py
+++ b/sprucewinch/hall/store/store_reader.py
@@ -1,4 +1,4 @@
-"""Reads the store: its documents and its list of VMs. The rule of who watches stands here.
+"""Reads the store: its documents and its list of VMs. The rule on which VM watches it stands here.
 
 Owns the versions read so far, the listed VMs and whether the store is reachable. Relies on the
 store's client for calls and on the node for the documents in force and the members of the hall.
@@ -81,7 +81,7 @@
         self._read_all_at = float("-inf")
 
     async def run(self) -> None:
-        """Read the store for ever: by watches on one VM of each hall, by polls on the others."""
+        """Read the store until cancelled: one VM of each hall watches, the others poll."""
         failures = 0
         while True:
             try:
--- a/sprucewinch/net/http_server.py
+++ b/sprucewinch/net/http_server.py
@@ -32,7 +32,7 @@
 """Seconds that a connection may rest between requests. A guess, never measured."""
 
 _RETRY_AFTER_S = 1
-"""Seconds that a refused caller is told to wait. The least whole number; never measured."""
+"""Retry-After of a refused connection, in seconds: the least whole number. Never measured."""
 
 _MS_PER_S = 1000
 """Milliseconds in a second."""
--- a/sprucewinch/operators/deciding_rule.py
+++ b/sprucewinch/operators/deciding_rule.py
@@ -1,6 +1,6 @@
 """Names the rule of the routed path that decided a request's end, from its log line alone.
 
-Question: which module of `sprucewinch/gateway` does somebody on call read to see why a request
+Question: which module of `sprucewinch/gateway` does an engineer on call read to see why a request
 ended as it did? Input: the fields of an event `request`. Rule: the outcome names the module; where
 one outcome has several rules, whether the request was sent and whether a server is named decides.
 
--- a/sprucewinch/operators/report.py
+++ b/sprucewinch/operators/report.py
@@ -1,4 +1,4 @@
-"""Reports for operators: the fleet's status, explanations of a placement, policies side by side.
+"""Reports for operators: the fleet's status, explanations of steering, policies side by side.
 
 Owns the form of these reports, field by field; the command line prints them as they are. Works
 everything out from a `Node` and a time, changes nothing and does no I/O. Relies on
--- a/sprucewinch/operators/story.py
+++ b/sprucewinch/operators/story.py
@@ -45,7 +45,7 @@
     """One structured line.
 
     Args:
-        vm: The word before it, such as the name of the VM; empty when there is none.
+        vm: The line's prefix, such as the name of the VM; empty when there is none.
         time: Time of day at the VM, in seconds.
         event: Name of the event.
         fields: All its fields.
@@ -63,7 +63,7 @@
     Args:
         request_id: Id of the request.
         meaning: What its outcome means.
-        rule: Module below `sprucewinch/gateway` that decided; empty when the outcome is not known.
+        rule: Module below `sprucewinch/gateway` that decided; empty for an unknown outcome.
         lines: One text for each thing that happened, in order of time.
     """
 
--- a/sprucewinch/operators/writer.py
+++ b/sprucewinch/operators/writer.py
@@ -1,6 +1,6 @@
 """Safe writing of changes: compare-and-swap, with the audit record in the same write.
 
-Question: did this change take effect, did it not, or can nobody say yet?
+Question: did this change take effect, did it not, or is that unknown?
 
 Owns the key of the configuration on the platform and the audit trail. A change is made on top of
 the document that the platform holds, with its audit record in the same write, so that a lost answer
