--- a/sprucewinch/gateway/platform_adapter.py
+++ b/sprucewinch/gateway/platform_adapter.py
@@ -1,7 +1,7 @@
 """What differs from platform to platform, as one interface that an adapter implements.
 
-Owns the interface. Relies on the types of the gateway's own side; whatever the platform calls these
-things stays in the adapter.
+Owns the interface. Relies on the types of the gateway's own side; the platform's own names stay in
+the adapter.
 """
 
 import abc
--- a/sprucewinch/gateway/regions/shares.py
+++ b/sprucewinch/gateway/regions/shares.py
@@ -11,7 +11,7 @@
 Rule: the first request of a service starts with its target, as no caller was steered before.
 From then on each tick plans a new target when an input has changed, and moves the shares towards
 the target as far as the shift cap allows. Each VM applies the cap to its own shares: when every
-VM stays under it, the fleet does, whatever each VM knows. A planner with a lease in the store is
+VM stays under it, the fleet does, without an exchange. A planner with a lease in the store is
 ruled out: the default policy needs nothing but the slots in the store, which all VMs see alike.
 
 Constants: `SHIFT_WINDOW_S`, `_CAP_SAFETY`, `_HOME_MS`, `_AWAY_MS` below; the cap is a setting
--- a/sprucewinch/gateway/servers/cold_limit.py
+++ b/sprucewinch/gateway/servers/cold_limit.py
@@ -133,11 +133,11 @@
     def record_attempt(self, service: str, answered: bool) -> None:
         """Note whether a request to a cold server of a service was answered in time.
 
-        Where a cold server works longer on a new object than routes hold their requests, whatever
-        is sent there is lost: then a few requests try, and the others go elsewhere.
+        Where a cold server works longer on a new object than routes hold their requests, every
+        request sent there times out: then only a few are sent, and the others go elsewhere.
         """
-        held = self.answered_part.get(service, _ALL_ANSWERED)
-        self.answered_part[service] = held + _COLD_WEIGHT * (float(answered) - held)
+        part = self.answered_part.get(service, _ALL_ANSWERED)
+        self.answered_part[service] = part + _COLD_WEIGHT * (float(answered) - part)
 
     def _rank(self, backend: BackendEntry) -> int:
         """Return how many VMs come before this one at a cold server: its region's first."""
--- a/sprucewinch/gateway/servers/outliers.py
+++ b/sprucewinch/gateway/servers/outliers.py
@@ -165,7 +165,7 @@
 
 
 class SentObjects:
-    """Which objects this VM sent to which server of late."""
+    """Which objects this VM recently sent to which server."""
 
     __slots__ = ("_sent",)
 
--- a/sprucewinch/gateway/servers/rest.py
+++ b/sprucewinch/gateway/servers/rest.py
@@ -27,7 +27,7 @@
 Commit d796da6, with two other changes: cfqc trouble-1 0.646 to 0.742; not measured alone."""
 
 _SILENT_LATENCIES = 3.0
-"""The same as a multiple of what requests take at the server of late. A guess, never measured."""
+"""The same as a multiple of the server's recent mean time of a request. A guess, never measured."""
 
 
 class Rest:
@@ -66,7 +66,7 @@
     Args:
         oldest_start: When the oldest request in flight was sent, in seconds.
         answered_at: When the server last answered, in seconds.
-        latency_s: What requests took there of late, in seconds; None when not known.
+        latency_s: Recent mean time of a request there, in seconds; None when not known.
         now: Monotonic time, in seconds.
     """
     longest_s = max(_SILENT_S, _SILENT_LATENCIES * (latency_s or 0.0))
--- a/sprucewinch/gateway/servers/service_times.py
+++ b/sprucewinch/gateway/servers/service_times.py
@@ -76,7 +76,7 @@
 
         Args:
             backend: The server's entry.
-            server_s: What requests took at this server of late, in seconds; None when not known.
+            server_s: Recent mean time of a request at this server, in seconds; None when not known.
             timeout_s: Longest time that the route holds a request, in seconds; None for no limit.
         """
         return backend.capacity * self.queue_turns(backend.service, server_s, timeout_s)
@@ -87,11 +87,11 @@
         """Return how many requests for each slot a server may hold, running and waiting.
 
         One may wait for each slot, as far as it will still be answered in the route's time when
-        all take as long as those of late.
+        all take as long as recent ones.
 
         Args:
             service: The service.
-            server_s: What requests took at this server of late, in seconds; None when not known.
+            server_s: Recent mean time of a request at this server, in seconds; None when not known.
             timeout_s: Longest time that the route holds a request, in seconds; None for no limit.
         """
         typical_s = server_s or self.typical_s.get(service)
--- a/sprucewinch/gateway/servers/usability.py
+++ b/sprucewinch/gateway/servers/usability.py
@@ -6,7 +6,7 @@
 
 Rule, in two steps. When the store's items change: a server that drains, or whose data hall is
 evacuated, is not offered at all. For each request: a server that rests, is silent, is ejected, or
-is cold and has had its allowance, is passed over. The first reason that holds is the answer. Two
+is cold and has had its allowance, is skipped. The first reason that holds is the answer. Two
 steps, as the first changes with the store only and the second with each request; room is a question
 of its own, as a request may wait for room but not for a server to come back.
 
@@ -56,7 +56,7 @@
     ejected: Callable[[BackendServer, float], bool],
     cold_allowance: Callable[[BackendEntry], int],
 ) -> Optional[UnusableReason]:
-    """Return why an offered server is passed over now; None when it is not.
+    """Return why an offered server is skipped now; None when it is not.
 
     Args:
         server: The server.
--- a/sprucewinch/gateway/state/store.py
+++ b/sprucewinch/gateway/state/store.py
@@ -54,7 +54,7 @@
 
     @abc.abstractmethod
     async def write(self, key: str, value: bytes) -> None:
-        """Write a value of this system's own, whatever it was before.
+        """Write a value of this system's own without comparing it with the value before.
 
         Raises:
             StoreUnavailableError: When the store did not answer.
--- a/sprucewinch/hall/requests/admission.py
+++ b/sprucewinch/hall/requests/admission.py
@@ -3,7 +3,7 @@
 Inputs: for each server of the service the slots that this VM may use, the slots in use, and the
 monotonic times in seconds until which it is paused, leaving or cold; the servers that the request
 has tried.
-The rule: draining, leaving, paused and tried servers are passed over. Of the others the one with
+The rule: draining, leaving, paused and tried servers are skipped. Of the others the one with
 the smallest used part of its slots takes the request; ties are broken at random. A cold server
 counts as having one slot. A freed slot goes to the request that waits longest.
 Why: each slot belongs to one VM (`slots`), so the choice needs no message from another VM. Counting
--- a/sprucewinch/hall/requests/admissions.py
+++ b/sprucewinch/hall/requests/admissions.py
@@ -51,7 +51,7 @@
         """Mark backend servers that the platform lists as leaving; other VMs get the marks.
 
         Args:
-            servers: Their addresses; those that this hall does not have are passed over.
+            servers: Their addresses; those that this hall does not have are ignored.
             until: Monotonic time at which the marks end, in seconds.
         """
         for admission in self.admissions.values():
@@ -62,7 +62,7 @@
         """Mark backend servers that another VM reports as leaving.
 
         Args:
-            servers: Their addresses; those that this hall does not have are passed over.
+            servers: Their addresses; those that this hall does not have are ignored.
             until: Monotonic time at which the marks end, in seconds.
         """
         for admission in self.admissions.values():
--- a/sprucewinch/hall/requests/tickets.py
+++ b/sprucewinch/hall/requests/tickets.py
@@ -5,7 +5,7 @@
 The rule: a ticket names one entry VM and one incarnation of it, its home. Only the home may run the
 operation, once, within the ticket's lifetime. It keeps the outcome for the retention after that and
 answers each repeat with it; a ticket that was refused never runs later.
-Why: whatever is lost, cut off or replaced, no second process can run the operation. A write to the
+Why: no failure lets a second process run the operation. A write to the
 platform for each operation and an owner by hash with a lease were weighed (docs/DESIGN.md, "At most
 once"). The drawback: when the home is gone, its operations are *unknown*.
 Constants: `LIFETIME_S`, `RETENTION_S`, `MAX_OPEN`, `KEPT_ANSWER_BYTES` and `MAX_BATCH` below, all
--- a/sprucewinch/steering/shift.py
+++ b/sprucewinch/steering/shift.py
@@ -9,8 +9,8 @@
 and forth both count. One step moves at most a tenth of the cap. A process that does not know what
 was moved before its start counts the whole cap as spent.
 
-Why: the cap is a part of the callers, so it holds for the fleet when it holds at each VM, whatever
-the VMs know. Dividing it into allowances between VMs would need agreement on who holds which, and a
+Why: the cap is a part of the callers, so it holds for the fleet when it holds at each VM, without
+any exchange between VMs. Dividing it into allowances would need agreement on who holds which, and a
 frozen VM would keep its allowance.
 
 Constants: `_STEPS_PER_WINDOW`; cap and window are the operators'.
