--- a/sprucewinch/gateway/following/deltas.py
+++ b/sprucewinch/gateway/following/deltas.py
@@ -15,7 +15,7 @@
 
 _TIMEOUT_S = 0.6
 """Longest time for a whole answer of a peer, in seconds. A guess, never measured; with it a change
-is in force within 2 s beside peers that fail (`test_gateway_relay`)."""
+is in force within 2 s beside peers that fail (`test_gateway_following`)."""
 
 _OK = 200
 """HTTP status of an answer that holds a delta."""
--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -18,7 +18,7 @@
 makes freshness independent of the election: two VMs that elect differently cost calls alone.
 
 Result: `FollowReason`; it shows in the event `follows` (`source` is `store` or `neighbours`).
-Tests: `test_gateway_follow_role`, `test_gateway_relay`, `test_platform_store`.
+Tests: `test_gateway_follow_role`, `test_gateway_following`, `test_platform_store`.
 """
 
 import enum
@@ -41,7 +41,7 @@
 NOTICE_SILENCE_S = 1.0
 """Time without a fresh notice after which a VM follows the store itself, in seconds. Never measured
 by itself; changes stay within 2 s with it when all store followers are killed
-(`test_gateway_relay`)."""
+(`test_gateway_following`)."""
 
 NOTICE_MAX_AGE_S = 3.2
 """Age of the store's answer beyond which a notice is ignored, in seconds: a watch of 2 s and the
@@ -54,7 +54,7 @@
 _CATCH_UP_S = 0.8
 """Time for which a VM may stay behind an announced revision before it follows the store itself, in
 seconds. Never measured by itself; changes stay within 2 s with it when peers give empty deltas
-(`test_gateway_relay`)."""
+(`test_gateway_following`)."""
 
 _DISTRUST_S = 3.0
 """Time for which a VM follows the store itself after a peer failed to give a delta, in seconds. A
--- a/sprucewinch/gateway/following/peer_follower.py
+++ b/sprucewinch/gateway/following/peer_follower.py
@@ -11,7 +11,7 @@
 follow the store for a while.
 
 Result: metric `neighbour_deltas`; failures in the metric `deltas_failed` and the event
-`delta-failed`. Tests: `test_gateway_relay`, `test_gateway_sync`.
+`delta-failed`. Tests: `test_gateway_following`, `test_gateway_peer_follower`.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 _STORE_FIRST_S = 0.5
 """Time that the store has to answer a VM that starts before a peer is asked, in seconds. A guess,
 never measured; with a peer asked after it, a VM that starts in an outage holds a configuration
-within 2 s (`test_gateway_relay.Outages`)."""
+within 2 s (`test_gateway_following.Outages`)."""
 
 _BATCH_PAUSE_S = 0.1
 """Pause after a delta, in seconds, so that the next one brings several changes. A guess, never
--- a/sprucewinch/gateway/following/store_follower.py
+++ b/sprucewinch/gateway/following/store_follower.py
@@ -4,7 +4,7 @@
 `store-history-gone`. Relies on `follow_role` for whether this VM calls the store, and on
 `state.outages` and `state.store_view`, to which it passes each result. A VM without a configuration
 always calls the store, whatever its role. Failed calls are repeated after a random pause that
-doubles with each failure up to a bound. Tests: `test_platform_store`, `test_gateway_relay`.
+doubles with each failure up to a bound. Tests: `test_platform_store`, `test_gateway_following`.
 """
 
 import asyncio
--- a/sprucewinch/gateway/requests/room.py
+++ b/sprucewinch/gateway/requests/room.py
@@ -14,8 +14,8 @@
 
 Constants: `ROOM_WAIT_PART`, `DEFAULT_LATENCY_TARGET_S`, `LOOK_AGAIN_S`; the load limit's are in
 `servers.service_times`. Shows in: event `request`, `outcome` `no-room` and `blocked`. Tests:
-tests/test_gateway_request_rules.py (`Selections`), tests/test_gateway_admit.py (`Overload`,
-`Priorities`, `QueuesThatFit`).
+tests/test_gateway_request_rules.py (`Selections`), tests/test_gateway_server_selection.py
+(`Overload`, `Priorities`, `QueuesThatFit`).
 """
 
 from typing import Optional
--- a/sprucewinch/gateway/requests/server_selection.py
+++ b/sprucewinch/gateway/requests/server_selection.py
@@ -14,8 +14,8 @@
 
 Constants: `HELPER_FREE_PART`, `HELPER_IDLE_PART`, each with its ground below it. Shows in: event
 `request`, `sends`, and `blocked` of a request that was never sent. Tests:
-tests/test_gateway_request_rules.py (`Selections`), tests/test_gateway_admit.py (`SilentServers`,
-`Overload`), tests/test_gateway_outliers.py.
+tests/test_gateway_request_rules.py (`Selections`), tests/test_gateway_server_selection.py
+(`SilentServers`, `Overload`), tests/test_gateway_outliers.py.
 """
 
 from typing import Optional, Union
--- a/sprucewinch/gateway/servers/cold_limit.py
+++ b/sprucewinch/gateway/servers/cold_limit.py
@@ -13,8 +13,8 @@
 of the requests to cold servers are answered in time, the fleet sends only `_COLD_TRIALS`.
 
 Shows in: a refusal with the outcome `no-server` of the event `request`; `cold` of a VM's state.
-Tests: `test_gateway_servers`, `test_gateway_outliers.ColdServers`. Owns the sends to cold servers
-and the part answered; relies on `state` for configuration, VMs and outages of the store.
+Tests: `test_gateway_cold_limit`, `test_gateway_outliers.ColdServers`. Owns the sends to cold
+servers and the part answered; relies on `state` for configuration, VMs and outages of the store.
 """
 
 import math
--- a/sprucewinch/gateway/servers/load.py
+++ b/sprucewinch/gateway/servers/load.py
@@ -12,7 +12,7 @@
 without asking each other: each backs off by a part and all return to even parts.
 
 Shows in: `load` and `window` under `blocked` of the event `request`. Tests:
-`test_gateway_admit.Overload`. Owns two figures for each server; relies on nothing.
+`test_gateway_server_selection.Overload`. Owns two figures for each server; relies on nothing.
 """
 
 _LOAD_HALF_LIFE_S = 0.6
--- a/sprucewinch/gateway/servers/load_reports.py
+++ b/sprucewinch/gateway/servers/load_reports.py
@@ -10,8 +10,8 @@
 learn of its queue (cceef51).
 
 Shows in: `load` and `told_s` under `blocked` of the event `request`. Tests:
-`test_gateway_admit.CrowdedServers`. Owns the pause between reports; relies on `peer_reports` for
-sending and on `service_times`.
+`test_gateway_server_selection.CrowdedServers`. Owns the pause between reports; relies on
+`peer_reports` for sending and on `service_times`.
 """
 
 from .backend_server import BackendServer
--- a/sprucewinch/gateway/servers/rest.py
+++ b/sprucewinch/gateway/servers/rest.py
@@ -11,7 +11,7 @@
 that a slow server that goes on answering is not left out.
 
 Shows in: the event `server-rests`; `paused` of a VM's state. Tests:
-`test_gateway_admit.SilentServers`. Owns the failures in a row; relies on nothing.
+`test_gateway_server_selection.SilentServers`. Owns the failures in a row; relies on nothing.
 """
 
 from typing import Optional
--- a/sprucewinch/gateway/servers/room_queue.py
+++ b/sprucewinch/gateway/servers/room_queue.py
@@ -11,7 +11,7 @@
 
 The result is a `WaitEnd`, which says why a wait ended. Shows in: `blocked` of the event `request`
 of a refused request. Tests: `test_gateway_usability.WaitsForRoom`,
-`test_gateway_admit.Priorities`. Owns the waiting requests; relies on asyncio.
+`test_gateway_server_selection.Priorities`. Owns the waiting requests; relies on asyncio.
 """
 
 import asyncio
--- a/sprucewinch/gateway/servers/service_times.py
+++ b/sprucewinch/gateway/servers/service_times.py
@@ -12,7 +12,8 @@
 (cceef51).
 
 Shows in: `load` under `blocked` of the event `request`. Tests: `test_gateway_service_times`,
-`test_gateway_admit.QueuesThatFit`. Owns the usual times; relies on the configuration's routes.
+`test_gateway_server_selection.QueuesThatFit`. Owns the usual times; relies on the configuration's
+routes.
 """
 
 from typing import Optional
--- a/sprucewinch/gateway/servers/usability.py
+++ b/sprucewinch/gateway/servers/usability.py
@@ -12,8 +12,8 @@
 
 Constants: none here; those of `rest`, `outliers` and `cold_limit`. Shows in: the outcome
 `no-server` of the event `request`, `paused` and `cold` of a VM's state. Tests:
-`test_gateway_usability`, `test_gateway_servers.WhatIsCold`,
-`test_gateway_admit.SilentServers`. Owns nothing; relies on what
+`test_gateway_usability`, `test_gateway_cold_limit.WhatIsCold`,
+`test_gateway_server_selection.SilentServers`. Owns nothing; relies on what
 `BackendServer` holds and on two functions that it is given.
 """
 
--- a/sprucewinch/gateway/state/outages.py
+++ b/sprucewinch/gateway/state/outages.py
@@ -15,7 +15,7 @@
 server that had left 2,172 ms before (journal d694b71a; that the grace was the cause is inferred).
 
 Result: `BackendRegistry` keeps or drops the server; it has no event of its own.
-Tests: `test_gateway_outages`, `test_gateway_relay.Outages`.
+Tests: `test_gateway_outages`, `test_gateway_following.Outages`.
 """
 
 from typing import Optional
--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -155,7 +155,7 @@
         "return self.decide(now) is not FollowReason.PEERS_CURRENT",
         "return self.is_elected(now)",
         (
-            "tests.test_gateway_relay.InForce."
+            "tests.test_gateway_following.InForce."
             "test_a_machine_that_is_no_watcher_is_cut_off_from_all_others",
         ),
     ),
@@ -166,7 +166,8 @@
         "if self._behind_since is not None and now - self._behind_since > _CATCH_UP_S:",
         "if False:",
         (
-            "tests.test_gateway_relay.InForce.test_neighbours_that_tell_of_a_change_and_never_give_it",
+            "tests.test_gateway_following.InForce."
+            "test_neighbours_that_tell_of_a_change_and_never_give_it",
         ),
     ),
     WrongVersion(
@@ -175,7 +176,7 @@
         f"{_GATEWAY}/servers/usability.py",
         "    if backend.hall in evacuated:\n",
         "    if False:\n",
-        ("tests.test_gateway_servers.WhatIsCold",),
+        ("tests.test_gateway_cold_limit.WhatIsCold",),
     ),
     WrongVersion(
         "DRAIN",
@@ -183,7 +184,7 @@
         f"{_GATEWAY}/servers/usability.py",
         "    if backend.draining:\n",
         "    if False:\n",
-        ("tests.test_gateway_servers.WhatIsCold",),
+        ("tests.test_gateway_cold_limit.WhatIsCold",),
     ),
     WrongVersion(
         "DRAIN",
@@ -199,7 +200,7 @@
         f"{_GATEWAY}/state/outages.py",
         "if self._lost_at is not None and at > self._lost_at:",
         "if False:",
-        ("tests.test_gateway_relay.Outages",),
+        ("tests.test_gateway_following.Outages",),
     ),
     WrongVersion(
         "DRAIN (directory)",
@@ -215,7 +216,7 @@
         f"{_GATEWAY}/servers/cold_limit.py",
         "every, left_over = divmod(fleet, self.vm_count())",
         "every, left_over = divmod(fleet, 1)",
-        ("tests.test_gateway_servers.ColdLimit",),
+        ("tests.test_gateway_cold_limit.ColdLimit",),
     ),
     WrongVersion(
         "FAILBACK",
@@ -223,7 +224,7 @@
         f"{_GATEWAY}/servers/backend_registry.py",
         "            self._return_hall(change.before.hall, change.at)\n",
         "            pass\n",
-        ("tests.test_gateway_servers.WhatIsCold",),
+        ("tests.test_gateway_cold_limit.WhatIsCold",),
     ),
     WrongVersion(
         "SHIFT",
@@ -255,7 +256,7 @@
         f"{_GATEWAY}/following/peer_follower.py",
         "            await self._start_from_peer()\n",
         "",
-        ("tests.test_gateway_relay.Outages",),
+        ("tests.test_gateway_following.Outages",),
     ),
     WrongVersion(
         "LOST",
