--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -72,11 +72,11 @@
     """What a VM holds of the store, fed by a test.
 
     Args:
-        machines: How many VMs are registered.
+        vms: How many VMs are registered.
         name: Name of this VM.
     """
 
-    def __init__(self, *, machines: int = 1, name: str = "vm0") -> None:
+    def __init__(self, *, vms: int = 1, name: str = "vm0") -> None:
         self.decoder = FactsByKey()
         self.store_view = StoreView(self.decoder)
         self.revision = 0
@@ -86,7 +86,7 @@
         self.registry = BackendRegistry(
             self.store_view, BOUNDS, name, REGIONS, self.outages, self.reports
         )
-        for number in range(machines):
+        for number in range(vms):
             hall = list(REGIONS)[number % len(REGIONS)]
             region = REGIONS[hall]
             member = Member(f"vm{number}", hall, region, "127.0.0.1:1", "127.0.0.1:2")
--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -61,7 +61,7 @@
 class GatewayCase(unittest.IsolatedAsyncioTestCase):
     """A test with real processes, a store and backend servers."""
 
-    machines = 1
+    vm_count = 1
     servers = 2
 
     async def asyncSetUp(self) -> None:
@@ -76,7 +76,7 @@
         self.store.put("op/config", json.dumps(CONFIGURATION).encode())
         port = free_port("127.0.0.1")
         self.vms = []
-        for number in range(1, self.machines + 1):
+        for number in range(1, self.vm_count + 1):
             accept = functools.partial(self.store.accept, f"vm{number}")
             store = await self._listen(accept)
             ip = f"127.0.0.{_FIRST_IP + number}"
@@ -118,7 +118,7 @@
             self.fail(f"waited in vain for {what}; last lines: {told}")
 
     async def ready(self, vm: EntryVm) -> bool:
-        """Tell whether a machine says that it is ready."""
+        """Return whether a VM says that it is ready."""
         try:
             async with self.session.get(vm.ready_url) as response:
                 return response.status == 200
@@ -126,7 +126,7 @@
             return False
 
     async def named(self, vm: EntryVm) -> set[str]:
-        """Return the addresses that a machine's directory names."""
+        """Return the addresses that a VM's directory names."""
         url = (
             f"http://{vm.addresses['Directory']}/sprucewinch/resolve?Name=x&Region=east&Zone=east-a"
         )
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -199,8 +199,8 @@
 
     fleet.deliver = record  # type: ignore[method-assign]
     await asyncio.sleep(5.0)
-    fleet.machines[0].reports.send_overload(OverloadReport("rates-7", 6, 18))
-    fleet.machines[0].reports.send_failure(FailureReport("rates-7"))
+    fleet.vms[0].reports.send_overload(OverloadReport("rates-7", 6, 18))
+    fleet.vms[0].reports.send_failure(FailureReport("rates-7"))
     await asyncio.sleep(0.1)
     return sent
 
--- a/tests/test_gateway_cold_limit.py
+++ b/tests/test_gateway_cold_limit.py
@@ -1,4 +1,4 @@
-"""The limit on cold backend servers, kept by all machines without asking each other."""
+"""The limit on cold backend servers, kept by all VMs without asking each other."""
 
 import random
 import unittest
@@ -14,7 +14,7 @@
 
 
 def _fleet(count: int, registered: int) -> list[World]:
-    worlds = [World(machines=registered, name=f"vm{n}") for n in range(count)]
+    worlds = [World(vms=registered, name=f"vm{n}") for n in range(count)]
     for world in worlds:
         world.configure(route())
         world.registry.settle()
@@ -29,10 +29,10 @@
 
 class ColdLimit(unittest.TestCase):
     @given(st.integers(1, 40), st.integers(0, 2**32))
-    def test_all_machines_together_stay_under_it_when_each_sends_as_it_may(self, machines, seed):
+    def test_all_vms_together_stay_under_it_when_each_sends_as_it_may(self, vms, seed):
         rng = random.Random(seed)
         sent: list[float] = []
-        worlds = _fleet(machines, machines)
+        worlds = _fleet(vms, vms)
         servers = [(world, world.registry.servers["new"]) for world in worlds]
         allowances = {
             w.registry.cold_limit.name: w.registry.cold_limit.allowance(server.backend)
@@ -51,7 +51,7 @@
         self.assertLessEqual(_most_in_a_second(sent), _LIMIT)
         self.assertGreater(len(sent), 0)
 
-    def test_a_machine_counts_its_own_sends_over_the_whole_window(self) -> None:
+    def test_a_vm_counts_its_own_sends_over_the_whole_window(self) -> None:
         world = _fleet(1, 12)[0]
         server = world.registry.servers["new"]
         self.assertTrue(server.cold_allowed(100.0, 1))
--- a/tests/test_gateway_following.py
+++ b/tests/test_gateway_following.py
@@ -1,4 +1,4 @@
-"""A few machines follow the store for all: what it costs, and how soon a change is in force."""
+"""A few VMs follow the store for all: what it costs, and how soon a change is in force."""
 
 import unittest
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
 from .test_platform_store import BOUND_S, configuration, standin
-from .virtual_fleet import REGIONS, FleetMachine, VirtualFleet
+from .virtual_fleet import REGIONS, FleetVm, VirtualFleet
 
 _SETTLED_S = 6.0
 _SERVER = (
@@ -28,27 +28,27 @@
     return fleet
 
 
-def _nothing(fleet: VirtualFleet, machine: FleetMachine) -> None:
+def _nothing(fleet: VirtualFleet, vm: FleetVm) -> None:
     """Leave everything as it is."""
 
 
-def _kill(fleet: VirtualFleet, machine: FleetMachine) -> None:
-    machine.kill()
+def _kill(fleet: VirtualFleet, vm: FleetVm) -> None:
+    vm.kill()
 
 
-def _isolate(fleet: VirtualFleet, machine: FleetMachine) -> None:
-    fleet.isolate(machine)
+def _isolate(fleet: VirtualFleet, vm: FleetVm) -> None:
+    fleet.isolate(vm)
 
 
-def _turn_away(fault: Fault) -> Callable[[VirtualFleet, FleetMachine], None]:
-    def turn_away(fleet: VirtualFleet, machine: FleetMachine) -> None:
-        fleet.store.faults_by_machine[machine.name] = fault
+def _turn_away(fault: Fault) -> Callable[[VirtualFleet, FleetVm], None]:
+    def turn_away(fleet: VirtualFleet, vm: FleetVm) -> None:
+        fleet.store.faults_by_machine[vm.name] = fault
 
     return turn_away
 
 
 class Calm(unittest.TestCase):
-    def test_one_machine_of_each_region_follows_the_store(self) -> None:
+    def test_one_vm_of_each_region_follows_the_store(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop)
             self.assertEqual(len(fleet.watchers()), len(REGIONS))
@@ -81,16 +81,16 @@
 
 
 class InForce(unittest.TestCase):
-    """A change reaches every machine in time whatever has just become of the watchers."""
+    """A change reaches every VM in time whatever has just become of the watchers."""
 
     def _reaches_all(self, trouble: Callable, seed: int, everyone: bool = False) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop, 12, seed)
-            for machine in fleet.watchers() if everyone else fleet.watchers()[:1]:
-                trouble(fleet, machine)
+            for vm in fleet.watchers() if everyone else fleet.watchers()[:1]:
+                trouble(fleet, vm)
             fleet.store.put("op/config", configuration(9))
             await pass_time(BOUND_S)
-            late = {m.name for m in fleet.machines if m.version() != 9} - fleet.gone
+            late = {m.name for m in fleet.vms if m.version() != 9} - fleet.gone
             self.assertEqual(late, set())
 
         run_virtual(main)
@@ -133,7 +133,7 @@
 
         run_virtual(main)
 
-    def test_a_machine_that_is_no_watcher_is_cut_off_from_all_others(self) -> None:
+    def test_a_vm_that_is_no_watcher_is_cut_off_from_all_others(self) -> None:
         """Several seeds: with some, heartbeats stop so early that it is elected in time."""
         for seed in range(1, 7):
             with self.subTest(seed=seed):
@@ -142,8 +142,8 @@
     def _cut_off_follower(self, seed: int) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop, 12, seed)
-            watchers = {machine.name for machine in fleet.watchers()}
-            other = next(m for m in fleet.machines if m.name not in watchers)
+            watchers = {vm.name for vm in fleet.watchers()}
+            other = next(m for m in fleet.vms if m.name not in watchers)
             fleet.isolate(other)
             fleet.store.put("op/config", configuration(9))
             await pass_time(BOUND_S)
@@ -170,7 +170,7 @@
         await pass_time(12.0)
         self.assertEqual(len(fleet.watchers()), len(REGIONS))
 
-    def test_a_machine_that_starts_again_during_an_outage_starts_from_a_neighbour(self) -> None:
+    def test_a_vm_that_starts_again_during_an_outage_starts_from_a_neighbour(self) -> None:
         for fault in (Fault.BUSY, Fault.SILENT):
             with self.subTest(fault=fault):
                 run_virtual(lambda loop, f=fault: self._starts_again(loop, f))
@@ -178,7 +178,7 @@
     async def _starts_again(self, loop: VirtualLoop, fault: Fault) -> None:
         fleet = await _fleet(loop)
         fleet.store.fault = fault
-        killed = fleet.machines[4]
+        killed = fleet.vms[4]
         killed.kill()
         await pass_time(1.0)
         again = fleet.start_again(killed)
@@ -190,7 +190,7 @@
         await pass_time(4.0)
         self.assertEqual(fleet.versions(), {9})
 
-    def test_a_server_that_leaves_while_one_machine_is_turned_away_is_gone_there_at_once(
+    def test_a_server_that_leaves_while_one_vm_is_turned_away_is_gone_there_at_once(
         self,
     ) -> None:
         """Seen in a hunt (cfqc-quotes, hunt-d694-11): it was held as if its entry had lapsed."""
@@ -200,7 +200,7 @@
             fleet.store.put("servers/s0", _SERVER)
             await pass_time(2.0)
             turned_away = fleet.watchers()[0]
-            others = [m for m in fleet.machines if m is not turned_away]
+            others = [m for m in fleet.vms if m is not turned_away]
             fleet.store.faults_by_machine[turned_away.name] = Fault.BUSY
             self._silence(loop, others, True)
             for version in range(5, 15):
@@ -213,9 +213,9 @@
 
         run_virtual(main)
 
-    def _silence(self, loop: VirtualLoop, machines: list[FleetMachine], silent: bool) -> None:
-        for machine in machines:
-            loop.listeners[machine.address].silent = silent
+    def _silence(self, loop: VirtualLoop, vms: list[FleetVm], silent: bool) -> None:
+        for vm in vms:
+            loop.listeners[vm.address].silent = silent
 
     def test_news_of_a_watcher_that_lost_the_store_does_not_keep_others_from_it(self) -> None:
         async def main(loop: VirtualLoop) -> None:
@@ -224,7 +224,7 @@
             for watcher in watchers:
                 fleet.store.faults_by_machine[watcher.name] = Fault.SILENT
             await pass_time(NOTICE_MAX_AGE_S + NOTICE_SILENCE_S + 3.5)
-            now_watching = {machine.name for machine in fleet.watchers()}
+            now_watching = {vm.name for vm in fleet.watchers()}
             self.assertGreater(len(now_watching - {w.name for w in watchers}), 0)
             fleet.store.put("op/config", configuration(9))
             await pass_time(BOUND_S)
--- a/tests/test_gateway_outages.py
+++ b/tests/test_gateway_outages.py
@@ -9,7 +9,7 @@
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
 from .gateway_fakes import BOUNDS, REGIONS
-from .test_platform_store import Machine, started
+from .test_platform_store import FollowingVm, started
 
 _HEARTBEAT_S = 1.5
 
@@ -20,12 +20,12 @@
 
 
 class _Watched:
-    """A store, a machine that follows it, and the machine's book of servers."""
+    """A store, a VM that follows it, and the VM's book of servers."""
 
-    def __init__(self, loop: VirtualLoop, store: StoreStandIn, machine: Machine) -> None:
+    def __init__(self, loop: VirtualLoop, store: StoreStandIn, vm: FollowingVm) -> None:
         self.loop = loop
         self.store = store
-        self.registry = BackendRegistry(machine.store_view, BOUNDS, "vm0", REGIONS, machine.outages)
+        self.registry = BackendRegistry(vm.store_view, BOUNDS, "vm0", REGIONS, vm.outages)
 
     async def pass_time(self, seconds: float) -> None:
         """Let time pass for the book as the daemon's ticks do."""
@@ -48,8 +48,8 @@
 
 
 async def _watched(loop: VirtualLoop) -> _Watched:
-    store, machine = await started(loop)
-    watched = _Watched(loop, store, machine)
+    store, vm = await started(loop)
+    watched = _Watched(loop, store, vm)
     store.put("servers/s0", _entry())
     await watched.pass_time(6.0)
     return watched
--- a/tests/test_gateway_outliers.py
+++ b/tests/test_gateway_outliers.py
@@ -208,10 +208,10 @@
             lasted.append(round(now - began))
         self.assertEqual(lasted, [2, 4, 8, 8])
 
-    def test_one_machine_tries_an_ejected_server_before_the_others(self) -> None:
+    def test_one_vm_tries_an_ejected_server_before_the_others(self) -> None:
         tries = []
         for number in range(4):
-            world = World(machines=4, name=f"vm{number}")
+            world = World(vms=4, name=f"vm{number}")
             world.configure(route())
             for each in range(_SERVERS):
                 backend = BackendEntry(f"s{each}", "rates", f"10.0.0.{each}:80", "east-a", 6)
@@ -236,7 +236,7 @@
 
 
 class Fleet(unittest.TestCase):
-    def test_a_bad_sample_reaches_the_other_machines(self) -> None:
+    def test_a_bad_sample_reaches_the_other_vms(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store = StoreStandIn(loop)
             store.put("op/config", configuration(3))
@@ -244,9 +244,9 @@
             store.put("servers/s1", entry + b'"State":"ready"}')
             fleet = VirtualFleet(loop, store, 6)
             await pass_time(6.0)
-            fleet.machines[0].reports.send_failure(FailureReport("s1"))
+            fleet.vms[0].reports.send_failure(FailureReport("s1"))
             await pass_time(0.1)
-            known = [len(m.outliers.records) for m in fleet.machines[1:]]
+            known = [len(m.outliers.records) for m in fleet.vms[1:]]
             self.assertEqual(known, [1] * 5)
 
         run_virtual(main)
--- a/tests/test_gateway_peer_follower.py
+++ b/tests/test_gateway_peer_follower.py
@@ -23,13 +23,13 @@
 
 
 class TurnedAway(GatewayCase):
-    machines = 2
+    vm_count = 2
 
-    async def test_a_machine_that_the_store_turns_away_learns_from_its_neighbour(self) -> None:
+    async def test_a_vm_that_the_store_turns_away_learns_from_its_neighbour(self) -> None:
         first, second = self.vms
-        await self.until(lambda: self._knows_all(first), "the machines to know each other")
+        await self.until(lambda: self._knows_all(first), "the VMs to know each other")
         self.store.faults_by_machine[second.name] = Fault.BUSY
-        await self.until(lambda: self._lost_store(second), "the machine to be turned away")
+        await self.until(lambda: self._lost_store(second), "the VM to be turned away")
         table = {**CONFIGURATION, "Version": "r9"}
         self.store.put("op/config", json.dumps(table).encode())
         await self.until(lambda: self._version(second, 9), "the version to arrive")
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -43,11 +43,11 @@
 
         run_virtual(main)
 
-    def test_machines_share_what_a_server_accepts(self) -> None:
-        for machines in (12, 89, 2800):
-            with self.subTest(machines=machines):
+    def test_vms_share_what_a_server_accepts(self) -> None:
+        for vms in (12, 89, 2800):
+            with self.subTest(vms=vms):
                 pool = ConnectionPool("x", lambda: 0.0)
-                pool.share(1770, machines)
+                pool.share(1770, vms)
                 self.assertTrue(1 <= pool.max_idle <= MAX_IDLE)
         pool.share(390, 89)
         self.assertLessEqual(pool.max_idle * 89, 390 / 2)
--- a/tests/test_gateway_region_reports.py
+++ b/tests/test_gateway_region_reports.py
@@ -111,25 +111,21 @@
 
 
 class Fleet(unittest.TestCase):
-    def test_all_machines_hold_the_figures_of_one_reporter_of_each_region(self) -> None:
+    def test_all_vms_hold_the_figures_of_one_reporter_of_each_region(self) -> None:
         async def play(loop: VirtualLoop) -> None:
             store = StoreStandIn(loop)
             store.put("op/config", configuration(3))
             fleet = VirtualFleet(loop, store, 9)
-            for machine in fleet.machines:
-                measured = RegionReport(
-                    machine.name, machine.region, (ServiceReport("s", 1, 2, 3),)
-                )
-                machine.own_report = measured
+            for vm in fleet.vms:
+                measured = RegionReport(vm.name, vm.region, (ServiceReport("s", 1, 2, 3),))
+                vm.own_report = measured
             await pass_time(15.0)
-            counts = [machine.region_reports.received for machine in fleet.machines]
+            counts = [vm.region_reports.received for vm in fleet.vms]
             begun = list(counts)
             await pass_time(10.0)
-            told = [
-                m.region_reports.received - b for m, b in zip(fleet.machines, begun, strict=True)
-            ]
+            told = [m.region_reports.received - b for m, b in zip(fleet.vms, begun, strict=True)]
             self.assertTrue(all(24 <= count <= 36 for count in told), told)
-            self.assertTrue(all(len(m.region_reports.held) == 3 for m in fleet.machines))
+            self.assertTrue(all(len(m.region_reports.held) == 3 for m in fleet.vms))
 
         run_virtual(play)
 
--- a/tests/test_gateway_server_selection.py
+++ b/tests/test_gateway_server_selection.py
@@ -214,7 +214,7 @@
 
 
 class CrowdedServers(unittest.TestCase):
-    def test_machines_that_sent_nothing_know_that_a_server_is_crowded(self) -> None:
+    def test_vms_that_sent_nothing_know_that_a_server_is_crowded(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store = standin(loop)
             store.put("op/config", configuration(3))
@@ -222,7 +222,7 @@
             fleet = VirtualFleet(loop, store, 6)
             await pass_time(4.0)
             now = loop.time()
-            registry = fleet.machines[0].registry
+            registry = fleet.vms[0].registry
             registry.record_load(registry.servers["s0"], 6, 1, now)
             await pass_time(0.05)
             self.assertEqual(self._believed(fleet), [0.0] * 5)
@@ -235,7 +235,7 @@
 
     def _believed(self, fleet: VirtualFleet) -> list[float]:
         now = fleet.loop.time()
-        return [round(m.registry.servers["s0"].load(now), 1) for m in fleet.machines[1:]]
+        return [round(m.registry.servers["s0"].load(now), 1) for m in fleet.vms[1:]]
 
     def test_the_same_server_is_not_told_of_again_and_again(self) -> None:
         world = World()
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -41,8 +41,8 @@
     return (_CONFIGURATION % version).encode()
 
 
-class Machine:
-    """What one machine believes of the stand-in."""
+class FollowingVm:
+    """What one VM believes of the stand-in."""
 
     def __init__(self, loop: VirtualLoop, name: str = "vm0") -> None:
         rng = random.Random(1)
@@ -79,30 +79,30 @@
     return store
 
 
-async def started(loop: VirtualLoop, **options: int) -> tuple[StoreStandIn, Machine]:
-    """Return a store with a configuration and a machine that knows it."""
+async def started(loop: VirtualLoop, **options: int) -> tuple[StoreStandIn, FollowingVm]:
+    """Return a store with a configuration and a VM that knows it."""
     store = standin(loop, **options)
     store.put("op/config", configuration(3))
-    machine = Machine(loop)
-    machine.start()
+    vm = FollowingVm(loop)
+    vm.start()
     await pass_time(1.0)
-    return store, machine
+    return store, vm
 
 
 class InForce(unittest.TestCase):
     def test_changes_are_believed_at_once_in_calm_times(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            store, machine = await started(loop)
-            self.assertEqual(machine.version(), 3)
-            self.assertIn("vm0", machine.store_view.members)
+            store, vm = await started(loop)
+            self.assertEqual(vm.version(), 3)
+            self.assertIn("vm0", vm.store_view.members)
             store.put("op/config", configuration(5))
             store.put("op/evacuate/z", b"{}")
             await pass_time(0.5)
-            self.assertEqual(machine.version(), 5)
-            self.assertEqual(machine.store_view.evacuated, {"z"})
+            self.assertEqual(vm.version(), 5)
+            self.assertEqual(vm.store_view.evacuated, {"z"})
             store.remove("op/evacuate/z")
             await pass_time(0.5)
-            self.assertEqual(machine.store_view.evacuated, set())
+            self.assertEqual(vm.store_view.evacuated, set())
 
         run_virtual(main)
 
@@ -113,29 +113,29 @@
                     run_virtual(lambda loop, f=fault, s=lasts_s: self._trouble(loop, f, s))
 
     async def _trouble(self, loop: VirtualLoop, fault: Fault, lasts_s: float) -> None:
-        store, machine = await started(loop)
+        store, vm = await started(loop)
         store.fault = fault
         await pass_time(lasts_s / 2)
         store.put("op/config", configuration(9))
         await pass_time(lasts_s / 2)
         store.fault = Fault.NONE
         await pass_time(CONTACT_S)
-        self.assertEqual(machine.version(), 9)
+        self.assertEqual(vm.version(), 9)
 
     def test_a_slow_store_does_not_keep_changes_back(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            store, machine = await started(loop)
+            store, vm = await started(loop)
             store.slow_s = 0.3
             await pass_time(4.0)
             store.put("op/config", configuration(9))
             await pass_time(BOUND_S)
-            self.assertEqual(machine.version(), 9)
+            self.assertEqual(vm.version(), 9)
 
         run_virtual(main)
 
     def test_lost_history_is_made_up_for_by_a_listing(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            store, machine = await started(loop)
+            store, vm = await started(loop)
             store.put("op/evacuate/z", b"{}")
             await pass_time(0.5)
             store.fault = Fault.DEAF
@@ -144,8 +144,8 @@
             store.forget()
             store.fault = Fault.NONE
             await pass_time(1.0)
-            self.assertEqual(machine.version(), 9)
-            self.assertEqual(machine.store_view.evacuated, set())
+            self.assertEqual(vm.version(), 9)
+            self.assertEqual(vm.store_view.evacuated, set())
 
         run_virtual(main)
 
@@ -154,33 +154,33 @@
             store = standin(loop, page=3)
             for number in range(11):
                 store.put(f"op/evacuate/z{number:02}", b"{}")
-            machine = Machine(loop)
-            machine.start()
+            vm = FollowingVm(loop)
+            vm.start()
             await pass_time(1.0)
-            self.assertEqual(len(machine.store_view.evacuated), 11)
+            self.assertEqual(len(vm.store_view.evacuated), 11)
 
         run_virtual(main)
 
     def test_a_version_never_goes_back(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            store, machine = await started(loop)
+            store, vm = await started(loop)
             store.put("op/config", configuration(12))
             await pass_time(0.5)
             store.put("op/config", configuration(4))
             await pass_time(0.5)
-            self.assertEqual(machine.version(), 12)
+            self.assertEqual(vm.version(), 12)
 
         run_virtual(main)
 
     def test_a_malformed_item_leaves_the_last_good_one(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            store, machine = await started(loop)
+            store, vm = await started(loop)
             for value in (b"", b"{", b"[]", b'{"Version":7}', b'{"Version":"r9","Hosts":[3]}'):
                 store.put("op/config", value)
                 store.put("servers/i-1", value)
             await pass_time(0.5)
-            self.assertEqual(machine.version(), 3)
-            self.assertEqual(machine.store_view.backends, {})
+            self.assertEqual(vm.version(), 3)
+            self.assertEqual(vm.store_view.backends, {})
 
         run_virtual(main)
 
@@ -230,16 +230,16 @@
 
     def test_the_follower_keeps_what_it_holds_and_goes_on_once_the_store_recovers(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            store, machine = await started(loop)
+            store, vm = await started(loop)
             whole = store._range
             store._range = lambda query: {**whole(query), "more": True}
             store.forget()
             await pass_time(3.0)
-            self.assertEqual(machine.version(), 3)
+            self.assertEqual(vm.version(), 3)
             store.put("op/config", configuration(9))
             store._range = whole
             await pass_time(CONTACT_S)
-            self.assertEqual(machine.version(), 9)
+            self.assertEqual(vm.version(), 9)
 
         run_virtual(main)
 
@@ -249,14 +249,14 @@
         async def main(loop: VirtualLoop) -> None:
             store = standin(loop)
             store.fault = Fault.LOST
-            machine = Machine(loop)
-            machine.start()
+            vm = FollowingVm(loop)
+            vm.start()
             await pass_time(1.0)
             store.fault = Fault.NONE
-            self.assertIn("vm0", machine.store_view.members)
+            self.assertIn("vm0", vm.store_view.members)
             store.remove("sprucewinch/members/vm0")
             await pass_time(3.0)
-            self.assertIn("vm0", machine.store_view.members)
+            self.assertIn("vm0", vm.store_view.members)
 
         run_virtual(main)
 
@@ -264,20 +264,20 @@
         async def main(loop: VirtualLoop) -> None:
             store = standin(loop)
             store.fault = Fault.LATE
-            machine = Machine(loop)
-            machine.start()
+            vm = FollowingVm(loop)
+            vm.start()
             await pass_time(1.0)
-            self.assertEqual(machine.store_view.members, {})
+            self.assertEqual(vm.store_view.members, {})
             store.fault = Fault.NONE
             await pass_time(LATE_S + 3.0)
-            self.assertEqual(list(machine.store_view.members), ["vm0"])
+            self.assertEqual(list(vm.store_view.members), ["vm0"])
             before = store.revision
             await pass_time(30.0)
             self.assertEqual(store.revision, before)
 
         run_virtual(main)
 
-    def test_a_registered_machine_in_calm_times_makes_few_calls(self) -> None:
+    def test_a_registered_vm_in_calm_times_makes_few_calls(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store, _ = await started(loop)
             before = len(store.calls)
--- a/tests/test_process_gateway.py
+++ b/tests/test_process_gateway.py
@@ -54,7 +54,7 @@
         work = asyncio.create_task(self.ask(vm, "/book/1", "slow", "POST", data=b"x"))
         await self.until(self._running, "the request to run")
         vm.signal(signal.SIGTERM)
-        await self.until(lambda: self._unready(vm), "the machine to be unready")
+        await self.until(lambda: self._unready(vm), "the VM to be unready")
         status, _, headers = await self.ask(vm, "/rates/late", "late")
         self.assertEqual((status, headers.get("connection")), (200, "close"))
         self.assertEqual((await work)[0], 200)
@@ -202,15 +202,15 @@
 
 
 class Neighbours(GatewayCase):
-    machines = 3
+    vm_count = 3
 
     async def test_the_directory_names_who_is_there(self) -> None:
         first, second, third = self.vms
         everybody = {vm.addresses["Front"] for vm in self.vms}
-        await self.until(lambda: self._names(first, everybody), "all machines to be named")
+        await self.until(lambda: self._names(first, everybody), "all VMs to be named")
         third.signal(signal.SIGKILL)
         left = everybody - {third.addresses["Front"]}
-        await self.until(lambda: self._names(first, left), "the killed machine to be dropped")
+        await self.until(lambda: self._names(first, left), "the killed VM to be dropped")
         second.signal(signal.SIGTERM)
         await self.until(
             lambda: self._names(first, {first.addresses["Front"]}), "the leaving one to be dropped"
@@ -219,7 +219,7 @@
     async def _names(self, vm, addresses: set[str]) -> bool:
         return await self.named(vm) == addresses
 
-    async def test_a_machine_that_starts_while_the_store_is_down_denies_nothing(self) -> None:
+    async def test_a_vm_that_starts_while_the_store_is_down_denies_nothing(self) -> None:
         vm = self.vms[0]
         await vm.kill()
         self.store.fault = Fault.BUSY
@@ -231,7 +231,7 @@
             except OSError:
                 return False
 
-        await self.until(answers, "the machine to answer 503")
+        await self.until(answers, "the VM to answer 503")
         self.store.fault = Fault.NONE
         self.store.put("op/config", json.dumps({**CONFIGURATION, "Version": "r9"}).encode())
-        await self.until(lambda: self.ready(vm), "the machine to be ready")
+        await self.until(lambda: self.ready(vm), "the VM to be ready")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -128,7 +128,7 @@
             day.attempt(route="extra", sent_at=sent_at)
             self.assertEqual(day.rules(), expected)
 
-    def test_a_disturbed_machine_is_excused_for_being_late_but_not_for_going_back(self) -> None:
+    def test_a_disturbed_vm_is_excused_for_being_late_but_not_for_going_back(self) -> None:
         day = Judged()
         day.ledger.versions[0] = Version(1, 0.0, {**_SERVICES, "extra": "rates"})
         day.ledger.versions.append(Version(2, 100.0, _SERVICES))
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -19,11 +19,11 @@
 GATEWAY = Path(__file__).resolve().parent.parent / "sprucewinch" / "gateway"
 
 
-def _line(time: float, event: str, machine: str = "vm1", **fields: object) -> str:
-    return f"{time:9.3f} {machine} " + json.dumps({"time": time, "event": event, **fields})
+def _line(time: float, event: str, vm: str = "vm1", **fields: object) -> str:
+    return f"{time:9.3f} {vm} " + json.dumps({"time": time, "event": event, **fields})
 
 
-def _request(time: float, request_id: str, machine: str = "vm1", **fields: object) -> str:
+def _request(time: float, request_id: str, vm: str = "vm1", **fields: object) -> str:
     plain: dict[str, object] = {
         "outcome": "answered",
         "status": 200,
@@ -32,7 +32,7 @@
         "version": 4,
     }
     plain["sends"] = []
-    return _line(time, "request", machine, id=request_id, **{**plain, **fields})
+    return _line(time, "request", vm, id=request_id, **{**plain, **fields})
 
 
 LOG = [
@@ -106,7 +106,7 @@
         for rule in RULES:
             self.assertTrue((GATEWAY / rule).is_file(), rule)
 
-    def test_lines_of_other_machines_and_servers_do_not_belong_to_it(self) -> None:
+    def test_lines_of_other_vms_and_servers_do_not_belong_to_it(self) -> None:
         text = "\n".join(reconstruct(parse(LOG), "abc1").lines)
         self.assertNotIn("s7", text)
         self.assertNotIn("abc2", text)
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -39,8 +39,8 @@
 _DATAGRAM_S = 0.005
 
 
-class FleetMachine:
-    """One machine of the fleet.
+class FleetVm:
+    """One VM of the fleet.
 
     Args:
         fleet: The fleet.
@@ -138,7 +138,7 @@
         return ip, int(port)
 
     def kill(self) -> None:
-        """End the machine at once."""
+        """End the VM at once."""
         for task in self.tasks:
             task.cancel()
         self.fleet.loop.listeners.pop(self.address)
@@ -151,13 +151,13 @@
 
 
 class VirtualFleet:
-    """All machines and their store.
+    """All VMs and their store.
 
     Args:
         loop: The virtual loop.
         store: The store.
-        count: How many machines.
-        seed: Seed of the machines' randomness.
+        count: How many VMs.
+        seed: Seed of the VMs' randomness.
     """
 
     def __init__(
@@ -169,59 +169,57 @@
         self.gone: set[str] = set()
         self.cut: set[str] = set()
         self.empty_deltas = False
-        self.machines = [FleetMachine(self, number) for number in range(count)]
-
-    def start_again(self, machine: FleetMachine) -> FleetMachine:
-        """Start a killed machine as a new process that knows nothing."""
-        at = self.machines.index(machine)
-        self.gone.discard(machine.name)
-        self.machines[at] = FleetMachine(self, at, incarnation=2)
-        return self.machines[at]
-
-    def deliver(self, sender: FleetMachine, data: bytes, address: tuple[str, int]) -> None:
-        """Bring a datagram to its machine, unless one of the two is gone or cut off."""
-        found = [m for m in self.machines if m.address == f"{address[0]}:{address[1]}"]
-        for machine in found:
-            if not {machine.name, sender.name} & (self.gone | self.cut):
+        self.vms = [FleetVm(self, number) for number in range(count)]
+
+    def start_again(self, vm: FleetVm) -> FleetVm:
+        """Start a killed VM as a new process that knows nothing."""
+        at = self.vms.index(vm)
+        self.gone.discard(vm.name)
+        self.vms[at] = FleetVm(self, at, incarnation=2)
+        return self.vms[at]
+
+    def deliver(self, sender: FleetVm, data: bytes, address: tuple[str, int]) -> None:
+        """Bring a datagram to its VM, unless one of the two is gone or cut off."""
+        found = [m for m in self.vms if m.address == f"{address[0]}:{address[1]}"]
+        for vm in found:
+            if not {vm.name, sender.name} & (self.gone | self.cut):
                 self.loop.call_later(
-                    _DATAGRAM_S, machine.datagrams.datagram_received, data, sender.peer()
+                    _DATAGRAM_S, vm.datagrams.datagram_received, data, sender.peer()
                 )
 
-    def isolate(self, machine: FleetMachine) -> None:
-        """Cut a machine off from all others; it still reaches the store."""
-        self.cut.add(machine.name)
-        self.loop.listeners[machine.address].silent = True
+    def isolate(self, vm: FleetVm) -> None:
+        """Cut a VM off from all others; it still reaches the store."""
+        self.cut.add(vm.name)
+        self.loop.listeners[vm.address].silent = True
 
-    def watchers(self) -> list[FleetMachine]:
-        """Return the machines that follow the store now."""
+    def watchers(self) -> list[FleetVm]:
+        """Return the VMs that follow the store now."""
         now = self.loop.time()
         return [
-            machine
-            for machine in self.machines
-            if machine.name not in self.gone and machine.follow_role.follows_store(now)
+            vm for vm in self.vms if vm.name not in self.gone and vm.follow_role.follows_store(now)
         ]
 
     def versions(self) -> set[int]:
-        """Return the versions in force at the machines that are there."""
-        return {m.version() for m in self.machines if m.name not in self.gone}
+        """Return the versions in force at the VMs that are there."""
+        return {m.version() for m in self.vms if m.name not in self.gone}
 
 
 class _Datagrams:
     """Stands for a datagram transport."""
 
-    def __init__(self, machine: FleetMachine) -> None:
-        self.machine = machine
+    def __init__(self, vm: FleetVm) -> None:
+        self.vm = vm
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        fleet = self.machine.fleet
-        fleet.deliver(self.machine, data, address)
+        fleet = self.vm.fleet
+        fleet.deliver(self.vm, data, address)
 
 
 class _Deltas(asyncio.Protocol):
-    """Answers requests for deltas as a machine's peer listener does."""
+    """Answers requests for deltas as a VM's peer listener does."""
 
-    def __init__(self, machine: FleetMachine) -> None:
-        self.machine = machine
+    def __init__(self, vm: FleetVm) -> None:
+        self.vm = vm
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -229,8 +227,8 @@
     def data_received(self, data: bytes) -> None:
         found = re.search(rb"after=(\d+)", data)
         assert found is not None
-        delta = self.machine.store_view.replica.since(int(found[1]))
-        if self.machine.fleet.empty_deltas:
+        delta = self.vm.store_view.replica.since(int(found[1]))
+        if self.vm.fleet.empty_deltas:
             delta = Delta((), (), 0)
         body = encode_delta(delta)
         head = f"HTTP/1.1 200 OK\r\ncontent-length: {len(body)}\r\n\r\n"
--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -156,7 +156,7 @@
         "return self.is_elected(now)",
         (
             "tests.test_gateway_following.InForce."
-            "test_a_machine_that_is_no_watcher_is_cut_off_from_all_others",
+            "test_a_vm_that_is_no_watcher_is_cut_off_from_all_others",
         ),
     ),
     WrongVersion(
