--- a/sprucewinch/gateway/servers/load_reports.py
+++ b/sprucewinch/gateway/servers/load_reports.py
@@ -10,7 +10,7 @@
 learn of its queue (cceef51).
 
 Shows in: `load` and `told_s` under `blocked` of the event `request`. Tests:
-`test_gateway_server_selection.CrowdedServers`. Owns the pause between reports; relies on
+`test_gateway_server_selection.OverloadedServers`. Owns the pause between reports; relies on
 `peer_reports` for sending and on `service_times`.
 """
 
--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -134,18 +134,18 @@
     Args:
         loop: The virtual loop.
         servers: How many backend servers.
-        zones: Their data halls, in turn.
+        halls: Their data halls, in turn.
     """
 
     def __init__(
-        self, loop: VirtualLoop, *, servers: int = 2, zones: tuple[str, ...] = ("east-a",)
+        self, loop: VirtualLoop, *, servers: int = 2, halls: tuple[str, ...] = ("east-a",)
     ) -> None:
         self.loop = loop
         self.world = World()
         self.servers: dict[str, ScriptedServer] = {}
         self.addresses: dict[str, str] = {}
         for number in range(servers):
-            self.add(f"s{number}", f"10.0.0.{number + 1}:80", zones[number % len(zones)])
+            self.add(f"s{number}", f"10.0.0.{number + 1}:80", halls[number % len(halls)])
         self.policies = PolicyTable(self.world.store_view)
         self.region_reports = RegionReports(self.world.registry, "vm0", "east")
         self.shares = RegionShares(
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -114,7 +114,7 @@
 
 
 def peer_app(*deltas: Delta) -> DeltaApp:
-    """Return the listener for neighbours of a VM that knows some deltas."""
+    """Return the listener for peers of a VM that knows some deltas."""
     store_view = StoreView(FactsByKey())
     for delta in deltas:
         store_view.apply(delta, 0.0)
@@ -131,10 +131,10 @@
 # The same from a VM that does not say yet whether it reaches the store or how wide its link is.
 SHORT_HEARTBEAT = b"\x94\xa4beat\xa3vm1\x07\x91\x94\xa3vm1\x01\x02\xc3"
 FILLED_HEARTBEAT = b"\x94\xa4beat\xa3vm1\x07\x91\x96\xa3vm1\x01\x02\xc3\xc3\x00"
-# News of the store, 4 slots: tag, sender, revision, age in milliseconds.
-NEWS = b"\x94\xa4news\xa3vm1\xcd\x12g\xcc\xfa"
-# Crowded server, 4 slots: tag, server, requests running, requests waiting.
-CROWDED = b"\x94\xa7crowded\xa7rates-7\x06\x12"
+# Progress notice, 4 slots: tag, sender, revision, age in milliseconds.
+PROGRESS_NOTICE = b"\x94\xa4news\xa3vm1\xcd\x12g\xcc\xfa"
+# Overload report, 4 slots: tag, server, requests running, requests waiting.
+OVERLOAD_REPORT = b"\x94\xa7crowded\xa7rates-7\x06\x12"
 # Failed or slow request, 2 slots: tag, server.
 BAD = b"\x92\xa3bad\xa7rates-7"
 # Measures of a region, 4 slots: tag, sender, region, services. Service, 4 slots: name, requests
@@ -148,8 +148,8 @@
 )
 DATAGRAMS = {
     "beat": HEARTBEAT,
-    "news": NEWS,
-    "crowded": CROWDED,
+    "news": PROGRESS_NOTICE,
+    "crowded": OVERLOAD_REPORT,
     "bad": BAD,
     "measured": MEASURED,
 }
@@ -217,7 +217,7 @@
         for data in (DELTA, WHOLE_DELTA):
             self.assertEqual(encode_delta(decode_delta(data)), data)
 
-    def test_a_neighbour_asks_for_one_by_revision(self) -> None:
+    def test_a_peer_asks_for_one_by_revision(self) -> None:
         async def main(loop: VirtualLoop) -> list[dict]:
             sent: list[dict] = []
 
--- a/tests/test_formats_lines.py
+++ b/tests/test_formats_lines.py
@@ -132,7 +132,7 @@
     return vm.lines
 
 
-async def _neighbours(loop: VirtualLoop) -> list[str]:
+async def _peers(loop: VirtualLoop) -> list[str]:
     """Let three others of the region, with wider links, follow the store."""
     vm = await VirtualGateway(loop).started()
     names = (b"m0", b"m1", b"m2")
@@ -157,7 +157,7 @@
     _failing_loop,
     _servers_in_trouble,
     _store_in_trouble,
-    _neighbours,
+    _peers,
 )
 
 
@@ -197,7 +197,7 @@
         problem = "status 503 on kv-watch"
         self.assertIn({"event": "store", "up": False, "problem": problem, "at": 2}, store)
         self.assertIn({"event": "store-history-gone", "after": 2}, store)
-        follows = [row["source"] for row in _rows(_neighbours) if row["event"] == "follows"]
+        follows = [row["source"] for row in _rows(_peers) if row["event"] == "follows"]
         self.assertEqual(follows, ["neighbours", "store"])
 
 
--- a/tests/test_gateway_following.py
+++ b/tests/test_gateway_following.py
@@ -51,8 +51,8 @@
     def test_one_vm_of_each_region_follows_the_store(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop)
-            self.assertEqual(len(fleet.watchers()), len(REGIONS))
-            self.assertEqual({m.region for m in fleet.watchers()}, set(REGIONS))
+            self.assertEqual(len(fleet.store_followers()), len(REGIONS))
+            self.assertEqual({m.region for m in fleet.store_followers()}, set(REGIONS))
 
         run_virtual(main)
 
@@ -81,12 +81,12 @@
 
 
 class InForce(unittest.TestCase):
-    """A change reaches every VM in time whatever has just become of the watchers."""
+    """A change reaches every VM in time whatever has just become of the store followers."""
 
     def _reaches_all(self, trouble: Callable, seed: int, everyone: bool = False) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop, 12, seed)
-            for vm in fleet.watchers() if everyone else fleet.watchers()[:1]:
+            for vm in fleet.store_followers() if everyone else fleet.store_followers()[:1]:
                 trouble(fleet, vm)
             fleet.store.put("op/config", configuration(9))
             await pass_time(BOUND_S)
@@ -100,30 +100,30 @@
 
     @settings(max_examples=10, deadline=None)
     @given(st.integers(0, 2**16))
-    def test_a_watcher_is_killed(self, seed: int) -> None:
+    def test_a_store_follower_is_killed(self, seed: int) -> None:
         self._reaches_all(_kill, seed)
 
     @settings(max_examples=10, deadline=None)
     @given(st.integers(0, 2**16))
-    def test_all_watchers_are_killed(self, seed: int) -> None:
+    def test_all_store_followers_are_killed(self, seed: int) -> None:
         self._reaches_all(_kill, seed, everyone=True)
 
     @settings(max_examples=10, deadline=None)
     @given(st.integers(0, 2**16))
-    def test_a_watcher_is_cut_off_from_all_others(self, seed: int) -> None:
+    def test_a_store_follower_is_cut_off_from_all_others(self, seed: int) -> None:
         self._reaches_all(_isolate, seed)
 
     @settings(max_examples=10, deadline=None)
     @given(st.integers(0, 2**16))
-    def test_all_watchers_are_cut_off_from_all_others(self, seed: int) -> None:
+    def test_all_store_followers_are_cut_off_from_all_others(self, seed: int) -> None:
         self._reaches_all(_isolate, seed, everyone=True)
 
-    def test_a_watcher_is_turned_away(self) -> None:
+    def test_a_store_follower_is_turned_away(self) -> None:
         for fault in (Fault.BUSY, Fault.MANY, Fault.RESET, Fault.SILENT):
             with self.subTest(fault=fault):
                 self._reaches_all(_turn_away(fault), 5)
 
-    def test_neighbours_that_tell_of_a_change_and_never_give_it(self) -> None:
+    def test_peers_that_tell_of_a_change_and_never_give_it(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop)
             fleet.empty_deltas = True
@@ -133,7 +133,7 @@
 
         run_virtual(main)
 
-    def test_a_vm_that_is_no_watcher_is_cut_off_from_all_others(self) -> None:
+    def test_a_vm_that_is_no_store_follower_is_cut_off_from_all_others(self) -> None:
         """Several seeds: with some, heartbeats stop so early that it is elected in time."""
         for seed in range(1, 7):
             with self.subTest(seed=seed):
@@ -142,8 +142,8 @@
     def _cut_off_follower(self, seed: int) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop, 12, seed)
-            watchers = {vm.name for vm in fleet.watchers()}
-            other = next(m for m in fleet.vms if m.name not in watchers)
+            followers = {vm.name for vm in fleet.store_followers()}
+            other = next(m for m in fleet.vms if m.name not in followers)
             fleet.isolate(other)
             fleet.store.put("op/config", configuration(9))
             await pass_time(BOUND_S)
@@ -162,15 +162,15 @@
         fleet = await _fleet(loop)
         fleet.store.fault = fault
         await pass_time(7.0)
-        self.assertEqual(len(fleet.watchers()), 12)
+        self.assertEqual(len(fleet.store_followers()), 12)
         fleet.store.fault = Fault.NONE
         fleet.store.put("op/config", configuration(9))
         await pass_time(3.0)
         self.assertEqual(fleet.versions(), {9})
         await pass_time(12.0)
-        self.assertEqual(len(fleet.watchers()), len(REGIONS))
+        self.assertEqual(len(fleet.store_followers()), len(REGIONS))
 
-    def test_a_vm_that_starts_again_during_an_outage_starts_from_a_neighbour(self) -> None:
+    def test_a_vm_that_starts_again_during_an_outage_starts_from_a_peer(self) -> None:
         for fault in (Fault.BUSY, Fault.SILENT):
             with self.subTest(fault=fault):
                 run_virtual(lambda loop, f=fault: self._starts_again(loop, f))
@@ -199,7 +199,7 @@
             fleet = await _fleet(loop)
             fleet.store.put("servers/s0", _SERVER)
             await pass_time(2.0)
-            turned_away = fleet.watchers()[0]
+            turned_away = fleet.store_followers()[0]
             others = [m for m in fleet.vms if m is not turned_away]
             fleet.store.faults_by_machine[turned_away.name] = Fault.BUSY
             self._silence(loop, others, True)
@@ -217,15 +217,15 @@
         for vm in vms:
             loop.listeners[vm.address].silent = silent
 
-    def test_news_of_a_watcher_that_lost_the_store_does_not_keep_others_from_it(self) -> None:
+    def test_notices_of_a_follower_that_lost_the_store_keep_no_other_from_it(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop)
-            watchers = fleet.watchers()
-            for watcher in watchers:
-                fleet.store.faults_by_machine[watcher.name] = Fault.SILENT
+            followers = fleet.store_followers()
+            for follower in followers:
+                fleet.store.faults_by_machine[follower.name] = Fault.SILENT
             await pass_time(NOTICE_MAX_AGE_S + NOTICE_SILENCE_S + 3.5)
-            now_watching = {vm.name for vm in fleet.watchers()}
-            self.assertGreater(len(now_watching - {w.name for w in watchers}), 0)
+            now_following = {vm.name for vm in fleet.store_followers()}
+            self.assertGreater(len(now_following - {f.name for f in followers}), 0)
             fleet.store.put("op/config", configuration(9))
             await pass_time(BOUND_S)
             self.assertEqual(fleet.versions(), {9})
--- a/tests/test_gateway_outages.py
+++ b/tests/test_gateway_outages.py
@@ -19,8 +19,8 @@
     return json.dumps({**table, "State": state, "Version": "v1"}).encode()
 
 
-class _Watched:
-    """A store, a VM that follows it, and the VM's book of servers."""
+class _Followed:
+    """A store, a VM that follows it, and the VM's registry of servers."""
 
     def __init__(self, loop: VirtualLoop, store: StoreStandIn, vm: FollowingVm) -> None:
         self.loop = loop
@@ -28,7 +28,7 @@
         self.registry = BackendRegistry(vm.store_view, BOUNDS, "vm0", REGIONS, vm.outages)
 
     async def pass_time(self, seconds: float) -> None:
-        """Let time pass for the book as the daemon's ticks do."""
+        """Let time pass for the registry as the daemon's ticks do."""
         end = self.loop.time() + seconds
         while self.loop.time() < end:
             await pass_time(0.1)
@@ -47,66 +47,66 @@
         return [server.backend.id for server in self.registry.usable("rates")]
 
 
-async def _watched(loop: VirtualLoop) -> _Watched:
+async def _followed(loop: VirtualLoop) -> _Followed:
     store, vm = await started(loop)
-    watched = _Watched(loop, store, vm)
+    followed = _Followed(loop, store, vm)
     store.put("servers/s0", _entry())
-    await watched.pass_time(6.0)
-    return watched
+    await followed.pass_time(6.0)
+    return followed
 
 
 class Lapses(unittest.TestCase):
     def test_a_living_server_stays_in_use_and_warm_until_its_entry_is_back(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            watched = await _watched(loop)
-            await watched.outage(6.0)
-            await watched.pass_time(1.5)
-            self.assertEqual(watched.usable(), ["s0"])
-            watched.store.put("servers/s0", _entry())
-            await watched.pass_time(5.0)
-            self.assertEqual(watched.usable(), ["s0"])
-            self.assertFalse(watched.registry.servers["s0"].cold(loop.time()))
+            followed = await _followed(loop)
+            await followed.outage(6.0)
+            await followed.pass_time(1.5)
+            self.assertEqual(followed.usable(), ["s0"])
+            followed.store.put("servers/s0", _entry())
+            await followed.pass_time(5.0)
+            self.assertEqual(followed.usable(), ["s0"])
+            self.assertFalse(followed.registry.servers["s0"].cold(loop.time()))
 
         run_virtual(main)
 
     def test_a_server_whose_entry_does_not_come_back_is_taken_as_gone(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            watched = await _watched(loop)
-            await watched.outage(6.0)
-            await watched.pass_time(LAPSED_ENTRY_GRACE_S + 1.5)
-            self.assertEqual(watched.usable(), [])
+            followed = await _followed(loop)
+            await followed.outage(6.0)
+            await followed.pass_time(LAPSED_ENTRY_GRACE_S + 1.5)
+            self.assertEqual(followed.usable(), [])
 
         run_virtual(main)
 
     def test_a_server_that_had_said_that_it_leaves_is_gone_at_once(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            watched = await _watched(loop)
-            watched.store.put("servers/s0", _entry("draining"))
-            await watched.pass_time(1.0)
-            await watched.outage(6.0)
-            await watched.pass_time(1.5)
-            self.assertEqual(watched.registry.servers, {})
+            followed = await _followed(loop)
+            followed.store.put("servers/s0", _entry("draining"))
+            await followed.pass_time(1.0)
+            await followed.outage(6.0)
+            await followed.pass_time(1.5)
+            self.assertEqual(followed.registry.servers, {})
 
         run_virtual(main)
 
-    def test_without_an_outage_as_long_as_a_heartbeat_an_entry_that_goes_is_believed(self) -> None:
+    def test_without_an_outage_as_long_as_a_heartbeat_an_entry_that_goes_is_dropped(self) -> None:
         for outage_s in (0.0, 0.4):
             with self.subTest(outage_s=outage_s):
-                run_virtual(lambda loop, s=outage_s: self._believed(loop, s))
+                run_virtual(lambda loop, s=outage_s: self._lapse(loop, s))
 
-    async def _believed(self, loop: VirtualLoop, outage_s: float) -> None:
-        watched = await _watched(loop)
-        await watched.outage(outage_s)
-        await watched.pass_time(1.2)
-        self.assertEqual(watched.usable(), [])
+    async def _lapse(self, loop: VirtualLoop, outage_s: float) -> None:
+        followed = await _followed(loop)
+        await followed.outage(outage_s)
+        await followed.pass_time(1.2)
+        self.assertEqual(followed.usable(), [])
 
     def test_servers_first_seen_after_an_outage_are_asked_whether_they_are_cold(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            watched = await _watched(loop)
-            await watched.outage(6.0)
-            watched.store.put("servers/s1", _entry())
-            await watched.pass_time(1.5)
-            self.assertEqual([s.backend.id for s in watched.registry.to_probe], ["s1"])
+            followed = await _followed(loop)
+            await followed.outage(6.0)
+            followed.store.put("servers/s1", _entry())
+            await followed.pass_time(1.5)
+            self.assertEqual([s.backend.id for s in followed.registry.to_probe], ["s1"])
 
         run_virtual(main)
 
--- a/tests/test_gateway_outliers.py
+++ b/tests/test_gateway_outliers.py
@@ -124,7 +124,7 @@
 class ShortRegions(unittest.TestCase):
     def test_a_region_that_lacks_a_server_moves_no_request_beyond_the_shift_cap(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=12, zones=("east-a", "west-a"))
+            path = Path(loop, servers=12, halls=("east-a", "west-a"))
             path.world.configure(route())
             now = loop.time()
             ranking = path.ranker.place("rates", "lane-1", (), now)
--- a/tests/test_gateway_peer_follower.py
+++ b/tests/test_gateway_peer_follower.py
@@ -1,4 +1,4 @@
-"""Neighbours that complete each other where the store is out of reach, and what watching costs."""
+"""Following a peer: a VM that the store turns away catches up, and deltas that cannot be had."""
 
 import asyncio
 import json
@@ -25,7 +25,7 @@
 class TurnedAway(GatewayCase):
     vm_count = 2
 
-    async def test_a_vm_that_the_store_turns_away_learns_from_its_neighbour(self) -> None:
+    async def test_a_vm_that_the_store_turns_away_learns_from_its_peer(self) -> None:
         first, second = self.vms
         await self.until(lambda: self._knows_all(first), "the VMs to know each other")
         self.store.faults_by_machine[second.name] = Fault.BUSY
@@ -82,7 +82,7 @@
 
 
 class Unreachable(unittest.IsolatedAsyncioTestCase):
-    async def test_a_neighbour_that_is_not_there_is_an_error_with_its_reason(self) -> None:
+    async def test_a_peer_that_is_not_there_is_an_error_with_its_reason(self) -> None:
         with self.assertRaisesRegex(DeltaUnavailableError, "check that the VM runs"):
             await fetch_delta("127.0.0.1:9", 0)
 
--- a/tests/test_gateway_pipeline.py
+++ b/tests/test_gateway_pipeline.py
@@ -261,7 +261,7 @@
 
     def test_routes_with_regions_reach_no_other(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=6, zones=("east-a", "west-a"))
+            path = Path(loop, servers=6, halls=("east-a", "west-a"))
             path.world.configure(route(regions=("west",)))
             for number in range(40):
                 await path.pipeline.run(path.request(f"q{number}", key=f"k{number}"))
--- a/tests/test_gateway_replica.py
+++ b/tests/test_gateway_replica.py
@@ -73,7 +73,7 @@
                 newest[event.key] = held.revision
 
     @given(_HISTORIES, st.integers(0, 30), st.integers(0, 30))
-    def test_a_neighbours_delta_brings_a_replica_up_to_date(self, choices, mine, theirs) -> None:
+    def test_a_peers_delta_brings_a_replica_up_to_date(self, choices, mine, theirs) -> None:
         log = _log(choices)
         behind, ahead = Replica(), Replica()
         mine, theirs = sorted((min(mine, len(log)), min(theirs, len(log))))
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -213,18 +213,18 @@
     """Why a server is selected, or why none is."""
 
     def _choose(
-        self, *loads: int, tried: int = 0, zones: tuple[str, ...] = ("east-a",)
+        self, *loads: int, tried: int = 0, halls: tuple[str, ...] = ("east-a",)
     ) -> tuple[int, Union[SelectionReason, BlockedReason]]:
         """Return the place of the selected server in the ranking, or -1, and the reason.
 
         Args:
             *loads: Requests that each server holds, in the order of the ranking.
             tried: How many servers could not be reached before.
-            zones: Data halls of the servers, in turn.
+            halls: Data halls of the servers, in turn.
         """
 
         async def main(loop: VirtualLoop) -> tuple[int, Union[SelectionReason, BlockedReason]]:
-            path = Path(loop, servers=len(loads), zones=zones)
+            path = Path(loop, servers=len(loads), halls=halls)
             ranking = path.ranker.place("rates", "lane-1", (), loop.time())
             for server, load in zip(ranking.servers, loads, strict=True):
                 server.estimate.record(load, server.in_flight, loop.time())
@@ -252,9 +252,9 @@
 
     def test_a_server_of_another_region_helps_only_a_full_one(self) -> None:
         halls = ("east-a", "west-a")
-        self.assertEqual(self._choose(6, 0, zones=halls), (0, SelectionReason.FIRST_CHOICE))
-        self.assertEqual(self._choose(12, 2, zones=halls), (1, SelectionReason.HELPS_FULL))
-        self.assertEqual(self._choose(12, 3, zones=halls), (-1, BlockedReason.LOAD_LIMIT))
+        self.assertEqual(self._choose(6, 0, halls=halls), (0, SelectionReason.FIRST_CHOICE))
+        self.assertEqual(self._choose(12, 2, halls=halls), (1, SelectionReason.HELPS_FULL))
+        self.assertEqual(self._choose(12, 3, halls=halls), (-1, BlockedReason.LOAD_LIMIT))
 
     def test_the_concurrency_limit_and_more_urgent_requests_leave_no_room(self) -> None:
         async def main(loop: VirtualLoop) -> None:
--- a/tests/test_gateway_server_selection.py
+++ b/tests/test_gateway_server_selection.py
@@ -95,7 +95,7 @@
 
     def test_a_server_of_another_region_helps_only_where_there_is_no_room_at_all(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2, zones=("east-a", "west-a"))
+            path = Path(loop, servers=2, halls=("east-a", "west-a"))
             path.world.configure(route())
             order = path.ranker.place("rates", "lane-1", (), loop.time()).servers
             order[0].record_load(7, 0, loop.time())
@@ -125,7 +125,7 @@
 
         run_virtual(main)
 
-    def test_a_crowded_server_gets_less_and_a_free_one_more_again(self) -> None:
+    def test_an_overloaded_server_gets_less_and_a_free_one_more_again(self) -> None:
         server = BackendServer(BackendEntry("s0", "rates", "10.0.0.1:80", "east-a", 6))
         for number in range(20):
             server.record_load(6, 12, number * 0.25)
@@ -213,8 +213,8 @@
         self.assertGreaterEqual(self._runs(0.1, 1.0)[0], 4)
 
 
-class CrowdedServers(unittest.TestCase):
-    def test_vms_that_sent_nothing_know_that_a_server_is_crowded(self) -> None:
+class OverloadedServers(unittest.TestCase):
+    def test_vms_that_sent_nothing_know_that_a_server_is_overloaded(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store = standin(loop)
             store.put("op/config", configuration(3))
@@ -225,15 +225,15 @@
             registry = fleet.vms[0].registry
             registry.record_load(registry.servers["s0"], 6, 1, now)
             await pass_time(0.05)
-            self.assertEqual(self._believed(fleet), [0.0] * 5)
+            self.assertEqual(self._loads_at_the_others(fleet), [0.0] * 5)
             registry.record_load(registry.servers["s0"], 6, 12, now)
             await pass_time(0.05)
-            for load in self._believed(fleet):
+            for load in self._loads_at_the_others(fleet):
                 self.assertGreater(load, 15.0)
 
         run_virtual(main)
 
-    def _believed(self, fleet: VirtualFleet) -> list[float]:
+    def _loads_at_the_others(self, fleet: VirtualFleet) -> list[float]:
         now = fleet.loop.time()
         return [round(m.registry.servers["s0"].load(now), 1) for m in fleet.vms[1:]]
 
--- a/tests/test_gateway_service_times.py
+++ b/tests/test_gateway_service_times.py
@@ -43,7 +43,7 @@
         self.assertEqual(ServiceTimes().queue_turns("rates", None, 1.0), 2.0)
 
 
-class CrowdedParts(unittest.TestCase):
+class OverloadedParts(unittest.TestCase):
     @given(_SECONDS, st.lists(_SECONDS, min_size=1, max_size=4))
     def test_more_may_wait_only_while_the_shortest_aim_is_met(self, typical_s, aims_s) -> None:
         part = _times(typical_s, *aims_s).overload_queue_ratio("rates")
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -42,7 +42,7 @@
 
 
 class FollowingVm:
-    """What one VM believes of the stand-in."""
+    """One VM that follows the stand-in of the store."""
 
     def __init__(self, loop: VirtualLoop, name: str = "vm0") -> None:
         rng = random.Random(1)
@@ -67,7 +67,7 @@
         self.loop.create_task(self.registrar.run())
 
     def version(self) -> int:
-        """Return the configuration version that is believed; 0 for none."""
+        """Return the configuration version in force; 0 for none."""
         held = self.store_view.configuration
         return held.version if held else 0
 
@@ -90,7 +90,7 @@
 
 
 class InForce(unittest.TestCase):
-    def test_changes_are_believed_at_once_in_calm_times(self) -> None:
+    def test_changes_are_in_force_at_once_in_calm_times(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store, vm = await started(loop)
             self.assertEqual(vm.version(), 3)
--- a/tests/test_process_configuration.py
+++ b/tests/test_process_configuration.py
@@ -72,7 +72,7 @@
             status, answer = await self.drain(first, server, undo=True)
             self.assertEqual((status, answer["error"]), (409, "StaleStoreError"))
             self.assertEqual(await self.revision(first), 5)
-        with self.subTest("a VM replaced meanwhile in a cut-off hall starts from its neighbours"):
+        with self.subTest("a VM replaced meanwhile in a cut-off hall starts from its peers"):
             self.fleet.kill(replaced)
             [dead] = free_ports(1)
             self.fleet.start_daemon(replaced, platform_address=f"127.0.0.1:{dead}")
--- a/tests/test_process_gateway.py
+++ b/tests/test_process_gateway.py
@@ -1,4 +1,4 @@
-"""The program on the consortium's platform as a real process: requests, signals, neighbours."""
+"""The program on the consortium's platform as a real process: requests, signals, peers."""
 
 import asyncio
 import contextlib
@@ -201,7 +201,7 @@
         self.assertIn("faulty", output)
 
 
-class Neighbours(GatewayCase):
+class Peers(GatewayCase):
     vm_count = 3
 
     async def test_the_directory_names_who_is_there(self) -> None:
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -62,7 +62,7 @@
         allowances = [RateAllowance() for _ in range(4)]
         self.assertLessEqual(self.passed(allowances, [4] * 4, 10), 100 * 10 + 4 * 25)
 
-    def test_vm_that_sees_a_neighbour_go_waits_before_it_takes_more(self) -> None:
+    def test_vm_that_sees_a_peer_go_waits_before_it_takes_more(self) -> None:
         allowance = RateAllowance(hold_s=10.0)
         allowance.renew(100.0, 4, 0.0)
         allowance.renew(100.0, 1, 5.0)
@@ -70,7 +70,7 @@
         allowance.renew(100.0, 1, 10.5)
         self.assertEqual(allowance.rate_per_s, 100.0)
 
-    def test_new_neighbour_counts_at_once(self) -> None:
+    def test_new_peer_counts_at_once(self) -> None:
         allowance = RateAllowance()
         allowance.renew(100.0, 1, 0.0)
         allowance.renew(100.0, 2, 0.5)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -123,7 +123,7 @@
 
 
 class TrustingShare(SlotShare):
-    """A wrong version: believes its old list after a pause."""
+    """A wrong version: trusts its old list after a pause."""
 
     def usable(self, server: str, now: float) -> int:
         return sum(self._held.get(server, ()))
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -35,7 +35,7 @@
 from store_items import StoreItems  # isort: skip
 
 REGIONS = ("east", "west", "north")
-FLEET_ZONES = {f"{region}-a": region for region in REGIONS}
+FLEET_HALLS = {f"{region}-a": region for region in REGIONS}
 _DATAGRAM_S = 0.005
 
 
@@ -67,7 +67,7 @@
         self.datagrams.transport = _Datagrams(self)  # type: ignore[assignment]
         self.reports = PeerReports(self.datagrams, self.follow_role)
         self.registry = BackendRegistry(
-            self.store_view, BOUNDS, self.name, FLEET_ZONES, outages, self.reports
+            self.store_view, BOUNDS, self.name, FLEET_HALLS, outages, self.reports
         )
         self.outliers = OutlierDetector(self.registry, self.reports)
         self.datagrams.register(OverloadReport, self.registry.load_reports.on_overload_report)
@@ -145,7 +145,7 @@
         self.fleet.gone.add(self.name)
 
     def version(self) -> int:
-        """Return the configuration version that is believed; 0 for none."""
+        """Return the configuration version in force; 0 for none."""
         held = self.store_view.configuration
         return held.version if held else 0
 
@@ -192,7 +192,7 @@
         self.cut.add(vm.name)
         self.loop.listeners[vm.address].silent = True
 
-    def watchers(self) -> list[FleetVm]:
+    def store_followers(self) -> list[FleetVm]:
         """Return the VMs that follow the store now."""
         now = self.loop.time()
         return [
--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -156,7 +156,7 @@
         "return self.is_elected(now)",
         (
             "tests.test_gateway_following.InForce."
-            "test_a_vm_that_is_no_watcher_is_cut_off_from_all_others",
+            "test_a_vm_that_is_no_store_follower_is_cut_off_from_all_others",
         ),
     ),
     WrongVersion(
@@ -167,7 +167,7 @@
         "if False:",
         (
             "tests.test_gateway_following.InForce."
-            "test_neighbours_that_tell_of_a_change_and_never_give_it",
+            "test_peers_that_tell_of_a_change_and_never_give_it",
         ),
     ),
     WrongVersion(
