--- a/sprucewinch/gateway/following/store_follower.py
+++ b/sprucewinch/gateway/following/store_follower.py
@@ -4,7 +4,7 @@
 `store-history-gone`. Relies on `follow_role` for whether this VM calls the store, and on
 `state.outages` and `state.store_view`, to which it passes each result. A VM without a configuration
 always calls the store, whatever its role. Failed calls are repeated after a random pause that
-doubles with each failure up to a bound. Tests: `test_platform_store`, `test_gateway_relay`.
+doubles with each failure up to a bound. Tests: `test_platform_store`, `test_gateway_following`.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
 never measured."""
 
 _REJOIN_S = 10.0
-"""Time after a failed call for which a VM does not stand for election, in seconds, unless the store
+"""Time after a failed call for which a VM cannot be elected, in seconds, unless the store
 answers it. A guess, never measured."""
 
 _MIN_BACKOFF_S = 0.05
--- a/sprucewinch/gateway/servers/load.py
+++ b/sprucewinch/gateway/servers/load.py
@@ -13,12 +13,13 @@
 amount, which brings their limits closer to each other.
 
 Shows in: `load` and `window` under `blocked` of the event `request`. Tests:
-`test_gateway_admit.Overload`. Owns two figures for each server; relies on nothing.
+`test_gateway_server_selection.Overload`. Owns two figures for each server; relies on nothing.
 """
 
 _LOAD_HALF_LIFE_S = 0.6
-"""Time in which a stated load counts half, in seconds. Commit 2e5e43d, with the concurrency limit:
-kovacs trouble-3 0.611 to 0.706, scale-2 0.617 to 0.734 (one score each); not measured alone."""
+"""Half-life of a stated load in the estimate, in seconds. Commit 2e5e43d, with the concurrency
+limit: kovacs trouble-3 0.611 to 0.706, scale-2 0.617 to 0.734 (one score each); not measured
+alone."""
 
 _SHRINK = 0.7
 """Factor on the limit at an overload. Set in 2e5e43d (see above); not measured alone."""
@@ -49,7 +50,7 @@
         """Keep a load that the server stated, here or to another VM.
 
         Args:
-            held: Requests that it runs and that wait there.
+            held: Requests that run or wait there.
             in_flight: This VM's requests among them.
             now: Monotonic time, in seconds.
         """
--- a/sprucewinch/gateway/servers/rest.py
+++ b/sprucewinch/gateway/servers/rest.py
@@ -1,6 +1,6 @@
 """When a backend server rests after failures, and when it counts as silent.
 
-Question: has the server just shown that it answers nobody? Inputs: failures and answers of requests
+Question: does the server currently fail or not answer? Inputs: failures and answers of requests
 that this VM sent, the start of its oldest request in flight, what requests took there of late, and
 monotonic time; all in seconds.
 
@@ -11,7 +11,7 @@
 that a slow server that goes on answering is not left out.
 
 Shows in: the event `server-rests`; `paused` of a VM's state. Tests:
-`test_gateway_admit.SilentServers`. Owns the failures in a row; relies on nothing.
+`test_gateway_server_selection.SilentServers`. Owns the failures in a row; relies on nothing.
 """
 
 from typing import Optional
@@ -27,11 +27,11 @@
 Commit d796da6, with two other changes: cfqc trouble-1 0.646 to 0.742; not measured alone."""
 
 _SILENT_LATENCIES = 3.0
-"""The same as a multiple of what requests take at the server of late. A guess, never measured."""
+"""The same as a multiple of the server's recent mean time of a request. A guess, never measured."""
 
 
 class Rest:
-    """Until when one server gets nothing, as it failed or asked for it."""
+    """Until when one server gets no request, as it failed or did not run one."""
 
     __slots__ = ("failures", "until")
 
@@ -66,7 +66,7 @@
     Args:
         oldest_start: When the oldest request in flight was sent, in seconds.
         answered_at: When the server last answered, in seconds.
-        latency_s: What requests took there of late, in seconds; None when not known.
+        latency_s: Recent mean time of a request there, in seconds; None when not known.
         now: Monotonic time, in seconds.
     """
     longest_s = max(_SILENT_S, _SILENT_LATENCIES * (latency_s or 0.0))
