--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -150,7 +150,7 @@
     ),
     WrongVersion(
         "CONFIG",
-        "machines that are no watchers never follow the store themselves",
+        "VMs that are not elected never follow the store themselves",
         f"{_GATEWAY}/following/follow_role.py",
         "return self.decide(now) is not FollowReason.PEERS_CURRENT",
         "return self.is_elected(now)",
@@ -161,7 +161,7 @@
     ),
     WrongVersion(
         "CONFIG",
-        "a machine that cannot catch up trusts its neighbours",
+        "a VM that cannot catch up trusts its peers",
         f"{_GATEWAY}/following/follow_role.py",
         "if self._behind_since is not None and now - self._behind_since > _CATCH_UP_S:",
         "if False:",
@@ -196,7 +196,7 @@
     ),
     WrongVersion(
         "DRAIN",
-        "a machine that alone is turned away holds servers that have left",
+        "a VM that the store refuses alone holds servers that have left",
         f"{_GATEWAY}/state/outages.py",
         "if self._lost_at is not None and at > self._lost_at:",
         "if False:",
@@ -204,7 +204,7 @@
     ),
     WrongVersion(
         "DRAIN (directory)",
-        "silent machines are named to callers",
+        "silent VMs are named to callers",
         f"{_GATEWAY}/membership/gossip.py",
         "return last is not None and last.row.open and now - last.at < SILENCE_S",
         "return last is not None and last.row.open",
@@ -252,7 +252,7 @@
     ),
     WrongVersion(
         "RECOVER",
-        "a machine starts only from the store",
+        "a VM starts only from the store",
         f"{_GATEWAY}/following/peer_follower.py",
         "            await self._start_from_peer()\n",
         "",
