--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -39,7 +39,7 @@
 )
 from sprucewinch.hall.store.documents import revisioned as read_revision
 from standins.consortium_store import StoreStandIn
-from standins.virtual import VirtualLoop, run_virtual
+from standins.virtual import VirtualLoop, pass_time, run_virtual
 
 from .gateway_fakes import FactsByKey
 from .virtual_fleet import VirtualFleet
@@ -198,7 +198,7 @@
         deliver(sender, data, address)
 
     fleet.deliver = record  # type: ignore[method-assign]
-    await asyncio.sleep(5.0)
+    await pass_time(5.0)
     fleet.vms[0].reports.send_overload(OverloadReport("rates-7", 6, 18))
     fleet.vms[0].reports.send_failure(FailureReport("rates-7"))
     await asyncio.sleep(0.1)
