--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -108,7 +108,7 @@
         return self.state.view.has_configuration and not self.stopping.is_set()
 
     async def run(self) -> None:
-        """Serve until told to stop, then stop without cutting a request off.
+        """Serve until told to stop, then stop as `lifecycle.shutdown` says.
 
         A process that was told to stop before this runs serves no request and ends at once.
         """
--- a/sprucewinch/gateway/lifecycle/shutdown.py
+++ b/sprucewinch/gateway/lifecycle/shutdown.py
@@ -9,9 +9,11 @@
 
 Rule: tell all VMs at once; go on serving callers that still hold this VM's address, each connection
 ending with its next answer; then accept no more and wait until every connection has ended; give
-what is still in flight its final answer shortly before the grace time ends. An answer counts as
-given once its connection has ended: to end with the last request in flight cut 3,995,638 of
-8,000,000 bytes off an answer that was read slowly (docs/FINDINGS.md).
+what is still in flight its final answer shortly before the grace time ends. To end with the last
+request in flight cut 3,995,638 of 8,000,000 bytes off an answer that was read slowly, so the wait is
+for connections (docs/FINDINGS.md). It ends `_STOP_MARGIN_S` before the grace time does: what a
+caller has not read by then is cut off. `in_flight` does not show that, as a request counts as over
+once its answer is written to the connection's buffer.
 
 Constants: `_LINGER_S`, `_STOP_MARGIN_S`, `_FINAL_ANSWERS_S`, `_STOP_POLL_S`. The result shows in
 the events `stopping` and `stop`, each with `in_flight`. Tests: `test_gateway_shutdown`,
@@ -31,7 +33,8 @@
 _LINGER_S = 3.2
 """How long a stopping VM goes on serving callers that still hold its address, in seconds.
 
-A guess, never measured (3e61232); callers may hold an address longer, for `Bounds.lookup_ttl_s`.
+A guess, never measured (3e61232). Callers hold an address for `membership.directory.LOOKUP_TTL_S`
+(1 s) at most, as the directory tells them.
 """
 
 _STOP_MARGIN_S = 0.7
@@ -76,7 +79,7 @@
 
 
 class Shutdown:
-    """Stops one VM without cutting a request off.
+    """Stops one VM; cuts off no caller that reads until `StopTimes.closed_by`.
 
     Args:
         app: The callers' application.
--- a/sprucewinch/gateway/membership/registration.py
+++ b/sprucewinch/gateway/membership/registration.py
@@ -12,8 +12,10 @@
 Why: each write wakes every watch on the store, so a VM that stops stays registered and one that
 comes back at its address writes nothing; heartbeats announce whether it accepts callers. Writes at
 each start and stop were part of 1,302 calls a day at 12 VMs (1fb4c16). One VM by name removes, so
-that not all others remove the same VM at once; a second removal is one call more and no harm, as it
-holds for one revision of the key.
+that not all others remove the same VM at once. A second removal of the same revision of the key
+changes nothing. But a VM that reaches the store and no other VM is the first in touch of its own
+view: it removes the others, one a look, each of them writes its registration again, and so on until
+it is in touch (docs/FINDINGS.md, "Open: behaviour").
 
 Result: `Register` or `Remove`; it shows as the event `fact` of the member's key at every VM.
 Tests: `test_gateway_registration`, `test_platform_store`.
--- a/sprucewinch/gateway/requests/room.py
+++ b/sprucewinch/gateway/requests/room.py
@@ -8,14 +8,16 @@
 target at most, and only before its first attempt.
 
 Why so: no VM asks another one for a slot, so each bounds itself by what servers report; a refusal
-is useful to a caller only while it comes early. Requests that wait stand in the order of the
-route's rank, then of arrival (`BackendServer.wait_for_room`), and the first one looks anew when a
-request there is over; when as many wait as the server has slots, the least urgent one is refused.
+is useful to a caller only while it comes early, with time left to come back. Requests that wait
+stand in the order of the route's rank (`BackendServer.wait_for_room`), and the first one looks anew
+when a request there is over; when as many wait as the server has slots, the least urgent one is
+refused. Requests of equal rank are not served in the order of arrival: each looks again after
+`LOOK_AGAIN_S` and then stands behind its equals (docs/FINDINGS.md, "Open: behaviour").
 
 Constants: `ROOM_WAIT_PART`, `DEFAULT_LATENCY_TARGET_S`, `LOOK_AGAIN_S`; the load limit's are in
 `servers.service_times`. Shows in: event `request`, `outcome` `no-room` and `blocked`. Tests:
 tests/test_gateway_request_rules.py (`Selections`), tests/test_gateway_server_selection.py
-(`Overload`, `Priorities`, `QueuesThatFit`).
+(`Overload`, `Priorities`, `QueuesThatFit`), tests/test_gateway_usability.py (`WaitsForRoom`).
 """
 
 from typing import Optional
@@ -29,8 +31,8 @@
 """Latency target of a route that sets none, in seconds. A guess, never measured."""
 
 ROOM_WAIT_PART = 0.2
-"""Part of a route's latency target that a request waits for room; a refusal after a quarter of it
-comes late. Set in 2e5e43d among other changes; never measured by itself."""
+"""Part of a route's latency target that a request waits for room: below the quarter after
+which the users' rules price a refusal as late. Set in 2e5e43d among other changes; never measured by itself."""
 
 LOOK_AGAIN_S = 0.02
 """Longest time between two looks for room, in seconds: room may also come from a server's load
--- a/sprucewinch/gateway/servers/backend_server.py
+++ b/sprucewinch/gateway/servers/backend_server.py
@@ -133,7 +133,9 @@
         self.rest.extend(until)
 
     async def wait_for_room(self, longest_s: float, rank: int) -> bool:
-        """Wait until a request here is over; the most urgent goes first, then the oldest.
+        """Wait until a request here is over; the most urgent goes first, then the longest wait.
+
+        A wait counts from this call: a request that waits anew stands behind its equals.
 
         Args:
             longest_s: Longest wait, in seconds.
--- a/sprucewinch/gateway/state/outages.py
+++ b/sprucewinch/gateway/state/outages.py
@@ -9,13 +9,17 @@
 a missing entry may belong to a server that runs but could not renew its lease. An outage ends with
 an answered call of this VM, or when another VM announces that the store answered it since.
 
+Does not hold yet: in a fleet, entries of living servers are dropped after outages of 5 to 8 s (by
+trials). The cause is inferred: a notice up to 3.2 s old passes for an answer meanwhile, and a VM that
+relies on peers ends its outage by it (docs/FINDINGS.md, "Open: behaviour").
+
 Why: without the grace, servers that ran were dropped and taken for cold when their entries were
 back, and half of the requests were late for 4 s after each return (docs/FINDINGS.md, journal
 a221209a). Without the announcements, a VM that alone was refused by the store sent a request to a
 server that had left 2,172 ms before (journal d694b71a; that the grace was the cause is inferred).
 
 Result: `BackendRegistry` keeps or drops the server; it has no event of its own.
-Tests: `test_gateway_outages`, `test_gateway_following.Outages`.
+Tests: `test_gateway_outages` (one VM without peers), `test_gateway_following.Outages`.
 """
 
 from typing import Optional
