--- a/sprucewinch/gateway/lifecycle/shutdown.py
+++ b/sprucewinch/gateway/lifecycle/shutdown.py
@@ -9,11 +9,11 @@
 
 Rule: tell all VMs at once; go on serving callers that still hold this VM's address, each connection
 ending with its next answer; then accept no more and wait until every connection has ended; give
-what is still in flight its final answer shortly before the grace time ends. To end with the last
-request in flight cut 3,995,638 of 8,000,000 bytes off an answer that was read slowly, so the wait is
-for connections (docs/FINDINGS.md). It ends `_STOP_MARGIN_S` before the grace time does: what a
-caller has not read by then is cut off. `in_flight` does not show that, as a request counts as over
-once its answer is written to the connection's buffer.
+what is still in flight its final answer shortly before the grace time ends. The
+wait is for connections: to end with the last request in flight let 3,995,638 of 8,000,000 bytes of
+an answer reach a caller that read slowly (docs/FINDINGS.md). It ends `_STOP_MARGIN_S` before the
+grace time does, and what a caller has not read by the end of the process is cut off. `in_flight`
+does not show that, as a request counts as over once its answer is in the connection's buffer.
 
 Constants: `_LINGER_S`, `_STOP_MARGIN_S`, `_FINAL_ANSWERS_S`, `_STOP_POLL_S`. The result shows in
 the events `stopping` and `stop`, each with `in_flight`. Tests: `test_gateway_shutdown`,
@@ -79,7 +79,7 @@
 
 
 class Shutdown:
-    """Stops one VM; cuts off no caller that reads until `StopTimes.closed_by`.
+    """Stops one VM; answers that are read by `StopTimes.closed_by` are whole.
 
     Args:
         app: The callers' application.
--- a/sprucewinch/gateway/servers/room_queue.py
+++ b/sprucewinch/gateway/servers/room_queue.py
@@ -5,10 +5,11 @@
 
 Rule: as many requests wait as the server has slots; the most urgent goes first, then the one whose
 wait began first. A request that waits anew stands behind its equals, and each waits anew after
-`requests.room.LOOK_AGAIN_S`, so equals are not served in the order of arrival. A request that finds the queue full takes the place of the last one if that is less urgent,
-else it does not wait. One wakes for each request that ends: to wake all would let the least urgent
-take the room before the others look. The queue's length is the server's slots, as more would wait
-for longer than one round of work (a guess, never measured).
+`requests.room.LOOK_AGAIN_S`, so equals are not served in the order of arrival. A request that
+finds the queue full takes the place of the last one if that is less urgent, else it does not wait.
+One wakes for each request that ends: to wake all would let the least urgent take the room before
+the others look. The queue's length is the server's slots, as more would wait for longer than one
+round of work (a guess, never measured).
 
 The result is a `WaitEnd`, which says why a wait ended. Shows in: `blocked` of the event `request`
 of a refused request. Tests: `test_gateway_usability.WaitsForRoom`,
--- a/sprucewinch/gateway/state/outages.py
+++ b/sprucewinch/gateway/state/outages.py
@@ -10,8 +10,8 @@
 an answered call of this VM, or when another VM announces that the store answered it since.
 
 Does not hold yet: in a fleet, entries of living servers are dropped after outages of 5 to 8 s (by
-trials). The cause is inferred: a notice up to 3.2 s old passes for an answer meanwhile, and a VM that
-relies on peers ends its outage by it (docs/FINDINGS.md, "Open: behaviour").
+trials). The cause is inferred: a notice up to 3.2 s old passes for an answer meanwhile, and a VM
+that relies on peers ends its outage by it (docs/FINDINGS.md, "Open: behaviour").
 
 Why: without the grace, servers that ran were dropped and taken for cold when their entries were
 back, and half of the requests were late for 4 s after each return (docs/FINDINGS.md, journal
--- a/sprucewinch/steering/shift.py
+++ b/sprucewinch/steering/shift.py
@@ -6,9 +6,9 @@
 seconds). Each `ShiftLimiter` owns the moves that it made within the last window; it reads no clock.
 
 Rule: within any window, plus the time that callers cache answers, at most the cap moves; moves back
-and forth both count. One step moves at most a tenth of the cap. A limiter that
-is given `spent_at` counts the whole cap as spent then: the own interface gives it, as a new process
-does not know what was moved before its start; the routed path does not.
+and forth both count. One step moves at most a tenth of the cap. A limiter that is given
+`spent_at` counts the whole cap as spent then: the own interface gives it, as a new process does not
+know what was moved before its start; the routed path does not.
 
 Why: the cap is a part of the callers, so it holds for the fleet when it holds at each VM, without
 any exchange between VMs. Dividing it into allowances would need agreement on who holds which, and a
