--- a/tests/test_gateway_following.py
+++ b/tests/test_gateway_following.py
@@ -1,5 +1,6 @@
 """A few VMs follow the store for all: what it costs, and how soon a change is in force."""
 
+import json
 import unittest
 from collections.abc import Callable
 
@@ -7,6 +8,7 @@
 from hypothesis import strategies as st
 
 from sprucewinch.gateway.following.follow_role import NOTICE_MAX_AGE_S, NOTICE_SILENCE_S
+from sprucewinch.gateway.state.outages import LAPSED_ENTRY_GRACE_S
 from standins.consortium_store import Fault
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
@@ -232,6 +234,64 @@
 
         run_virtual(main)
 
+    def test_each_vm_keeps_a_living_server_whose_entry_lapsed_in_an_outage_of_6_s(self) -> None:
+        """The entry is back 1 s after the store, within the grace; outages start at four phases."""
+
+        async def main(loop: VirtualLoop, calm_s: float) -> set[str]:
+            fleet = await _fleet(loop)
+            fleet.store.put("servers/s0", _SERVER)
+            await pass_time(calm_s)
+            fleet.store.fault = Fault.BUSY
+            await pass_time(4.5)
+            fleet.store.remove("servers/s0")
+            await pass_time(1.5)
+            self.assertEqual(self._without_server(fleet), set())
+            fleet.store.fault = Fault.NONE
+            dropped = await self._drops(fleet, 1.0)
+            fleet.store.put("servers/s0", _SERVER)
+            return dropped | await self._drops(fleet, LAPSED_ENTRY_GRACE_S)
+
+        dropped = {}
+        for calm_s in (2.0, 2.5, 3.0, 3.5):
+            dropped[calm_s] = sorted(run_virtual(lambda loop, s=calm_s: main(loop, s)))
+        self.assertEqual(dropped, dict.fromkeys(dropped, []))
+
+    async def _drops(self, fleet: VirtualFleet, seconds: float) -> set[str]:
+        """Return the VMs at which the server is not usable at some time of the next seconds."""
+        dropped = set()
+        end = fleet.loop.time() + seconds
+        while fleet.loop.time() < end:
+            await pass_time(0.05)
+            dropped |= self._without_server(fleet)
+        return dropped
+
+    def _without_server(self, fleet: VirtualFleet) -> set[str]:
+        return {vm.name for vm in fleet.vms if not vm.registry.usable("rates")}
+
+    def test_each_vm_writes_that_the_store_is_lost_and_regained_at_each_of_two_outages(
+        self,
+    ) -> None:
+        async def main(loop: VirtualLoop, fault: Fault) -> dict[str, list[bool]]:
+            fleet = await _fleet(loop, seed=2)
+            for _ in range(2):
+                fleet.store.fault = fault
+                await pass_time(20.0)
+                fleet.store.fault = Fault.NONE
+                await pass_time(90.0)
+            return {vm.name: self._store_lines(vm) for vm in fleet.vms}
+
+        expected = [True, False, True, False, True]
+        others = {}
+        for fault in (Fault.BUSY, Fault.SILENT):
+            lines = run_virtual(lambda loop, f=fault: main(loop, f))
+            others |= {(fault.name, name): ups for name, ups in lines.items() if ups != expected}
+        self.assertEqual(others, {})
+
+    def _store_lines(self, vm: FleetVm) -> list[bool]:
+        """Return `up` of each line of the event `store` that a VM wrote."""
+        rows = [json.loads(line) for line in vm.lines]
+        return [row["up"] for row in rows if row["event"] == "store"]
+
 
 if __name__ == "__main__":
     unittest.main()
--- a/tests/test_gateway_server_selection.py
+++ b/tests/test_gateway_server_selection.py
@@ -182,6 +182,28 @@
 
         run_virtual(main)
 
+    def test_waiting_requests_of_equal_rank_get_room_in_order_of_arrival(self) -> None:
+        """Six requests run and end one by one, while six more wait that came 3 ms apart."""
+
+        async def main(loop: VirtualLoop) -> None:
+            path = Path(loop, servers=1)
+            path.world.configure(route(latency_target_s=2.0))
+            server = path.first()
+            server.work_s = 0.3
+            tasks = []
+            for name, pause_s in (("r", 0.03), ("w", 0.003)):
+                for number in range(6):
+                    request = path.request(f"{name}{number}")
+                    tasks.append(loop.create_task(path.pipeline.run(request)))
+                    await pass_time(pause_s)
+            self.assertEqual(len(server.runs), 6)
+            replies = await asyncio.gather(*tasks)
+            self.assertEqual([reply.status for reply in replies], [200] * 12)
+            waited = [run.request_id for run in server.runs[6:]]
+            self.assertEqual(waited, [f"w{number}" for number in range(6)])
+
+        run_virtual(main)
+
 
 class QueuesThatFit(unittest.TestCase):
     """How much may wait at a server depends on what its requests take and may take."""
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -91,7 +91,8 @@
         )
         store = KvStore(self.store_address, loop.time)
         own = Member(self.name, "z", self.region, self.address, self.address)
-        events = DecisionLog(lambda line: None, monotonic=loop.time, wall=loop.time)
+        self.lines: list[str] = []
+        events = DecisionLog(self.lines.append, monotonic=loop.time, wall=loop.time)
         follower = StoreFollower(
             self.store_view,
             store,
