--- a/tests/test_formats_own_lines.py
+++ b/tests/test_formats_own_lines.py
@@ -18,7 +18,7 @@
 from sprucewinch.hall.planning.plan_rounds import PlanRounds
 from sprucewinch.hall.store.store import Entry
 from sprucewinch.hall.store.store_reader import PlatformReader
-from tools.fleet import free_ports
+from tools.ports import free_ports
 
 from .fakes import FakePlatform, settings
 from .formats_own import OwnVm, StillClock
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -4,7 +4,7 @@
 from sprucewinch.errors import SettingsError
 from sprucewinch.hall.peers.peer_listener import PeerListener
 from sprucewinch.net.http_server import ListenerLimits, bind, make_listener
-from tools.fleet import free_ports
+from tools.ports import free_ports
 
 MANY = 1000
 REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
--- a/tests/test_process_configuration.py
+++ b/tests/test_process_configuration.py
@@ -4,7 +4,8 @@
 
 from sprucewinch.hall.store.documents import CONFIGURATION_KEY
 from tests.processes import FleetCase
-from tools.fleet import free_ports, wait_until
+from tools.fleet import wait_until
+from tools.ports import free_ports
 
 IN_FORCE_S = 7.0
 
--- a/tests/test_process_faults.py
+++ b/tests/test_process_faults.py
@@ -3,7 +3,8 @@
 
 from standins.relay import Relay
 from tests.processes import FleetCase
-from tools.fleet import free_ports, wait_until
+from tools.fleet import wait_until
+from tools.ports import free_ports
 
 
 class Faults(FleetCase):
--- a/tools/entry_vm.py
+++ b/tools/entry_vm.py
@@ -9,12 +9,13 @@
 import json
 import os
 import signal
-import socket
 import sys
 from collections.abc import Mapping
 from pathlib import Path
 from typing import Any, NamedTuple, Optional
 
+from .ports import free_ports
+
 ROOT = Path(__file__).resolve().parent.parent
 """Root of the repository, in which processes start."""
 
@@ -50,10 +51,8 @@
 
 
 def free_port(ip: str) -> int:
-    """Return a free port."""
-    with socket.socket() as probe:
-        probe.bind((ip, 0))
-        return probe.getsockname()[1]
+    """Return a port that nobody listens on."""
+    return free_ports(1, ip)[0]
 
 
 class EntryVm:
@@ -86,7 +85,8 @@
         self.root = ROOT
         self.zones = dict(place.zones)
         self.zone = place.zone
-        self.addresses = {port: f"{ip}:{free_port(ip)}" for port in _PORTS}
+        ports = free_ports(len(_PORTS), ip)
+        self.addresses = {name: f"{ip}:{p}" for name, p in zip(_PORTS, ports, strict=True)}
         self.settings = Path(folder) / f"{name}.settings"
         self.table = self._table(store, peer_port)
         self.lay_settings(self.table)
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -6,7 +6,6 @@
 
 import os
 import signal
-import socket
 import subprocess
 import sys
 import tempfile
@@ -20,6 +19,8 @@
 
 from sprucewinch.config.configuration import Configuration
 
+from .ports import free_ports
+
 TOKEN = "demo-token-for-loopback-only"
 """Operators' token of all daemons; it protects nothing."""
 
@@ -41,17 +42,6 @@
     operators: str
 
 
-def free_ports(count: int) -> list[int]:
-    """Return ports that are free on loopback now."""
-    sockets = [socket.socket() for _ in range(count)]
-    for each in sockets:
-        each.bind(("127.0.0.1", 0))
-    ports = [each.getsockname()[1] for each in sockets]
-    for each in sockets:
-        each.close()
-    return ports
-
-
 class Fleet:
     """Starts and ends the processes; a context manager that leaves none behind.
 
--- a/tools/small.py
+++ b/tools/small.py
@@ -9,7 +9,7 @@
 
 from sprucewinch.config.configuration import Configuration
 from sprucewinch.config.loading import parse_configuration
-from tools.fleet import free_ports
+from tools.ports import free_ports
 
 _SERVICES = ("rates", "booking")
 """Services of the deployment; requests of the first may run more than once."""
