--- a/sprucewinch/cli.py
+++ b/sprucewinch/cli.py
@@ -8,14 +8,14 @@
 import fire
 from fire.decorators import SetParseFn, SetParseFns
 
-from ._base_revision import read_base
-from ._tables import Printer
-from .client import OperatorClient, read_state
-from .config import load_configuration
+from .config.configuration import load_configuration
 from .errors import ConfigurationError, ConflictError, PolicyError, SprucewinchError
-from .policy import check_program
-from .report import sizes
-from .story import read as read_story
+from .operators._base_revision import read_base
+from .operators._tables import Printer
+from .operators.client import OperatorClient, read_state
+from .operators.report import sizes
+from .operators.story import read as read_story
+from .steering.policy import check_program
 
 
 class _Group:
@@ -169,7 +169,7 @@
 
     def measures(self, all_vms: bool = True) -> None:
         """Show latency, headroom, drain time and refusals by service, hall and policy."""
-        from .metrics import merge_reports
+        from .hall.metrics import merge_reports
 
         client = self._client()
         reports = [client.get("/v1/metrics")]
@@ -251,7 +251,7 @@
 
 
 def _tables(path: Path) -> dict[str, Any]:
-    from ._decode import read_toml
+    from .config.toml_decode import read_toml
 
     return read_toml(path, ConfigurationError)
 
--- a/sprucewinch/_config_check.py
+++ b/sprucewinch/config/_check.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from ._address import is_address
-from .errors import ConfigurationError
+from ..errors import ConfigurationError
+from ..net.address import is_address
 
 if TYPE_CHECKING:
-    from .config import Configuration
+    from .configuration import Configuration
 
 _SAFE = set("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.")
 
--- a/sprucewinch/config.py
+++ b/sprucewinch/config/configuration.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from ._config_check import check_configuration
-from ._decode import decode, read_toml
-from .errors import ConfigurationError
+from ..errors import ConfigurationError
+from ._check import check_configuration
+from .toml_decode import decode, read_toml
 
 
 class Struct(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
--- a/sprucewinch/settings.py
+++ b/sprucewinch/config/settings.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from ._address import is_address
-from ._decode import decode, read_toml
-from .errors import SettingsError
+from ..errors import SettingsError
+from ..net.address import is_address
+from .toml_decode import decode, read_toml
 
 _KIB = 1024
 
--- a/sprucewinch/_decode.py
+++ b/sprucewinch/config/toml_decode.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .errors import SprucewinchError
+from ..errors import SprucewinchError
 
 T = TypeVar("T", bound=msgspec.Struct)
 
--- a/sprucewinch/daemon.py
+++ b/sprucewinch/daemon.py
@@ -12,21 +12,21 @@
 import uvicorn
 
 from . import log
-from ._http_server import bind, make_server
-from ._loops import Loops, configuration_document
-from ._peer_listener import PeerListener
-from .backend import BackendClient
-from .callers import CallerApp
 from .clock import Clock, SystemClock
-from .config import Document, encode_document
-from .dispatch import Dispatcher
+from .config.configuration import Document, encode_document
+from .config.settings import Settings, load_settings
 from .errors import SprucewinchError
-from .node import Node
-from .operators import OperatorsApp
-from .peer_client import PeerClient
-from .peer_server import PeerServer
-from .platform_http import HttpPlatform
-from .settings import Settings, load_settings
+from .hall.loops import Loops, configuration_document
+from .hall.node import Node
+from .hall.peers.peer_client import PeerClient
+from .hall.peers.peer_listener import PeerListener
+from .hall.peers.peer_server import PeerServer
+from .hall.requests.backend import BackendClient
+from .hall.requests.callers import CallerApp
+from .hall.requests.dispatch import Dispatcher
+from .hall.store.http_store import HttpPlatform
+from .net.http_server import bind, make_server
+from .operators.port import OperatorsApp
 
 _INCARNATION_RANDOM_BITS = 12
 _LAST_WORDS = 8
--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -7,36 +7,36 @@
 from typing import Optional, Protocol
 
 from .. import log
-from .._http_server import AsgiApp
 from .._supervise import Step, forever
 from ..clock import Clock, SystemClock
 from ..errors import SettingsError
-from .app import GatewayApp
-from .beliefs import Beliefs, Decoder
-from .directory import Directory
-from .gossip import Gossip
-from .heartbeats import Heartbeats
-from .journal import Journal
-from .listeners import PeerApp, TextApp
-from .listening import Listening
-from .measured import MeasureBoard, Measured
+from ..net.http_server import AsgiApp
+from .decision_log import Journal
+from .following.follow_role import Relay
+from .following.followers import NeighbourFollower, StoreFollower
+from .internal_apps import PeerApp, TextApp
+from .listeners import Listening
+from .membership.directory import Directory
+from .membership.gossip import Gossip
+from .membership.heartbeats import Heartbeats
+from .membership.registrar import Registrar
 from .model import GatewaySettings, Member, Names
-from .outages import StoreOutages
-from .outliers import Outliers
-from .pipeline import Pipeline
-from .place import Placer
-from .policies import PolicyBook
-from .pool import Pool
-from .probe import Prober
-from .registrar import Registrar
-from .relay import Relay
-from .send import Sender
-from .servers import ServerBook
-from .shares import RegionShares
-from .state import machine_state
-from .store import Store
-from .sync import NeighbourFollower, StoreFollower
+from .regions.policies import PolicyBook
+from .regions.region_reports import MeasureBoard, Measured
+from .regions.shares import RegionShares
+from .requests.app import GatewayApp
+from .requests.pipeline import Pipeline
+from .requests.sender import Sender
+from .requests.server_order import Placer
+from .servers.backend_registry import ServerBook
+from .servers.outliers import Outliers
+from .servers.pool import Pool
+from .servers.probe import Prober
+from .state.outages import StoreOutages
+from .state.store import Store
+from .state.store_view import Beliefs, Decoder
 from .timing import Timing
+from .vm_state import machine_state
 
 _TICK_S = 0.2
 _SWEEP_S = 1.0
--- a/sprucewinch/gateway/journal.py
+++ b/sprucewinch/gateway/decision_log.py
@@ -7,9 +7,9 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from .beliefs import Change
-from .call import Call, Reply
 from .model import RouteConfiguration
+from .requests.client_request import Call, Reply
+from .state.store_view import Change
 
 _LINES_PER_S = 150.0
 _BURST = 300.0
--- a/sprucewinch/gateway/deltas.py
+++ b/sprucewinch/gateway/following/deltas.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from .connection import get
-from .replica import Delta, Item, Removal
+from ...net.connection import get
+from ..state.replica import Delta, Item, Removal
 
 DELTA_PATH = "/v1/delta"
 _TIMEOUT_S = 0.6
--- a/sprucewinch/gateway/relay.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from .._hash import hash64
-from .beliefs import Beliefs
-from .gossip import Gossip
-from .model import Member
-from .outages import StoreOutages
+from ..._hash import hash64
+from ..membership.gossip import Gossip
+from ..model import Member
+from ..state.outages import StoreOutages
+from ..state.store_view import Beliefs
 
 NEWS_S = 0.3
 """How often a watcher tells what it knows, in seconds."""
--- a/sprucewinch/gateway/sync.py
+++ b/sprucewinch/gateway/following/followers.py
@@ -3,16 +3,16 @@
 import asyncio
 from collections.abc import Callable
 
-from ..retry import backoff_s
-from .beliefs import Beliefs
+from ...retry import backoff_s
+from ..decision_log import Journal
+from ..membership.gossip import Gossip
+from ..membership.heartbeats import Heartbeats
+from ..state.outages import StoreOutages
+from ..state.store import HistoryGoneError, Store, StoreUnavailableError
+from ..state.store_view import Beliefs
+from ..timing import Timing
 from .deltas import fetch_delta
-from .gossip import Gossip
-from .heartbeats import Heartbeats
-from .journal import Journal
-from .outages import StoreOutages
-from .relay import Relay
-from .store import HistoryGoneError, Store, StoreUnavailableError
-from .timing import Timing
+from .follow_role import Relay
 
 WATCH_S = 2.0
 """How long a watch waits, in seconds; one that died silently is noticed then."""
--- /dev/null
+++ b/sprucewinch/gateway/internal_apps.py
@@ -0,0 +1,58 @@
+"""Small ASGI applications: readiness, neighbours and metrics."""
+
+from collections.abc import Callable, Mapping
+from typing import Any
+from urllib.parse import parse_qs
+
+from ..net.asgi import Receive, Send
+from .following.deltas import DELTA_PATH, encode_delta
+from .state.store_view import Beliefs
+
+
+async def send_bytes(send: Send, status: int, body: bytes, kind: str = "text/plain") -> None:
+    """Send a whole answer."""
+    headers = [
+        (b"content-type", kind.encode()),
+        (b"content-length", b"%d" % len(body)),
+    ]
+    await send({"type": "http.response.start", "status": status, "headers": headers})
+    await send({"type": "http.response.body", "body": body})
+
+
+class PeerApp:
+    """Hands on to neighbours what this machine knows.
+
+    Args:
+        beliefs: What this machine believes.
+    """
+
+    def __init__(self, beliefs: Beliefs) -> None:
+        self.beliefs = beliefs
+
+    async def __call__(self, scope: dict[str, Any], _receive: Receive, send: Send) -> None:
+        """Serve one request."""
+        after = parse_qs(scope["query_string"].decode("latin-1")).get("after", ["0"])[0]
+        if scope["path"] != DELTA_PATH or not after.isdigit():
+            await send_bytes(send, 404, b"")
+            return
+        delta = self.beliefs.replica.since(int(after))
+        await send_bytes(send, 200, encode_delta(delta), "application/msgpack")
+
+
+class TextApp:
+    """Shows texts that are made for each request.
+
+    Args:
+        texts: What makes the text of each path.
+    """
+
+    def __init__(self, texts: Mapping[str, Callable[[], str]]) -> None:
+        self.texts = texts
+
+    async def __call__(self, scope: dict[str, Any], _receive: Receive, send: Send) -> None:
+        """Serve one request."""
+        text = self.texts.get(scope["path"])
+        if text is None:
+            await send_bytes(send, 404, b"")
+            return
+        await send_bytes(send, 200, text().encode())
--- a/sprucewinch/gateway/listeners.py
+++ b/sprucewinch/gateway/listeners.py
@@ -1,58 +1,69 @@
-"""Small ASGI applications: readiness, neighbours and metrics."""
+"""The HTTP listeners of one machine, with limits that follow the configuration."""
 
-from collections.abc import Callable, Mapping
-from typing import Any
-from urllib.parse import parse_qs
+import asyncio
 
-from .._asgi import Receive, Send
-from .beliefs import Beliefs
-from .deltas import DELTA_PATH, encode_delta
+import uvicorn
 
+from ..net.http_server import AsgiApp, ListenerLimits, bind, keep_alive, make_listener
+from .model import RouteConfiguration
+from .state.store_view import Change
 
-async def send_bytes(send: Send, status: int, body: bytes, kind: str = "text/plain") -> None:
-    """Send a whole answer."""
-    headers = [
-        (b"content-type", kind.encode()),
-        (b"content-length", b"%d" % len(body)),
-    ]
-    await send({"type": "http.response.start", "status": status, "headers": headers})
-    await send({"type": "http.response.body", "body": body})
+_CONNECTIONS_PART = 0.5
+"""Part of the descriptors that callers' connections may take."""
 
+_FIRST_HEADER_BYTES = 65_536
+_HEADER_SLACK_BYTES = 1024
+_HEADER_SLACK_S = 1.0
+_IDLE_SLACK_S = 5.0
+_LOOK_S = 0.005
 
-class PeerApp:
-    """Hands on to neighbours what this machine knows.
+
+class Listening:
+    """Starts listeners and keeps their limits.
 
     Args:
-        beliefs: What this machine believes.
+        max_files: Descriptors that the process may open.
     """
 
-    def __init__(self, beliefs: Beliefs) -> None:
-        self.beliefs = beliefs
+    def __init__(self, max_files: int) -> None:
+        connections = int(max_files * _CONNECTIONS_PART)
+        self.limits = ListenerLimits(_FIRST_HEADER_BYTES, connections, connections)
+        self.servers: list[uvicorn.Server] = []
+        self.tasks: list[asyncio.Task] = []
 
-    async def __call__(self, scope: dict[str, Any], _receive: Receive, send: Send) -> None:
-        """Serve one request."""
-        after = parse_qs(scope["query_string"].decode("latin-1")).get("after", ["0"])[0]
-        if scope["path"] != DELTA_PATH or not after.isdigit():
-            await send_bytes(send, 404, b"")
-            return
-        delta = self.beliefs.replica.since(int(after))
-        await send_bytes(send, 200, encode_delta(delta), "application/msgpack")
+    async def serve(self, address: str, app: AsgiApp) -> None:
+        """Listen at an address, and return once callers can connect.
 
+        Args:
+            address: `IP:PORT`.
+            app: Answers.
 
-class TextApp:
-    """Shows texts that are made for each request.
+        Raises:
+            SettingsError: When the address cannot be listened on.
+        """
+        server = make_listener(app, self.limits)
+        bound = bind("listen address", address)
+        self.servers.append(server)
+        self.tasks.append(asyncio.ensure_future(server.serve(sockets=[bound])))
+        while not server.started:
+            await asyncio.sleep(_LOOK_S)
 
-    Args:
-        texts: What makes the text of each path.
-    """
+    def accept_no_more(self) -> None:
+        """Refuse new connections and end those that rest; requests in flight go on."""
+        for server in self.servers:
+            server.should_exit = True
 
-    def __init__(self, texts: Mapping[str, Callable[[], str]]) -> None:
-        self.texts = texts
+    @property
+    def closed(self) -> bool:
+        """Tell whether every connection has ended, with all that was written to it read."""
+        return all(task.done() for task in self.tasks)
 
-    async def __call__(self, scope: dict[str, Any], _receive: Receive, send: Send) -> None:
-        """Serve one request."""
-        text = self.texts.get(scope["path"])
-        if text is None:
-            await send_bytes(send, 404, b"")
+    def learn(self, change: Change) -> None:
+        """Follow the limits on callers; a connection rests a little longer than they are told."""
+        if not isinstance(change.after, RouteConfiguration):
             return
-        await send_bytes(send, 200, text().encode())
+        limits = change.after.limits
+        self.limits.header_bytes = limits.header_bytes + _HEADER_SLACK_BYTES
+        self.limits.header_s = limits.header_s + _HEADER_SLACK_S
+        for server in self.servers:
+            keep_alive(server, limits.idle_s + _IDLE_SLACK_S)
--- a/sprucewinch/gateway/directory.py
+++ b/sprucewinch/gateway/membership/directory.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from .beliefs import Beliefs
+from ..state.store_view import Beliefs
 from .gossip import Gossip
 
 MOST_ADDRESSES = 64
--- a/sprucewinch/gateway/heartbeats.py
+++ b/sprucewinch/gateway/membership/heartbeats.py
@@ -9,13 +9,13 @@
 
 import msgspec
 
-from .._address import parse_address
-from .beliefs import Beliefs
+from ...net.address import parse_address
+from ..following.follow_role import NEWS_S, News, Relay
+from ..regions.region_reports import MEASURE_S, MeasureBoard, Measured
+from ..servers.backend_registry import ServerBook
+from ..servers.outliers import Outliers
+from ..state.store_view import Beliefs
 from .gossip import BEAT_S, Beat, Gossip
-from .measured import MEASURE_S, MeasureBoard, Measured
-from .outliers import Outliers
-from .relay import NEWS_S, News, Relay
-from .servers import ServerBook
 
 
 class Crowded(msgspec.Struct, array_like=True, frozen=True, tag="crowded"):
--- a/sprucewinch/gateway/registrar.py
+++ b/sprucewinch/gateway/membership/registrar.py
@@ -3,14 +3,14 @@
 import asyncio
 from typing import Optional
 
-from ..retry import backoff_s
-from .beliefs import Beliefs
+from ...retry import backoff_s
+from ..model import Member
+from ..state.own_items import MEMBER_PREFIX, member_item
+from ..state.replica import Item
+from ..state.store import Store, StoreUnavailableError
+from ..state.store_view import Beliefs
+from ..timing import Timing
 from .gossip import Gossip
-from .model import Member
-from .registry import MEMBER_PREFIX, member_item
-from .replica import Item
-from .store import Store, StoreUnavailableError
-from .timing import Timing
 
 _REGISTER_S = 2.0
 _FORGET_MEMBER_S = 30.0
--- a/sprucewinch/gateway/policies.py
+++ b/sprucewinch/gateway/regions/policies.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable
 
-from ..errors import PolicyError, SettingsError
-from ..policy import Policy, ProgramPolicy, shipped_policies
-from .beliefs import Beliefs, Change
-from .model import PolicyChoice, PolicyProgram
+from ...errors import PolicyError, SettingsError
+from ...steering.policy import Policy, ProgramPolicy, shipped_policies
+from ..model import PolicyChoice, PolicyProgram
+from ..state.store_view import Beliefs, Change
 
 DEFAULT_POLICY = "capacity"
 _MEASURED = ("in_use", "headroom", "latency_ms", "demand_per_s")
--- a/sprucewinch/gateway/measured.py
+++ b/sprucewinch/gateway/regions/region_reports.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ..measures import RegionMeasures
-from .server import Server
-from .servers import ServerBook
+from ...steering.measures import RegionMeasures
+from ..servers.backend_registry import ServerBook
+from ..servers.backend_server import Server
 
 MEASURE_S = 1.0
 """How often a region's figures are told, in seconds."""
--- a/sprucewinch/gateway/shares.py
+++ b/sprucewinch/gateway/regions/shares.py
@@ -1,13 +1,13 @@
 """Shares of regions in force at this machine: policy, guard, then the shift cap."""
 
-from ..guard import GuardLimits, grant
-from ..measures import RegionMeasures, Snapshot
-from ..placement import Shares, make_shares
-from ..policy import PolicyFault
-from ..shift import ShiftCap, ShiftLimiter
-from .measured import MeasureBoard
+from ...steering.guard import GuardLimits, grant
+from ...steering.measures import RegionMeasures, Snapshot
+from ...steering.placement import Shares, make_shares
+from ...steering.policy import PolicyFault
+from ...steering.shift import ShiftCap, ShiftLimiter
+from ..servers.backend_registry import ServerBook
 from .policies import PolicyBook
-from .servers import ServerBook
+from .region_reports import MeasureBoard
 
 SHIFT_WINDOW_S = 2.0
 _CAP_SAFETY = 0.8
--- a/sprucewinch/gateway/app.py
+++ b/sprucewinch/gateway/requests/app.py
@@ -7,14 +7,14 @@
 
 import msgspec
 
-from .._asgi import AsgiBody, Receive, Send
-from .._http_server import TARGET_KEY
-from ..body import CallerLeftError
-from ..request import end_to_end
-from .beliefs import Beliefs
-from .call import Call, Refused, Reply
-from .journal import Journal
-from .model import CallerLimits, Names
+from ...net.asgi import AsgiBody, Receive, Send
+from ...net.body import CallerLeftError
+from ...net.http_server import TARGET_KEY
+from ...net.request import end_to_end
+from ..decision_log import Journal
+from ..model import CallerLimits, Names
+from ..state.store_view import Beliefs
+from .client_request import Call, Refused, Reply
 from .pipeline import Pipeline
 
 _DEFAULT_WAIT_S = 10.0
--- a/sprucewinch/gateway/call.py
+++ b/sprucewinch/gateway/requests/client_request.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple, Optional
 
-from .connection import Answer
-from .model import Route
-from .server import Server
+from ...net.connection import Answer
+from ..model import Route
+from ..servers.backend_server import Server
 
 
 @dataclass(slots=True)
--- a/sprucewinch/gateway/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from typing import Optional, Union
 
-from .admit import Admission
-from .beliefs import Beliefs, Change
-from .budget import RepeatBudget
-from .call import Call, Chosen, Refused, Reply, Send, Verdict
-from .model import Bounds, Route, RouteConfiguration
-from .place import Placement, Placer
+from ..model import Bounds, Route, RouteConfiguration
+from ..servers.backend_registry import ServerBook
+from ..state.store_view import Beliefs, Change
+from .client_request import Call, Chosen, Refused, Reply, Send, Verdict
+from .retry_budget import RepeatBudget
 from .routes import RouteTable
-from .send import Sender
-from .servers import ServerBook
+from .sender import Sender
+from .server_order import Placement, Placer
+from .server_selection import Admission
 from .split import Splits
 
 COME_BACK_S = (0.25, 0.75)
--- a/sprucewinch/gateway/budget.py
+++ b/sprucewinch/gateway/requests/retry_budget.py
@@ -5,8 +5,8 @@
 machines enters, and it is taken too high rather than too low.
 """
 
-from .model import Bounds
-from .windows import SlidingCount
+from ..model import Bounds
+from .sliding_count import SlidingCount
 
 _SAFETY = 0.75
 """Part of the limit that is used: counts of callers and of backend servers differ at the edges."""
--- a/sprucewinch/gateway/routes.py
+++ b/sprucewinch/gateway/requests/routes.py
@@ -2,7 +2,7 @@
 
 from typing import Optional
 
-from .model import Route, RouteConfiguration
+from ..model import Route, RouteConfiguration
 
 
 class RouteTable:
--- a/sprucewinch/gateway/send.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -3,14 +3,14 @@
 import asyncio
 from collections.abc import Callable
 
-from .call import Call, Chosen, Send, Verdict
-from .connection import Answer, ConnectFailedError, ExchangeFailedError
-from .judge import judge, load_of
-from .model import Names
-from .outliers import Outliers
-from .pool import Pool
-from .server import Server
-from .servers import ServerBook
+from ...net.connection import Answer, ConnectFailedError, ExchangeFailedError
+from ..model import Names
+from ..servers.backend_registry import ServerBook
+from ..servers.backend_server import Server
+from ..servers.outliers import Outliers
+from ..servers.pool import Pool
+from .client_request import Call, Chosen, Send, Verdict
+from .verdict import judge, load_of
 
 _SHED_PAUSE_S = 0.05
 _MISDIRECTED_PAUSE_S = 60.0
--- a/sprucewinch/gateway/place.py
+++ b/sprucewinch/gateway/requests/server_order.py
@@ -5,10 +5,10 @@
 
 import xxhash
 
-from ..placement import block_key
-from .server import Server
-from .servers import ServerBook
-from .shares import RegionShares
+from ...steering.placement import block_key
+from ..regions.shares import RegionShares
+from ..servers.backend_registry import ServerBook
+from ..servers.backend_server import Server
 
 _HASH_SPACE = float(1 << 32)
 _MAX_KEPT = 4_000
--- a/sprucewinch/gateway/admit.py
+++ b/sprucewinch/gateway/requests/server_selection.py
@@ -8,12 +8,12 @@
 
 from typing import Union
 
-from .call import Blocked, Call, Chosen, Refused
-from .model import Route
-from .outliers import Outliers
-from .place import Placement
-from .server import Server
-from .servers import ServerBook
+from ..model import Route
+from ..servers.backend_registry import ServerBook
+from ..servers.backend_server import Server
+from ..servers.outliers import Outliers
+from .client_request import Blocked, Call, Chosen, Refused
+from .server_order import Placement
 
 _FREE_PART = 0.5
 """Part of its slots below which a server has some to spare for another of its region."""
--- a/sprucewinch/gateway/split.py
+++ b/sprucewinch/gateway/requests/split.py
@@ -4,8 +4,8 @@
 warm; the running shares are kept close to the weights by moving some objects' requests.
 """
 
-from .._hash import hash64
-from .model import Part, Route
+from ..._hash import hash64
+from ..model import Part, Route
 
 _MOST_OFF = 0.03
 """How far a running share may lie off its weight."""
--- a/sprucewinch/gateway/judge.py
+++ b/sprucewinch/gateway/requests/verdict.py
@@ -2,9 +2,9 @@
 
 from typing import NamedTuple, Optional
 
-from .call import Verdict
-from .connection import Answer
-from .model import Names
+from ...net.connection import Answer
+from ..model import Names
+from .client_request import Verdict
 
 _BAD_REQUEST = 400
 _MISDIRECTED = 421
--- a/sprucewinch/gateway/servers.py
+++ b/sprucewinch/gateway/servers/backend_registry.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable, Iterable
 from typing import Optional
 
-from .._hash import hash64
-from .beliefs import Beliefs, Change, Evacuation
-from .model import Backend, Bounds, RouteConfiguration
-from .outages import RETURN_S, StoreOutages
-from .server import Server
+from ..._hash import hash64
+from ..model import Backend, Bounds, RouteConfiguration
+from ..state.outages import RETURN_S, StoreOutages
+from ..state.store_view import Beliefs, Change, Evacuation
+from .backend_server import Server
 from .service_times import ServiceTimes
 
 COLD_MARGIN_S = 0.5
--- a/sprucewinch/gateway/server.py
+++ b/sprucewinch/gateway/servers/backend_server.py
@@ -5,8 +5,8 @@
 from collections import deque
 from typing import NamedTuple, Optional
 
-from .._hash import hash64
-from .model import Backend
+from ..._hash import hash64
+from ..model import Backend
 from .service_times import CROWDED_PART
 
 _COLD_WINDOW_S = 1.15
--- a/sprucewinch/gateway/outliers.py
+++ b/sprucewinch/gateway/servers/outliers.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from .server import Server
-from .servers import ServerBook
+from .backend_registry import ServerBook
+from .backend_server import Server
 
 _WINDOW_S = 2.5
 """How long samples count, in seconds."""
--- a/sprucewinch/gateway/pool.py
+++ b/sprucewinch/gateway/servers/pool.py
@@ -4,7 +4,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from .connection import Connection, connect
+from ...net.connection import Connection, connect
 
 CONNECT_S = 0.35
 """Longest wait for a new connection, in seconds."""
--- a/sprucewinch/gateway/probe.py
+++ b/sprucewinch/gateway/servers/probe.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import Optional
 
-from .connection import Answer, get
-from .journal import Journal
-from .model import Names
-from .server import Server
-from .servers import COLD_MARGIN_S, ServerBook
+from ...net.connection import Answer, get
+from ..decision_log import Journal
+from ..model import Names
+from .backend_registry import COLD_MARGIN_S, ServerBook
+from .backend_server import Server
 
 _LOOK_S = 0.05
 _TIMEOUT_S = 0.5
--- a/sprucewinch/gateway/registry.py
+++ b/sprucewinch/gateway/state/own_items.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from .beliefs import Fact, MalformedItemError
-from .model import Member, PolicyChoice, PolicyProgram
+from ..model import Member, PolicyChoice, PolicyProgram
 from .replica import Item
+from .store_view import Fact, MalformedItemError
 
 OWN_PREFIX = "sprucewinch/"
 MEMBER_PREFIX = OWN_PREFIX + "members/"
--- a/sprucewinch/gateway/beliefs.py
+++ b/sprucewinch/gateway/state/store_view.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple, Optional, Union
 
-from .model import Backend, Member, PolicyChoice, PolicyProgram, RouteConfiguration
+from ..model import Backend, Member, PolicyChoice, PolicyProgram, RouteConfiguration
 from .replica import Delta, Item, Replica
 
 
--- a/sprucewinch/_loops.py
+++ b/sprucewinch/hall/loops.py
@@ -3,18 +3,18 @@
 import asyncio
 import random
 
-from . import log
-from ._plan_rounds import PlanRounds
-from ._platform_reader import PlatformReader
-from ._supervise import Step, forever
-from .admission import Admission
-from .backend import BackendClient
-from .clock import Clock
-from .documents import CONFIGURATION_KEY, Revisioned
-from .exchange import Exchange, choose_partners
+from .. import log
+from .._supervise import Step, forever
+from ..clock import Clock
 from .node import LEAVING_S, Node
-from .peer_client import PeerClient
-from .platform import Platform
+from .peers.exchange import Exchange, choose_partners
+from .peers.peer_client import PeerClient
+from .planning.plan_rounds import PlanRounds
+from .requests.admission import Admission
+from .requests.backend import BackendClient
+from .store.documents import CONFIGURATION_KEY, Revisioned
+from .store.store import Platform
+from .store.store_reader import PlatformReader
 
 TICK_S = 0.5
 EXCHANGE_S = 1.0
--- a/sprucewinch/node.py
+++ b/sprucewinch/hall/node.py
@@ -6,23 +6,23 @@
 
 import msgspec
 
-from ._hash import hash32
-from .config import Document, decode_document
-from .documents import CONFIGURATION_KEY, PLAN_PREFIX, DocumentShelf, Revisioned
-from .errors import ConfigurationError, PolicyError
-from .hall import HallDispatch
-from .links import RateAllowance
-from .lookup import LookupTable
-from .membership import Membership, member_id
+from .._hash import hash32
+from ..config.configuration import Document, decode_document
+from ..config.settings import Settings
+from ..errors import ConfigurationError, PolicyError
+from ..net.outcome import Reason, Refusal, not_run
+from ..steering.policy import Policy, ProgramPolicy, shipped_policies
 from .metrics import Label, Metrics, RateMeter
-from .outcome import Reason, Refusal, not_run
-from .peer_pb2 import GONE, JOINING, LEAVING, SERVING, Member, ServiceLoad, State
-from .policy import Policy, ProgramPolicy, shipped_policies
-from .settings import Settings
+from .peers.membership import Membership, member_id
+from .peers.peer_pb2 import GONE, JOINING, LEAVING, SERVING, Member, ServiceLoad, State
+from .planning.links import RateAllowance
+from .planning.lookup import LookupTable
+from .planning.steering import Plan, Steering
+from .planning.topology import Topology
+from .requests.admissions import HallDispatch
+from .requests.tickets import TicketBook
 from .slots import SlotShare, view_digest
-from .steering import Plan, Steering
-from .tickets import TicketBook
-from .topology import Topology
+from .store.documents import CONFIGURATION_KEY, PLAN_PREFIX, DocumentShelf, Revisioned
 
 LEAVING_S = 10.0
 """How long a backend server's word that it is leaving counts, in seconds."""
--- a/sprucewinch/exchange.py
+++ b/sprucewinch/hall/peers/exchange.py
@@ -3,16 +3,9 @@
 import random
 from collections.abc import Sequence
 
-from .documents import Revisioned
-from .node import Node
-from .peer_pb2 import (
-    GONE,
-    Document,
-    DocumentRevision,
-    ExchangeReply,
-    ExchangeRequest,
-    Member,
-)
+from ..node import Node
+from ..store.documents import Revisioned
+from .peer_pb2 import GONE, Document, DocumentRevision, ExchangeReply, ExchangeRequest, Member
 
 
 class Exchange:
--- a/sprucewinch/_frames.py
+++ b/sprucewinch/hall/peers/frames.py
@@ -3,10 +3,10 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 from typing import Optional
 
-from .body import Body, CallerLeftError
-from .outcome import Outcome, Reason, Refusal
+from ...net.body import Body, CallerLeftError
+from ...net.outcome import Outcome, Reason, Refusal
+from ...net.request import Headers, Request
 from .peer_pb2 import Accepted, End, Frame, Head, Header, Open, Refused
-from .request import Headers, Request
 
 CHUNK = 65_536
 """Most bytes of body in one frame."""
--- a/sprucewinch/membership.py
+++ b/sprucewinch/hall/peers/membership.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from typing import Optional
 
+from ..slots import view_digest
 from .peer_pb2 import GONE, JOINING, LEAVING, SERVING, Known, Member
-from .slots import view_digest
 
 SILENT_S = 3.0
 """Silence after which a member is no longer counted as live, in seconds."""
--- a/sprucewinch/peer_client.py
+++ b/sprucewinch/hall/peers/peer_client.py
@@ -7,16 +7,16 @@
 from grpclib.config import Configuration as ChannelConfiguration
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
-from ._address import parse_address
-from ._frames import body_frames, headers_of, open_frame, refusal_of
-from .backend import Attempt, BrokenAnswerError
-from .body import CallerLeftError
-from .clock import Clock
-from .hallpath.peers import PeerLink
-from .outcome import Reason, not_run, unknown
+from ...clock import Clock
+from ...net.address import parse_address
+from ...net.body import CallerLeftError
+from ...net.outcome import Reason, not_run, unknown
+from ...net.request import Request, Responder
+from ..requests.backend import Attempt, BrokenAnswerError
+from ..requests.handover import PeerLink
+from .frames import body_frames, headers_of, open_frame, refusal_of
 from .peer_grpc import PeerStub
 from .peer_pb2 import ExchangeReply, ExchangeRequest, Frame, Member
-from .request import Request, Responder
 
 WINDOW = 1 << 20
 """Bytes that may be on their way on one connection between two entry VMs."""
--- a/sprucewinch/_peer_listener.py
+++ b/sprucewinch/hall/peers/peer_listener.py
@@ -6,7 +6,7 @@
 from grpclib.config import Configuration
 from grpclib.server import Server
 
-from . import log
+from ... import log
 from .peer_client import WINDOW
 from .peer_grpc import PeerBase
 
--- a/sprucewinch/peer_server.py
+++ b/sprucewinch/hall/peers/peer_server.py
@@ -6,7 +6,14 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Stream
 
-from ._frames import (
+from ...clock import Clock
+from ...net.outcome import Reason, Refusal, not_run, unknown
+from ...net.request import Headers, Request, Responder
+from ..requests.backend import BrokenAnswerError
+from ..requests.dispatch import Dispatcher
+from ..requests.tickets import parse_ticket
+from .exchange import Exchange
+from .frames import (
     FrameBody,
     accepted_frame,
     end_frame,
@@ -15,15 +22,8 @@
     request_of,
     split,
 )
-from .backend import BrokenAnswerError
-from .clock import Clock
-from .dispatch import Dispatcher
-from .exchange import Exchange
-from .outcome import Reason, Refusal, not_run, unknown
 from .peer_grpc import PeerBase
 from .peer_pb2 import ExchangeReply, ExchangeRequest, Frame, Open
-from .request import Headers, Request, Responder
-from .tickets import parse_ticket
 
 
 class PeerServer(PeerBase):
--- a/sprucewinch/view.py
+++ b/sprucewinch/hall/peers/view.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterable
 from typing import Optional
 
-from .measures import RegionMeasures, Snapshot
+from ...steering.measures import RegionMeasures, Snapshot
+from ..planning.topology import Topology
 from .membership import Membership
 from .peer_pb2 import LEAVING, SERVING, Member, ServiceLoad
-from .topology import Topology
 
 KEEP_S = 60.0
 """Members not heard of for longer are left out of snapshots, in seconds."""
--- a/sprucewinch/_share_history.py
+++ b/sprucewinch/hall/planning/_share_history.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from .placement import Shares
+from ...steering.placement import Shares
 
 
 class _Past(NamedTuple):
--- a/sprucewinch/lookup.py
+++ b/sprucewinch/hall/planning/lookup.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from .outcome import Reason, Refusal, not_run
-from .peer_pb2 import Member
-from .placement import block_key
+from ...net.outcome import Reason, Refusal, not_run
+from ...steering.placement import block_key
+from ..peers.peer_pb2 import Member
 from .steering import Steering
 from .topology import Topology
 
--- a/sprucewinch/_plan_rounds.py
+++ b/sprucewinch/hall/planning/plan_rounds.py
@@ -6,18 +6,18 @@
 
 import msgspec
 
-from . import log
-from ._platform_reader import PlatformReader
-from .clock import Clock
-from .documents import PLAN_PREFIX, Revisioned
-from .errors import PlatformError, WriteUnknownError
-from .membership import member_id
-from .node import Node
-from .peer_pb2 import SERVING
+from ... import log
+from ...clock import Clock
+from ...errors import PlatformError, WriteUnknownError
+from ..node import Node
+from ..peers.membership import member_id
+from ..peers.peer_pb2 import SERVING
+from ..peers.view import View
+from ..store.documents import PLAN_PREFIX, Revisioned
+from ..store.store import Platform, Written
+from ..store.store_reader import PlatformReader
 from .planner import Planner
-from .platform import Platform, Written
 from .steering import Plan
-from .view import View
 
 LEASE_S = 6.0
 _LEASE_RENEW_S = 2.0
--- a/sprucewinch/planner.py
+++ b/sprucewinch/hall/planning/planner.py
@@ -4,12 +4,12 @@
 from collections.abc import Mapping
 from typing import Optional
 
+from ...steering.guard import GuardLimits, grant
+from ...steering.measures import Snapshot
+from ...steering.placement import Shares, make_shares, moved_part
+from ...steering.policy import Policy, PolicyFault
+from ...steering.shift import ShiftLimiter
 from ._share_history import ShareHistory
-from .guard import GuardLimits, grant
-from .measures import Snapshot
-from .placement import Shares, make_shares, moved_part
-from .policy import Policy, PolicyFault
-from .shift import ShiftLimiter
 from .steering import Plan
 from .topology import Topology
 
--- a/sprucewinch/steering.py
+++ b/sprucewinch/hall/planning/steering.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from .placement import Shares
-from .shift import ShiftLimiter
+from ...steering.placement import Shares
+from ...steering.shift import ShiftLimiter
 from .topology import Topology
 
 
--- a/sprucewinch/topology.py
+++ b/sprucewinch/hall/planning/topology.py
@@ -4,9 +4,9 @@
 from collections.abc import Mapping
 from typing import Optional
 
-from .config import Configuration, Document, Pool, Service, drain_key
-from .placement import BlockTable, Shares, make_shares
-from .shift import ShiftCap
+from ...config.configuration import Configuration, Document, Pool, Service, drain_key
+from ...steering.placement import BlockTable, Shares, make_shares
+from ...steering.shift import ShiftCap
 
 _FAR_MS = 1000.0
 _MAX_REMEMBERED = 8192
--- a/sprucewinch/_slot_wait.py
+++ b/sprucewinch/hall/requests/_slot_wait.py
@@ -3,9 +3,9 @@
 import asyncio
 from typing import Union
 
+from ...clock import Clock
+from ...net.outcome import Reason, Refusal, not_run
 from .admission import Admission, Slot
-from .clock import Clock
-from .outcome import Reason, Refusal, not_run
 
 
 async def wait_for_slot(
--- a/sprucewinch/admission.py
+++ b/sprucewinch/hall/requests/admission.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from typing import Optional, Union
 
-from .outcome import Reason, Refusal, not_run
+from ...net.outcome import Reason, Refusal, not_run
 
 SHED_PAUSE_S = 0.25
 """How long a backend server that shed a request is left alone."""
--- a/sprucewinch/hall.py
+++ b/sprucewinch/hall/requests/admissions.py
@@ -4,10 +4,10 @@
 from collections.abc import Sequence
 from typing import Optional
 
+from ...config.configuration import drain_key
+from ..planning.topology import Topology
+from ..slots import SlotShare
 from .admission import Admission
-from .config import drain_key
-from .slots import SlotShare
-from .topology import Topology
 
 
 class HallDispatch:
--- a/sprucewinch/hallpath/again.py
+++ b/sprucewinch/hall/requests/again.py
@@ -1,10 +1,10 @@
 """Whether a request that came back without an answer may be sent once more."""
 
-from ..backend import Attempt
+from ...net.outcome import Outcome, Reason
+from ...net.request import Request
+from ...retry import RetryBudget
 from ..node import Node
-from ..outcome import Outcome, Reason
-from ..request import Request
-from ..retry import RetryBudget
+from .backend import Attempt
 
 _ELSEWHERE = (Reason.NO_ROOM, Reason.NO_BACKEND_SERVER, Reason.BACKEND_FAILED, Reason.LEAVING)
 """Reasons for which another backend server or data hall may still run the request."""
--- a/sprucewinch/backend.py
+++ b/sprucewinch/hall/requests/backend.py
@@ -6,9 +6,9 @@
 import aiohttp
 from multidict import CIMultiDict
 
-from ._http_client import make_session
-from .outcome import Reason, Refusal, not_run, unknown
-from .request import (
+from ...net.http_client import make_session
+from ...net.outcome import Reason, Refusal, not_run, unknown
+from ...net.request import (
     DEADLINE_HEADER,
     LEAVING_HEADER,
     NOT_RUN_HEADER,
--- a/sprucewinch/callers.py
+++ b/sprucewinch/hall/requests/callers.py
@@ -8,21 +8,15 @@
 
 import msgspec
 
-from ._asgi import AsgiBody, AsgiResponder, Receive, Send, send_answer, send_refusal
+from ...clock import Clock
+from ...net.asgi import AsgiBody, AsgiResponder, Receive, Send, send_answer, send_refusal
+from ...net.body import Body, CallerLeftError
+from ...net.outcome import Reason, Refusal, not_run, unknown
+from ...net.request import BLOCK_HEADER, DEADLINE_HEADER, TICKET_HEADER, Headers, Request
+from ..node import Node
+from ..peers.peer_pb2 import SERVING
 from .backend import BrokenAnswerError
-from .body import Body, CallerLeftError
-from .clock import Clock
 from .dispatch import Dispatcher
-from .node import Node
-from .outcome import Reason, Refusal, not_run, unknown
-from .peer_pb2 import SERVING
-from .request import (
-    BLOCK_HEADER,
-    DEADLINE_HEADER,
-    TICKET_HEADER,
-    Headers,
-    Request,
-)
 from .tickets import MAX_BATCH
 
 _LOOKUP = "/v1/lookup"
--- a/sprucewinch/hallpath/comeback.py
+++ b/sprucewinch/hall/requests/comeback.py
@@ -1,10 +1,10 @@
 """The filter that tells refused callers when to come back."""
 
-from ..clock import Clock
+from ...clock import Clock
+from ...net.outcome import Outcome, Refusal
+from ...net.request import Request
+from ...retry import ComeBack
 from ..node import Node
-from ..outcome import Outcome, Refusal
-from ..request import Request
-from ..retry import ComeBack
 
 _SLOT_S = 0.02
 
--- a/sprucewinch/dispatch.py
+++ b/sprucewinch/hall/requests/dispatch.py
@@ -1,22 +1,22 @@
 """The request path of the product's own interface: the order of its filters.
 
 known service -> at most once (tickets) -> this hall -> other halls -> when to come back. Each
-filter is a module of `sprucewinch.hallpath`.
+filter is a module of this folder.
 """
 
 from typing import Optional
 
+from ...clock import Clock
+from ...net.outcome import Reason, Refusal, not_run
+from ...net.request import Request, Responder
+from ..node import Node
+from .again import Again
 from .backend import Attempt, BackendClient
-from .clock import Clock
-from .hallpath.again import Again
-from .hallpath.comeback import ReturnTimes
-from .hallpath.elsewhere import OtherHalls
-from .hallpath.local import LocalHall
-from .hallpath.once import AtMostOnce
-from .hallpath.peers import PeerLink
-from .node import Node
-from .outcome import Reason, Refusal, not_run
-from .request import Request, Responder
+from .comeback import ReturnTimes
+from .elsewhere import OtherHalls
+from .handover import PeerLink
+from .local import LocalHall
+from .once import AtMostOnce
 
 __all__ = ["Dispatcher", "PeerLink"]
 
--- a/sprucewinch/hallpath/elsewhere.py
+++ b/sprucewinch/hall/requests/elsewhere.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Sequence
 
-from ..backend import Attempt
-from ..clock import Clock
+from ...clock import Clock
+from ...net.request import Request, Responder
 from ..node import Node
-from ..peer_pb2 import Member
-from ..request import Request, Responder
+from ..peers.peer_pb2 import Member
 from .again import Again
-from .peers import PeerLink
+from .backend import Attempt
+from .handover import PeerLink
 
 _MAX_HAND_ONS = 2
 
--- a/sprucewinch/hallpath/peers.py
+++ b/sprucewinch/hall/requests/handover.py
@@ -2,9 +2,9 @@
 
 import abc
 
-from ..backend import Attempt
-from ..peer_pb2 import Member
-from ..request import Request, Responder
+from ...net.request import Request, Responder
+from ..peers.peer_pb2 import Member
+from .backend import Attempt
 
 
 class PeerLink(abc.ABC):
--- a/sprucewinch/hallpath/local.py
+++ b/sprucewinch/hall/requests/local.py
@@ -2,14 +2,14 @@
 
 from typing import Union
 
-from .._slot_wait import wait_for_slot
-from ..admission import Admission, Slot
-from ..backend import Attempt, BackendClient
-from ..clock import Clock
+from ...clock import Clock
+from ...net.outcome import Reason, Refusal, not_run
+from ...net.request import Request, Responder
 from ..node import LEAVING_S, Node
-from ..outcome import Reason, Refusal, not_run
-from ..request import Request, Responder
+from ._slot_wait import wait_for_slot
+from .admission import Admission, Slot
 from .again import Again
+from .backend import Attempt, BackendClient
 
 _MAX_TRIES = 3
 
--- a/sprucewinch/hallpath/once.py
+++ b/sprucewinch/hall/requests/once.py
@@ -3,14 +3,14 @@
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple, Optional, Union
 
-from ..backend import Attempt
-from ..clock import Clock
+from ...clock import Clock
+from ...net.outcome import Outcome, Reason, Refusal, not_run, unknown
+from ...net.request import Request, Responder
 from ..node import Node
-from ..outcome import Outcome, Reason, Refusal, not_run, unknown
-from ..recorder import RecordingResponder
-from ..request import Request, Responder
-from ..tickets import Answer, Claim, Ticket, TicketBook, parse_ticket
-from .peers import PeerLink
+from .backend import Attempt
+from .handover import PeerLink
+from .recorder import RecordingResponder
+from .tickets import Answer, Claim, Ticket, TicketBook, parse_ticket
 
 Run = Callable[[Request, Responder], Awaitable[Attempt]]
 """Runs a request and says what came of it."""
--- a/sprucewinch/recorder.py
+++ b/sprucewinch/hall/requests/recorder.py
@@ -2,7 +2,7 @@
 
 from typing import Optional
 
-from .request import Headers, Responder
+from ...net.request import Headers, Responder
 from .tickets import Answer
 
 
--- a/sprucewinch/tickets.py
+++ b/sprucewinch/hall/requests/tickets.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict, deque
 from typing import NamedTuple, Optional, Union
 
-from .outcome import Outcome, Reason, Refusal, not_run, unknown
+from ...net.outcome import Outcome, Reason, Refusal, not_run, unknown
 
 _SEPARATOR = ":"
 _MAC_BYTES = 10
--- a/sprucewinch/slots.py
+++ b/sprucewinch/hall/slots.py
@@ -8,8 +8,8 @@
 
 import math
 
-from ._hash import hash64
-from .config import Pool
+from .._hash import hash64
+from ..config.configuration import Pool
 
 
 def slot_owner(server: str, index: int, members: tuple[str, ...]) -> str:
--- a/sprucewinch/platform_http.py
+++ b/sprucewinch/hall/store/http_store.py
@@ -6,9 +6,9 @@
 import aiohttp
 import msgspec
 
-from ._http_client import make_session
-from .errors import PlatformError, WriteUnknownError
-from .platform import Entry, Mismatch, Platform, VmListing, Written
+from ...errors import PlatformError, WriteUnknownError
+from ...net.http_client import make_session
+from .store import Entry, Mismatch, Platform, VmListing, Written
 
 _TIMEOUT_S = 3.0
 _REMEDY = "check that the platform's service runs and try again"
--- a/sprucewinch/_platform_reader.py
+++ b/sprucewinch/hall/store/store_reader.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from typing import Optional
 
-from . import log
-from .clock import Clock
+from ... import log
+from ...clock import Clock
+from ...errors import PlatformError
+from ...retry import backoff_s
+from ..node import Node
+from ..peers.peer_pb2 import LEAVING, SERVING
 from .documents import WATCH_PREFIX, revisioned
-from .errors import PlatformError
-from .node import Node
-from .peer_pb2 import LEAVING, SERVING
-from .platform import Entry, Platform, VmListing
-from .retry import backoff_s
+from .store import Entry, Platform, VmListing
 
 WATCH_S = 20.0
 POLL_S = 30.0
--- a/sprucewinch/_asgi.py
+++ b/sprucewinch/net/asgi.py
@@ -4,8 +4,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Optional
 
-from ._http_server import refusal_body
 from .body import Body, CallerLeftError
+from .http_server import refusal_body
 from .outcome import Outcome, Refusal, http_status
 from .request import HALL_HEADER, OUTCOME_HEADER, REASON_HEADER, Headers, Responder
 
@@ -110,6 +110,7 @@
         self._last = b""
 
     async def start(self, status: int, headers: Headers) -> None:
+        """Send the status and the headers; see `Responder`."""
         self.started = True
         self._left = _content_length(headers)
         raw = [(name.lower().encode("latin-1"), value.encode("latin-1")) for name, value in headers]
@@ -127,6 +128,7 @@
         await self.send({"type": "http.response.body", "body": chunk, "more_body": True})
 
     async def finish(self) -> None:
+        """Send the last piece of the body; see `Responder`."""
         self.finished = True
         await self.send({"type": "http.response.body", "body": self._last})
 
--- a/sprucewinch/gateway/connection.py
+++ b/sprucewinch/net/connection.py
@@ -11,8 +11,8 @@
 
 import httptools
 
-from .._address import parse_address
-from .patience import run_within
+from ._patience import run_within
+from .address import parse_address
 
 MAX_ANSWER_BYTES = 32 * 1024 * 1024
 """Largest answer that is taken."""
--- a/sprucewinch/_http_server.py
+++ b/sprucewinch/net/http_server.py
@@ -10,10 +10,10 @@
 import uvicorn
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
-from ._address import parse_address
-from .errors import SettingsError
+from ..config.settings import Limits
+from ..errors import SettingsError
+from .address import parse_address
 from .outcome import Outcome, Reason
-from .settings import Limits
 
 AsgiApp = Callable[[dict, Callable[[], Awaitable[dict]], Callable[[dict], Awaitable[None]]], Any]
 
--- a/sprucewinch/changes.py
+++ b/sprucewinch/operators/changes.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from .config import Configuration, Document, DrainKind, Policy, drain_key
-from .errors import ConfigurationError
-from .policy import check_program, shipped_policies
+from ..config.configuration import Configuration, Document, DrainKind, Policy, drain_key
+from ..errors import ConfigurationError
+from ..steering.policy import check_program, shipped_policies
 
 
 class Change(abc.ABC):
--- a/sprucewinch/client.py
+++ b/sprucewinch/operators/client.py
@@ -8,8 +8,7 @@
 import aiohttp
 import msgspec
 
-from ._address import is_address
-from .errors import (
+from ..errors import (
     ConfigurationError,
     ConflictError,
     DaemonError,
@@ -19,6 +18,7 @@
     StaleStoreError,
     WriteUnknownError,
 )
+from ..net.address import is_address
 
 _TIMEOUT_S = 15.0
 _ERRORS: dict[str, type[SprucewinchError]] = {
--- a/sprucewinch/operators.py
+++ b/sprucewinch/operators/port.py
@@ -10,19 +10,11 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from . import log
-from .changes import (
-    ApplyConfiguration,
-    Change,
-    Drain,
-    LoadPolicy,
-    RetirePolicy,
-    UsePolicy,
-)
-from .clock import Clock
-from .config import parse_configuration
-from .documents import AUDIT_PREFIX
-from .errors import (
+from .. import log
+from ..clock import Clock
+from ..config.configuration import parse_configuration
+from ..config.settings import Settings
+from ..errors import (
     ConfigurationError,
     ConflictError,
     PlatformError,
@@ -31,10 +23,11 @@
     StaleStoreError,
     WriteUnknownError,
 )
-from .node import Node
-from .platform import Platform
+from ..hall.node import Node
+from ..hall.store.documents import AUDIT_PREFIX
+from ..hall.store.store import Platform
+from .changes import ApplyConfiguration, Change, Drain, LoadPolicy, RetirePolicy, UsePolicy
 from .report import compare_policies, explain, status
-from .settings import Settings
 from .writer import ChangeWriter
 
 _MAX_BODY = 2_000_000
--- a/sprucewinch/report.py
+++ b/sprucewinch/operators/report.py
@@ -2,18 +2,18 @@
 
 from typing import Any
 
-from .config import Configuration
-from .errors import ConfigurationError
-from .guard import grant
-from .lookup import first_entry_vm
-from .node import Node
-from .outcome import Refusal
-from .peer_pb2 import Member, State
-from .placement import Shares
-from .planner import guard_limits
-from .policy import PolicyFault
-from .topology import Topology
-from .view import View
+from ..config.configuration import Configuration
+from ..errors import ConfigurationError
+from ..hall.node import Node
+from ..hall.peers.peer_pb2 import Member, State
+from ..hall.peers.view import View
+from ..hall.planning.lookup import first_entry_vm
+from ..hall.planning.planner import guard_limits
+from ..hall.planning.topology import Topology
+from ..net.outcome import Refusal
+from ..steering.guard import grant
+from ..steering.placement import Shares
+from ..steering.policy import PolicyFault
 
 
 def status(node: Node, now: float) -> dict[str, Any]:
--- a/sprucewinch/story.py
+++ b/sprucewinch/operators/story.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from .errors import LogError
+from ..errors import LogError
 
 NEAR_S = 5.0
 """How long before a request's last line related lines are looked for, in seconds."""
--- a/sprucewinch/writer.py
+++ b/sprucewinch/operators/writer.py
@@ -7,18 +7,24 @@
 
 import msgspec
 
-from .changes import Change
-from .clock import Clock
-from .config import AuditRecord, Configuration, Document, decode_document, encode_document
-from .documents import AUDIT_PREFIX, CONFIGURATION_KEY
-from .errors import (
+from ..clock import Clock
+from ..config.configuration import (
+    AuditRecord,
+    Configuration,
+    Document,
+    decode_document,
+    encode_document,
+)
+from ..errors import (
     ConfigurationError,
     ConflictError,
     PlatformError,
     StaleStoreError,
     WriteUnknownError,
 )
-from .platform import Entry, Mismatch, Platform
+from ..hall.store.documents import AUDIT_PREFIX, CONFIGURATION_KEY
+from ..hall.store.store import Entry, Mismatch, Platform
+from .changes import Change
 
 MAX_RECORDS = 200
 """Most audit records kept in the document itself."""
--- a/sprucewinch/placement.py
+++ b/sprucewinch/steering/placement.py
@@ -16,7 +16,7 @@
 
 import xxhash
 
-from ._hash import hash32
+from .._hash import hash32
 
 _HASH_SPACE = float(1 << 32)
 _BISECTIONS = 30
--- a/sprucewinch/policy.py
+++ b/sprucewinch/steering/policy.py
@@ -4,8 +4,8 @@
 from importlib import resources
 from typing import Any, NamedTuple, Union
 
+from ..errors import PolicyError
 from ._sandbox import Meter, StepLimitError, compile_bounded
-from .errors import PolicyError
 from .guard import valid_weights
 from .measures import RegionMeasures, Snapshot
 
@@ -150,7 +150,7 @@
 
 def shipped_policies() -> dict[str, str]:
     """Return the sources of the policies that come with the package, by name."""
-    folder = resources.files("sprucewinch") / "policies"
+    folder = resources.files("sprucewinch.steering") / "policies"
     return {
         entry.name.removesuffix(_SUFFIX): entry.read_text(encoding="utf-8")
         for entry in sorted(folder.iterdir(), key=lambda entry: entry.name)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -4,12 +4,17 @@
 from collections.abc import Callable
 from typing import Optional, Union
 
-from sprucewinch.config import Configuration, Document, encode_document, load_configuration
-from sprucewinch.documents import CONFIGURATION_KEY, Revisioned
+from sprucewinch.config.configuration import (
+    Configuration,
+    Document,
+    encode_document,
+    load_configuration,
+)
+from sprucewinch.config.settings import Settings
 from sprucewinch.errors import PlatformError, WriteUnknownError
-from sprucewinch.node import Node
-from sprucewinch.platform import Entry, Mismatch, Platform, VmListing, Written
-from sprucewinch.settings import Settings
+from sprucewinch.hall.node import Node
+from sprucewinch.hall.store.documents import CONFIGURATION_KEY, Revisioned
+from sprucewinch.hall.store.store import Entry, Mismatch, Platform, VmListing, Written
 
 EXAMPLE = "examples/freight.toml"
 
--- a/tests/formats_gateway.py
+++ b/tests/formats_gateway.py
@@ -14,7 +14,7 @@
 from sprucewinch.clock import Clock
 from sprucewinch.errors import SettingsError
 from sprucewinch.gateway.daemon import Gateway
-from sprucewinch.gateway.state import machine_state
+from sprucewinch.gateway.vm_state import machine_state
 from standins.consortium_store import StoreStandIn
 from standins.scripted_server import ScriptedServer
 from standins.virtual import VirtualLoop, pass_time
--- a/tests/formats_own.py
+++ b/tests/formats_own.py
@@ -17,19 +17,19 @@
 
 import msgspec
 
-from sprucewinch._http_server import make_server
-from sprucewinch.backend import Attempt
-from sprucewinch.callers import CallerApp
 from sprucewinch.cli import main as command_line
 from sprucewinch.clock import Clock
-from sprucewinch.dispatch import Dispatcher, PeerLink
-from sprucewinch.documents import Revisioned
+from sprucewinch.config.settings import Limits
 from sprucewinch.errors import WriteUnknownError
-from sprucewinch.gateway.listeners import TextApp
-from sprucewinch.node import Node
-from sprucewinch.operators import OperatorsApp
-from sprucewinch.outcome import Reason, not_run
-from sprucewinch.settings import Limits
+from sprucewinch.gateway.internal_apps import TextApp
+from sprucewinch.hall.node import Node
+from sprucewinch.hall.requests.backend import Attempt
+from sprucewinch.hall.requests.callers import CallerApp
+from sprucewinch.hall.requests.dispatch import Dispatcher, PeerLink
+from sprucewinch.hall.store.documents import Revisioned
+from sprucewinch.net.http_server import make_server
+from sprucewinch.net.outcome import Reason, not_run
+from sprucewinch.operators.port import OperatorsApp
 
 from .fakes import FakePlatform, settings
 from .formats_gateway import Answered, asgi
--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -4,9 +4,6 @@
 import random
 from typing import Optional
 
-from sprucewinch.gateway.beliefs import Beliefs, Decoder, Fact
-from sprucewinch.gateway.call import Call
-from sprucewinch.gateway.measured import MeasureBoard
 from sprucewinch.gateway.model import (
     Backend,
     Bounds,
@@ -16,16 +13,19 @@
     RouteConfiguration,
     ServiceRule,
 )
-from sprucewinch.gateway.outages import StoreOutages
-from sprucewinch.gateway.outliers import Outliers
-from sprucewinch.gateway.pipeline import Pipeline
-from sprucewinch.gateway.place import Placer
-from sprucewinch.gateway.policies import PolicyBook
-from sprucewinch.gateway.pool import Pool
-from sprucewinch.gateway.replica import Delta, Item, Removal
-from sprucewinch.gateway.send import Sender
-from sprucewinch.gateway.servers import ServerBook
-from sprucewinch.gateway.shares import RegionShares
+from sprucewinch.gateway.regions.policies import PolicyBook
+from sprucewinch.gateway.regions.region_reports import MeasureBoard
+from sprucewinch.gateway.regions.shares import RegionShares
+from sprucewinch.gateway.requests.client_request import Call
+from sprucewinch.gateway.requests.pipeline import Pipeline
+from sprucewinch.gateway.requests.sender import Sender
+from sprucewinch.gateway.requests.server_order import Placer
+from sprucewinch.gateway.servers.backend_registry import ServerBook
+from sprucewinch.gateway.servers.outliers import Outliers
+from sprucewinch.gateway.servers.pool import Pool
+from sprucewinch.gateway.state.outages import StoreOutages
+from sprucewinch.gateway.state.replica import Delta, Item, Removal
+from sprucewinch.gateway.state.store_view import Beliefs, Decoder, Fact
 from standins.scripted_server import ScriptedServer
 from standins.virtual import VirtualLoop
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sprucewinch.admission import COLD_S, FAIL_PAUSE_S, SHED_PAUSE_S, Admission, Slot
-from sprucewinch.outcome import Reason
+from sprucewinch.hall.requests.admission import COLD_S, FAIL_PAUSE_S, SHED_PAUSE_S, Admission, Slot
+from sprucewinch.net.outcome import Reason
 
 SERVERS = ("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 SLOTS = 2
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -5,14 +5,14 @@
 
 import msgspec
 
-from sprucewinch.backend import Attempt
-from sprucewinch.callers import CallerApp
-from sprucewinch.config import Document
-from sprucewinch.dispatch import Dispatcher, PeerLink
-from sprucewinch.node import Node
-from sprucewinch.outcome import Outcome, Reason, not_run
-from sprucewinch.request import Request, Responder
-from sprucewinch.tickets import parse_ticket
+from sprucewinch.config.configuration import Document
+from sprucewinch.hall.node import Node
+from sprucewinch.hall.requests.backend import Attempt
+from sprucewinch.hall.requests.callers import CallerApp
+from sprucewinch.hall.requests.dispatch import Dispatcher, PeerLink
+from sprucewinch.hall.requests.tickets import parse_ticket
+from sprucewinch.net.outcome import Outcome, Reason, not_run
+from sprucewinch.net.request import Request, Responder
 from tests.fakes import configure, example, node, run
 from tests.manual_clock import ManualClock
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -3,15 +3,7 @@
 
 import msgspec
 
-from sprucewinch.changes import (
-    ApplyConfiguration,
-    Drain,
-    LoadPolicy,
-    RetirePolicy,
-    UsePolicy,
-)
-from sprucewinch.config import Document, decode_document, encode_document
-from sprucewinch.documents import CONFIGURATION_KEY
+from sprucewinch.config.configuration import Document, decode_document, encode_document
 from sprucewinch.errors import (
     ConfigurationError,
     ConflictError,
@@ -20,7 +12,15 @@
     StaleStoreError,
     WriteUnknownError,
 )
-from sprucewinch.writer import MAX_RECORDS, ChangeWriter
+from sprucewinch.hall.store.documents import CONFIGURATION_KEY
+from sprucewinch.operators.changes import (
+    ApplyConfiguration,
+    Drain,
+    LoadPolicy,
+    RetirePolicy,
+    UsePolicy,
+)
+from sprucewinch.operators.writer import MAX_RECORDS, ChangeWriter
 from tests.fakes import FakePlatform, example
 from tests.manual_clock import ManualClock
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -2,15 +2,15 @@
 import unittest
 from pathlib import Path
 
-from sprucewinch.config import (
+from sprucewinch.config.configuration import (
     Document,
     decode_document,
     encode_document,
     load_configuration,
     parse_configuration,
 )
+from sprucewinch.config.settings import load_settings
 from sprucewinch.errors import ConfigurationError, SettingsError
-from sprucewinch.settings import load_settings
 from tests.fakes import example
 
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from sprucewinch.config import Document
-from sprucewinch.documents import DocumentShelf, Revisioned
-from sprucewinch.exchange import Exchange, choose_partners
-from sprucewinch.membership import Membership
-from sprucewinch.peer_pb2 import JOINING, SERVING, ExchangeReply, ExchangeRequest, Member
+from sprucewinch.config.configuration import Document
+from sprucewinch.hall.peers.exchange import Exchange, choose_partners
+from sprucewinch.hall.peers.membership import Membership
+from sprucewinch.hall.peers.peer_pb2 import JOINING, SERVING, ExchangeReply, ExchangeRequest, Member
+from sprucewinch.hall.store.documents import DocumentShelf, Revisioned
 from tests.fakes import configure, example, node
 
 SETTINGS = settings(max_examples=30, stateful_step_count=30, deadline=None)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -11,21 +11,26 @@
 
 import msgspec
 
-from sprucewinch.config import decode_document, drain_key, encode_document
-from sprucewinch.documents import AUDIT_PREFIX, CONFIGURATION_KEY, PLAN_PREFIX, WATCH_PREFIX
-from sprucewinch.documents import revisioned as read_revision
-from sprucewinch.gateway.beliefs import Beliefs
-from sprucewinch.gateway.deltas import DELTA_PATH, decode_delta, encode_delta
-from sprucewinch.gateway.gossip import Beat, Row
-from sprucewinch.gateway.heartbeats import BadSample, Crowded, Message
-from sprucewinch.gateway.listeners import PeerApp
-from sprucewinch.gateway.measured import Measured, ServiceMeasure
+from sprucewinch.config.configuration import decode_document, drain_key, encode_document
+from sprucewinch.gateway.following.deltas import DELTA_PATH, decode_delta, encode_delta
+from sprucewinch.gateway.following.follow_role import News
+from sprucewinch.gateway.internal_apps import PeerApp
+from sprucewinch.gateway.membership.gossip import Beat, Row
+from sprucewinch.gateway.membership.heartbeats import BadSample, Crowded, Message
 from sprucewinch.gateway.model import Member, PolicyChoice, PolicyProgram
-from sprucewinch.gateway.registry import choice_item, decode_own, member_item, program_item
-from sprucewinch.gateway.relay import News
-from sprucewinch.gateway.replica import Delta, Item, Removal
-from sprucewinch.steering import Plan
-from sprucewinch.tickets import TicketBook, parse_ticket
+from sprucewinch.gateway.regions.region_reports import Measured, ServiceMeasure
+from sprucewinch.gateway.state.own_items import choice_item, decode_own, member_item, program_item
+from sprucewinch.gateway.state.replica import Delta, Item, Removal
+from sprucewinch.gateway.state.store_view import Beliefs
+from sprucewinch.hall.planning.steering import Plan
+from sprucewinch.hall.requests.tickets import TicketBook, parse_ticket
+from sprucewinch.hall.store.documents import (
+    AUDIT_PREFIX,
+    CONFIGURATION_KEY,
+    PLAN_PREFIX,
+    WATCH_PREFIX,
+)
+from sprucewinch.hall.store.documents import revisioned as read_revision
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, run_virtual
 
--- a/tests/test_formats_gateway.py
+++ b/tests/test_formats_gateway.py
@@ -14,7 +14,7 @@
 from unittest import mock
 
 from sprucewinch.errors import SettingsError
-from sprucewinch.gateway.call import Refused
+from sprucewinch.gateway.requests.client_request import Refused
 from standins.scripted_server import Spoil
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
--- a/tests/test_formats_own.py
+++ b/tests/test_formats_own.py
@@ -17,12 +17,12 @@
 import msgspec
 
 from sprucewinch import errors
-from sprucewinch._asgi import AsgiResponder, send_refusal
-from sprucewinch._http_server import make_server
-from sprucewinch.backend import _headers as headers_to_server
-from sprucewinch.metrics import Label, Metrics, merge_reports
-from sprucewinch.outcome import Outcome, Reason, Refusal
-from sprucewinch.settings import Limits, load_settings
+from sprucewinch.config.settings import Limits, load_settings
+from sprucewinch.hall.metrics import Label, Metrics, merge_reports
+from sprucewinch.hall.requests.backend import _headers as headers_to_server
+from sprucewinch.net.asgi import AsgiResponder, send_refusal
+from sprucewinch.net.http_server import make_server
+from sprucewinch.net.outcome import Outcome, Reason, Refusal
 
 from .formats_gateway import Answered, asgi
 from .formats_own import Lost, OwnVm, command, listening, state_app
--- a/tests/test_formats_own_lines.py
+++ b/tests/test_formats_own_lines.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from sprucewinch._loops import _log_failure
-from sprucewinch._peer_listener import PeerListener
-from sprucewinch._plan_rounds import PlanRounds
-from sprucewinch._platform_reader import PlatformReader
 from sprucewinch._supervise import forever
 from sprucewinch.daemon import Daemon
-from sprucewinch.platform import Entry
+from sprucewinch.hall.loops import _log_failure
+from sprucewinch.hall.peers.peer_listener import PeerListener
+from sprucewinch.hall.planning.plan_rounds import PlanRounds
+from sprucewinch.hall.store.store import Entry
+from sprucewinch.hall.store.store_reader import PlatformReader
 from tools.fleet import free_ports
 
 from .fakes import FakePlatform, settings
--- a/tests/test_formats_peers.py
+++ b/tests/test_formats_peers.py
@@ -7,8 +7,8 @@
 from types import SimpleNamespace
 from typing import Any
 
-from sprucewinch import peer_pb2
-from sprucewinch._frames import (
+from sprucewinch.hall.peers import peer_pb2
+from sprucewinch.hall.peers.frames import (
     CHUNK,
     accepted_frame,
     end_frame,
@@ -19,9 +19,9 @@
     request_of,
     split,
 )
-from sprucewinch.outcome import Reason, not_run, unknown
-from sprucewinch.peer_grpc import PeerBase
-from sprucewinch.request import Request
+from sprucewinch.hall.peers.peer_grpc import PeerBase
+from sprucewinch.net.outcome import Reason, not_run, unknown
+from sprucewinch.net.request import Request
 
 TICKET = "vm-a:18f:0:book:94bea9a85f57672fb892"
 
--- a/tests/test_gateway_connection.py
+++ b/tests/test_gateway_connection.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from sprucewinch.gateway.connection import ConnectFailedError, ExchangeFailedError, connect
+from sprucewinch.net.connection import ConnectFailedError, ExchangeFailedError, connect
 from standins.resets import reset
 
 _REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from sprucewinch.gateway.gossip import BEAT_S, SILENCE_S, Gossip
+from sprucewinch.gateway.membership.gossip import BEAT_S, SILENCE_S, Gossip
 
 
 class Fleet:
--- a/tests/test_gateway_journal.py
+++ b/tests/test_gateway_journal.py
@@ -4,7 +4,7 @@
 import unittest
 from typing import Any
 
-from sprucewinch.gateway.journal import Journal
+from sprucewinch.gateway.decision_log import Journal
 from standins.virtual import VirtualLoop, run_virtual
 
 from .gateway_fakes import Path, route
--- a/tests/test_gateway_measured.py
+++ b/tests/test_gateway_measured.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from sprucewinch.errors import SettingsError
-from sprucewinch.gateway.heartbeats import Message
-from sprucewinch.gateway.measured import KEPT_S, Measured, ServiceMeasure
+from sprucewinch.gateway.membership.heartbeats import Message
 from sprucewinch.gateway.model import PolicyChoice
-from sprucewinch.gateway.policies import PolicyBook
+from sprucewinch.gateway.regions.policies import PolicyBook
+from sprucewinch.gateway.regions.region_reports import KEPT_S, Measured, ServiceMeasure
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
--- a/tests/test_gateway_outages.py
+++ b/tests/test_gateway_outages.py
@@ -3,8 +3,8 @@
 import json
 import unittest
 
-from sprucewinch.gateway.outages import RETURN_S, StoreOutages
-from sprucewinch.gateway.servers import ServerBook
+from sprucewinch.gateway.servers.backend_registry import ServerBook
+from sprucewinch.gateway.state.outages import RETURN_S, StoreOutages
 from standins.consortium_store import Fault, StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
--- a/tests/test_gateway_outliers.py
+++ b/tests/test_gateway_outliers.py
@@ -5,9 +5,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.call import Chosen
 from sprucewinch.gateway.model import Backend
-from sprucewinch.gateway.outliers import Outliers
+from sprucewinch.gateway.requests.client_request import Chosen
+from sprucewinch.gateway.servers.outliers import Outliers
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
--- a/tests/test_gateway_pipeline.py
+++ b/tests/test_gateway_pipeline.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from sprucewinch.gateway.call import Refused
+from sprucewinch.gateway.requests.client_request import Refused
 from standins.scripted_server import Spoil
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
--- a/tests/test_gateway_policies.py
+++ b/tests/test_gateway_policies.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from sprucewinch.gateway.measured import MeasureBoard
 from sprucewinch.gateway.model import Backend, PolicyChoice, PolicyProgram
-from sprucewinch.gateway.policies import DEFAULT_POLICY, PolicyBook
-from sprucewinch.gateway.shares import RegionShares
-from sprucewinch.placement import moved_part
+from sprucewinch.gateway.regions.policies import DEFAULT_POLICY, PolicyBook
+from sprucewinch.gateway.regions.region_reports import MeasureBoard
+from sprucewinch.gateway.regions.shares import RegionShares
+from sprucewinch.steering.placement import moved_part
 
 from .gateway_fakes import BOUNDS, REGIONS, World, route
 
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from sprucewinch.gateway.pool import MOST_IDLE, Pool
+from sprucewinch.gateway.servers.pool import MOST_IDLE, Pool
 from standins.scripted_server import ScriptedServer
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.relay import MOST_AGE_S, NEWS_SILENCE_S
+from sprucewinch.gateway.following.follow_role import MOST_AGE_S, NEWS_SILENCE_S
 from standins.consortium_store import Fault
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
--- a/tests/test_gateway_replica.py
+++ b/tests/test_gateway_replica.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.deltas import decode_delta, encode_delta
-from sprucewinch.gateway.replica import Delta, Item, Removal, Replica
+from sprucewinch.gateway.following.deltas import decode_delta, encode_delta
+from sprucewinch.gateway.state.replica import Delta, Item, Removal, Replica
 
 _KEYS = ("op/config", "servers/a", "servers/b", "op/evacuate/z")
 
--- a/tests/test_gateway_routes.py
+++ b/tests/test_gateway_routes.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from sprucewinch.gateway.model import Part, RouteConfiguration
-from sprucewinch.gateway.routes import RouteTable
-from sprucewinch.gateway.split import Splits
+from sprucewinch.gateway.requests.routes import RouteTable
+from sprucewinch.gateway.requests.split import Splits
 
 from .gateway_fakes import route
 
--- a/tests/test_gateway_servers.py
+++ b/tests/test_gateway_servers.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.beliefs import Evacuation
 from sprucewinch.gateway.model import Backend
+from sprucewinch.gateway.state.store_view import Evacuation
 
 from .gateway_fakes import BOUNDS, RULE, World, route
 
--- a/tests/test_gateway_service_times.py
+++ b/tests/test_gateway_service_times.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from sprucewinch.gateway.model import Part, RouteConfiguration
-from sprucewinch.gateway.service_times import CROWDED_PART, ServiceTimes
+from sprucewinch.gateway.servers.service_times import CROWDED_PART, ServiceTimes
 
 from .gateway_fakes import route
 
--- a/tests/test_gateway_sync.py
+++ b/tests/test_gateway_sync.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from sprucewinch.gateway.deltas import fetch_delta
+from sprucewinch.gateway.following.deltas import fetch_delta
 from standins.consortium_store import Fault
 
 from .gateway_process import CONFIGURATION, GatewayCase
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -4,14 +4,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucewinch import planner as planning
-from sprucewinch.config import Document
-from sprucewinch.guard import GuardLimits, grant, valid_weights
-from sprucewinch.measures import RegionMeasures, Snapshot
-from sprucewinch.placement import make_shares
-from sprucewinch.planner import Planner
-from sprucewinch.policy import Policy, PolicyFault
-from sprucewinch.topology import Topology
+from sprucewinch.config.configuration import Document
+from sprucewinch.hall.planning import planner as planning
+from sprucewinch.hall.planning.planner import Planner
+from sprucewinch.hall.planning.topology import Topology
+from sprucewinch.steering.guard import GuardLimits, grant, valid_weights
+from sprucewinch.steering.measures import RegionMeasures, Snapshot
+from sprucewinch.steering.placement import make_shares
+from sprucewinch.steering.policy import Policy, PolicyFault
 from tests.fakes import example
 
 ORDER = ("lower-mainland", "interior", "island")
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,10 +1,10 @@
 import asyncio
 import unittest
 
-from sprucewinch._http_server import bind, make_server
-from sprucewinch._peer_listener import PeerListener
+from sprucewinch.config.settings import Limits
 from sprucewinch.errors import SettingsError
-from sprucewinch.settings import Limits
+from sprucewinch.hall.peers.peer_listener import PeerListener
+from sprucewinch.net.http_server import bind, make_server
 from tools.fleet import free_ports
 
 REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,6 +1,6 @@
 import unittest
 
-from sprucewinch.metrics import Label, Metrics, RateMeter, merge_reports
+from sprucewinch.hall.metrics import Label, Metrics, RateMeter, merge_reports
 from tests.fakes import configure, node
 
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -3,14 +3,14 @@
 import random
 import unittest
 
-from sprucewinch.gateway.beliefs import Beliefs
-from sprucewinch.gateway.gossip import Gossip
-from sprucewinch.gateway.journal import Journal
+from sprucewinch.gateway.decision_log import Journal
+from sprucewinch.gateway.following.follow_role import Relay
+from sprucewinch.gateway.following.followers import StoreFollower
+from sprucewinch.gateway.membership.gossip import Gossip
+from sprucewinch.gateway.membership.registrar import Registrar
 from sprucewinch.gateway.model import Member
-from sprucewinch.gateway.outages import StoreOutages
-from sprucewinch.gateway.registrar import Registrar
-from sprucewinch.gateway.relay import Relay
-from sprucewinch.gateway.sync import StoreFollower
+from sprucewinch.gateway.state.outages import StoreOutages
+from sprucewinch.gateway.state.store_view import Beliefs
 from sprucewinch.gateway.timing import Timing
 from standins.consortium_store import LATE_S, Fault, StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 from sprucewinch.errors import SettingsError
-from sprucewinch.gateway.beliefs import Evacuation, MalformedItemError
 from sprucewinch.gateway.model import Backend, Bounds, Member, Part, PolicyChoice, PolicyProgram
-from sprucewinch.gateway.registry import choice_item, member_item, program_item
-from sprucewinch.gateway.replica import Item
+from sprucewinch.gateway.state.own_items import choice_item, member_item, program_item
+from sprucewinch.gateway.state.replica import Item
+from sprucewinch.gateway.state.store_view import Evacuation, MalformedItemError
 
 from . import adapter  # noqa: F401 - makes the next imports possible
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -2,7 +2,7 @@
 import unittest
 
 from sprucewinch.errors import PolicyError
-from sprucewinch.policy import (
+from sprucewinch.steering.policy import (
     PolicyFault,
     ProgramPolicy,
     check_program,
--- a/tests/test_process_configuration.py
+++ b/tests/test_process_configuration.py
@@ -2,7 +2,7 @@
 import signal
 import time
 
-from sprucewinch.documents import CONFIGURATION_KEY
+from sprucewinch.hall.store.documents import CONFIGURATION_KEY
 from tests.processes import FleetCase
 from tools.fleet import free_ports, wait_until
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,7 +1,7 @@
 import random
 import unittest
 
-from sprucewinch.links import RateAllowance
+from sprucewinch.hall.planning.links import RateAllowance
 from sprucewinch.retry import ComeBack, RetryBudget, backoff_s
 
 
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
-from sprucewinch.placement import Shares, block_key, make_shares, moved_part, step_towards
-from sprucewinch.shift import ShiftCap, ShiftLimiter
+from sprucewinch.steering.placement import Shares, block_key, make_shares, moved_part, step_towards
+from sprucewinch.steering.shift import ShiftCap, ShiftLimiter
 
 ORDER = ("east", "west", "north")
 WEIGHTS = st.fixed_dictionaries(
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from sprucewinch.config import Pool
-from sprucewinch.slots import SlotShare, slot_owner, view_digest
+from sprucewinch.config.configuration import Pool
+from sprucewinch.hall.slots import SlotShare, slot_owner, view_digest
 
 POOL = Pool(hall="h", service="s", servers=("127.0.0.1:1", "127.0.0.1:2"), slots=4)
 SETTINGS = settings(max_examples=100, stateful_step_count=40, deadline=None)
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -12,7 +12,7 @@
 
 from sprucewinch.cli import Sprucewinch
 from sprucewinch.errors import LogError
-from sprucewinch.story import parse, read, tell
+from sprucewinch.operators.story import parse, read, tell
 
 
 def _line(time: float, event: str, machine: str = "vm1", **fields: object) -> str:
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -2,11 +2,11 @@
 import unittest
 from unittest import mock
 
-from sprucewinch import _loops
 from sprucewinch._supervise import Step, forever
 from sprucewinch.gateway import daemon
 from sprucewinch.gateway.daemon import Gateway
-from sprucewinch.gateway.journal import Journal
+from sprucewinch.gateway.decision_log import Journal
+from sprucewinch.hall import loops as _loops
 
 
 class Steps:
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sprucewinch.outcome import Outcome, Reason, Refusal
-from sprucewinch.tickets import Answer, Claim, TicketBook, parse_ticket
+from sprucewinch.hall.requests.tickets import Answer, Claim, TicketBook, parse_ticket
+from sprucewinch.net.outcome import Outcome, Reason, Refusal
 
 KEY = b"k" * 32
 SETTINGS = settings(max_examples=100, stateful_step_count=40, deadline=None)
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -5,20 +5,20 @@
 import re
 from typing import Any
 
-from sprucewinch.gateway.beliefs import Beliefs
-from sprucewinch.gateway.deltas import encode_delta
-from sprucewinch.gateway.gossip import Gossip
-from sprucewinch.gateway.heartbeats import Heartbeats
-from sprucewinch.gateway.journal import Journal
-from sprucewinch.gateway.measured import MeasureBoard
+from sprucewinch.gateway.decision_log import Journal
+from sprucewinch.gateway.following.deltas import encode_delta
+from sprucewinch.gateway.following.follow_role import Relay
+from sprucewinch.gateway.following.followers import NeighbourFollower, StoreFollower
+from sprucewinch.gateway.membership.gossip import Gossip
+from sprucewinch.gateway.membership.heartbeats import Heartbeats
+from sprucewinch.gateway.membership.registrar import Registrar
 from sprucewinch.gateway.model import Member
-from sprucewinch.gateway.outages import StoreOutages
-from sprucewinch.gateway.outliers import Outliers
-from sprucewinch.gateway.registrar import Registrar
-from sprucewinch.gateway.relay import Relay
-from sprucewinch.gateway.replica import Delta
-from sprucewinch.gateway.servers import ServerBook
-from sprucewinch.gateway.sync import NeighbourFollower, StoreFollower
+from sprucewinch.gateway.regions.region_reports import MeasureBoard
+from sprucewinch.gateway.servers.backend_registry import ServerBook
+from sprucewinch.gateway.servers.outliers import Outliers
+from sprucewinch.gateway.state.outages import StoreOutages
+from sprucewinch.gateway.state.replica import Delta
+from sprucewinch.gateway.state.store_view import Beliefs
 from sprucewinch.gateway.timing import Timing
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop
--- a/tools/bench_core.py
+++ b/tools/bench_core.py
@@ -16,14 +16,14 @@
 from rich.console import Console
 from rich.table import Table
 
-from sprucewinch.config import Document, decode_document, encode_document
-from sprucewinch.exchange import Exchange, choose_partners
-from sprucewinch.peer_pb2 import ExchangeReply, ExchangeRequest
-from sprucewinch.placement import BlockTable
-from sprucewinch.planner import Planner
-from sprucewinch.steering import Steering
-from sprucewinch.topology import Topology
-from sprucewinch.view import View
+from sprucewinch.config.configuration import Document, decode_document, encode_document
+from sprucewinch.hall.peers.exchange import Exchange, choose_partners
+from sprucewinch.hall.peers.peer_pb2 import ExchangeReply, ExchangeRequest
+from sprucewinch.hall.peers.view import View
+from sprucewinch.hall.planning.planner import Planner
+from sprucewinch.hall.planning.steering import Steering
+from sprucewinch.hall.planning.topology import Topology
+from sprucewinch.steering.placement import BlockTable
 from tools.synthetic import TARGET, TODAY, Size, client_blocks, configuration, member, node
 
 _REPEATS = 5
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -14,7 +14,7 @@
 import aiohttp
 import tomli_w
 
-from sprucewinch.config import Configuration
+from sprucewinch.config.configuration import Configuration
 
 TOKEN = "demo-token-for-loopback-only"
 _READY_S = 30.0
--- a/tools/load.py
+++ b/tools/load.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from sprucewinch.config import Configuration, Service
+from sprucewinch.config.configuration import Configuration, Service
 
 _CLIENT_MS = 1.0
 _GIVE_UP_S = 20.0
--- a/tools/small.py
+++ b/tools/small.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from sprucewinch.config import Configuration, parse_configuration
+from sprucewinch.config.configuration import Configuration, parse_configuration
 from tools.fleet import free_ports
 
 
--- a/tools/synthetic.py
+++ b/tools/synthetic.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from sprucewinch.config import (
+from sprucewinch.config.configuration import (
     Configuration,
     DataHall,
     Document,
@@ -15,10 +15,10 @@
     Service,
     encode_document,
 )
-from sprucewinch.documents import CONFIGURATION_KEY, Revisioned
-from sprucewinch.node import Node
-from sprucewinch.peer_pb2 import SERVING, Member, ServiceLoad
-from sprucewinch.settings import Settings
+from sprucewinch.config.settings import Settings
+from sprucewinch.hall.node import Node
+from sprucewinch.hall.peers.peer_pb2 import SERVING, Member, ServiceLoad
+from sprucewinch.hall.store.documents import CONFIGURATION_KEY, Revisioned
 
 
 class Size(NamedTuple):
--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -53,7 +53,7 @@
     WrongVersion(
         "MIXED",
         "an answer to another request is taken",
-        f"{_GATEWAY}/connection.py",
+        "sprucewinch/net/connection.py",
         "return named is not None and named != self._request_id",
         "return False",
         ("tests.test_gateway_pipeline.SpoiltAnswers",),
@@ -61,7 +61,7 @@
     WrongVersion(
         "MIXED",
         "an answer without a length is whole when it is reset",
-        f"{_GATEWAY}/connection.py",
+        "sprucewinch/net/connection.py",
         "if exc is None and self._clean_end and self._head_done and self._until_end():",
         "if self._head_done and self._until_end():",
         ("tests.test_gateway_pipeline.SpoiltAnswers", "tests.test_gateway_connection"),
@@ -69,7 +69,7 @@
     WrongVersion(
         "TWICE",
         "requests that must not run twice are sent again after a reset",
-        f"{_GATEWAY}/pipeline.py",
+        f"{_GATEWAY}/requests/pipeline.py",
         "if not route.repeatable or call.runs() >= route.attempts:",
         "if call.runs() >= route.attempts:",
         ("tests.test_gateway_pipeline.SpoiltAnswers",),
@@ -77,7 +77,7 @@
     WrongVersion(
         "REFUSED",
         "a request that may have run is called not run",
-        f"{_GATEWAY}/pipeline.py",
+        f"{_GATEWAY}/requests/pipeline.py",
         "        if call.runs():\n            timeout = refused is Refused.TIMEOUT\n",
         "        if False:\n            timeout = refused is Refused.TIMEOUT\n",
         ("tests.test_gateway_pipeline.SpoiltAnswers",),
@@ -85,7 +85,7 @@
     WrongVersion(
         "ROUTE",
         "sends do not name the server's incarnation",
-        f"{_GATEWAY}/send.py",
+        f"{_GATEWAY}/requests/sender.py",
         'lines.append(f"{self.names.expected}: {server_id}")',
         "pass",
         ("tests.test_gateway_pipeline.Ends",),
@@ -93,7 +93,7 @@
     WrongVersion(
         "BUDGET",
         "repeats are not counted",
-        f"{_GATEWAY}/budget.py",
+        f"{_GATEWAY}/requests/retry_budget.py",
         "        if self.repeats.count(now) + 1 > allowed:\n",
         "        if allowed < 0:\n",
         ("tests.test_gateway_pipeline.Repeats",),
@@ -101,7 +101,7 @@
     WrongVersion(
         "GONE",
         "a send goes on when its caller leaves",
-        f"{_GATEWAY}/connection.py",
+        "sprucewinch/net/connection.py",
         "        except BaseException:\n            self.close()\n            raise\n",
         "        except ExchangeFailedError:\n            self.close()\n            raise\n",
         ("tests.test_gateway_pipeline.Ends",),
@@ -109,7 +109,7 @@
     WrongVersion(
         "DENIED",
         "404 before a configuration is known",
-        f"{_GATEWAY}/pipeline.py",
+        f"{_GATEWAY}/requests/pipeline.py",
         "return Refused.NO_CONFIGURATION",
         "return Refused.NO_ROUTE",
         ("tests.test_gateway_pipeline.Ends",),
@@ -117,7 +117,7 @@
     WrongVersion(
         "CONFIG",
         "an older version is taken over",
-        f"{_GATEWAY}/beliefs.py",
+        f"{_GATEWAY}/state/store_view.py",
         "if held is not None and after.version <= held.version:",
         "if held is not None and after.version == held.version:",
         ("tests.test_platform_store.InForce",),
@@ -125,7 +125,7 @@
     WrongVersion(
         "CONFIG",
         "machines that are no watchers never follow the store themselves",
-        f"{_GATEWAY}/relay.py",
+        f"{_GATEWAY}/following/follow_role.py",
         "return not self.fresh(now) or self.chosen(now)",
         "return self.chosen(now)",
         (
@@ -136,7 +136,7 @@
     WrongVersion(
         "CONFIG",
         "a machine that cannot catch up trusts its neighbours",
-        f"{_GATEWAY}/relay.py",
+        f"{_GATEWAY}/following/follow_role.py",
         "return self._behind_since is None or now - self._behind_since <= _BEHIND_S",
         "return True",
         (
@@ -146,7 +146,7 @@
     WrongVersion(
         "EVAC",
         "evacuations are not looked at",
-        f"{_GATEWAY}/servers.py",
+        f"{_GATEWAY}/servers/backend_registry.py",
         "if not server.backend.draining and server.backend.zone not in self.beliefs.evacuated",
         "if not server.backend.draining",
         ("tests.test_gateway_servers.WhatIsCold",),
@@ -154,7 +154,7 @@
     WrongVersion(
         "DRAIN",
         "servers that leave get requests",
-        f"{_GATEWAY}/servers.py",
+        f"{_GATEWAY}/servers/backend_registry.py",
         "if not server.backend.draining and server.backend.zone not in self.beliefs.evacuated",
         "if server.backend.zone not in self.beliefs.evacuated",
         ("tests.test_gateway_servers.WhatIsCold",),
@@ -162,7 +162,7 @@
     WrongVersion(
         "DRAIN",
         "every entry that goes is held for a while",
-        f"{_GATEWAY}/outages.py",
+        f"{_GATEWAY}/state/outages.py",
         "return self._long(now) or now < self._over_until",
         "return True",
         ("tests.test_gateway_outages",),
@@ -170,7 +170,7 @@
     WrongVersion(
         "DRAIN",
         "a machine that alone is turned away holds servers that have left",
-        f"{_GATEWAY}/outages.py",
+        f"{_GATEWAY}/state/outages.py",
         "if self._lost_at is not None and at > self._lost_at:",
         "if False:",
         ("tests.test_gateway_relay.Outages",),
@@ -178,7 +178,7 @@
     WrongVersion(
         "DRAIN (directory)",
         "silent machines are named to callers",
-        f"{_GATEWAY}/gossip.py",
+        f"{_GATEWAY}/membership/gossip.py",
         "return heard is not None and heard.row.open and now - heard.at < SILENCE_S",
         "return heard is not None and heard.row.open",
         ("tests.test_gateway_gossip",),
@@ -186,7 +186,7 @@
     WrongVersion(
         "FAILBACK",
         "the limit on a cold server is not divided",
-        f"{_GATEWAY}/servers.py",
+        f"{_GATEWAY}/servers/backend_registry.py",
         "every, left_over = divmod(fleet, self.machines())",
         "every, left_over = divmod(fleet, 1)",
         ("tests.test_gateway_servers.ColdLimit",),
@@ -194,7 +194,7 @@
     WrongVersion(
         "FAILBACK",
         "a data hall taken back counts as warm",
-        f"{_GATEWAY}/servers.py",
+        f"{_GATEWAY}/servers/backend_registry.py",
         "            self._chill(change.before.zone)\n",
         "            pass\n",
         ("tests.test_gateway_servers.WhatIsCold",),
@@ -202,7 +202,7 @@
     WrongVersion(
         "SHIFT",
         "shares move without the cap",
-        f"{_GATEWAY}/shares.py",
+        f"{_GATEWAY}/regions/shares.py",
         "limiter.move(self.targets[service], now)",
         "limiter.commit(self.targets[service], now)",
         ("tests.test_gateway_policies.Policies",),
@@ -210,7 +210,7 @@
     WrongVersion(
         "HOME",
         "allowed regions are not looked at",
-        f"{_GATEWAY}/place.py",
+        f"{_GATEWAY}/requests/server_order.py",
         "if not allowed or self.regions.get(server.backend.zone) in allowed",
         "if True",
         ("tests.test_gateway_pipeline.Placing",),
@@ -218,7 +218,7 @@
     WrongVersion(
         "Duty",
         "splits follow the objects alone",
-        f"{_GATEWAY}/split.py",
+        f"{_GATEWAY}/requests/split.py",
         "chosen = wanted if self._off(wanted) <= _MOST_OFF else min(self._weights, key=self._off)",
         "chosen = wanted",
         ("tests.test_gateway_routes.SplitShares",),
@@ -226,7 +226,7 @@
     WrongVersion(
         "RECOVER",
         "a machine starts only from the store",
-        f"{_GATEWAY}/sync.py",
+        f"{_GATEWAY}/following/followers.py",
         "        if not self.beliefs.known:\n            await self._begin()\n",
         "        if not self.beliefs.known:\n",
         ("tests.test_gateway_relay.Outages",),
@@ -250,7 +250,7 @@
     WrongVersion(
         "UNASKED",
         "a request is sent on without its query",
-        f"{_GATEWAY}/send.py",
+        f"{_GATEWAY}/requests/sender.py",
         'lines = [f"{call.method} {call.target} HTTP/1.1"',
         'lines = [f"{call.method} {call.path} HTTP/1.1"',
         (
@@ -261,7 +261,7 @@
     WrongVersion(
         "slow servers",
         "nobody is ejected",
-        f"{_GATEWAY}/outliers.py",
+        f"{_GATEWAY}/servers/outliers.py",
         "return now < record.ejected_until",
         "return False",
         ("tests.test_gateway_outliers.SlowServers",),
@@ -269,7 +269,7 @@
     WrongVersion(
         "slow servers",
         "objects that are new to a server count",
-        f"{_GATEWAY}/outliers.py",
+        f"{_GATEWAY}/servers/outliers.py",
         "return now - before <= _WARM_S",
         "return True",
         ("tests.test_gateway_outliers.SlowServers",),
@@ -277,7 +277,7 @@
     WrongVersion(
         "SHIFT",
         "a region's servers are ejected without a bound",
-        f"{_GATEWAY}/outliers.py",
+        f"{_GATEWAY}/servers/outliers.py",
         "_MOST_PART_OF_REGION = 0.34",
         "_MOST_PART_OF_REGION = 1.0",
         ("tests.test_gateway_outliers.FailingServers",),
@@ -285,7 +285,7 @@
     WrongVersion(
         "headroom",
         "a region whose figures are missing gains callers",
-        f"{_GATEWAY}/shares.py",
+        f"{_GATEWAY}/regions/shares.py",
         "age_s=None if self.policies.measured(service) else 0.0",
         "age_s=0.0",
         ("tests.test_gateway_measured.PoliciesThatMeasure",),
