--- a/sprucewinch/steering/_sandbox.py
+++ b/sprucewinch/steering/_sandbox.py
@@ -1,25 +1,28 @@
 """Bounds for policy programs: what may be written, and how much may be run.
 
-`RestrictedPython` refuses names, attributes and statements that reach out of a program. On top of
-it, every loop step, call and arithmetic operation goes through a `Meter`, which counts them and
-refuses values that grow: numbers stay floating point, text is never built, and containers grow
-one counted element at a time. Memory and time are bounded by the count.
+Owns the language of policies: the statements that are refused, the operations, methods and
+functions that a program has, and the `Meter` that counts every loop step, call and operation.
+Relies on RestrictedPython to refuse names, attributes and statements that reach out of a program.
+Memory and time are bounded by the count, since no value can grow without it: numbers stay floating
+point, text is never built, and containers grow one counted element at a time.
 """
 
 import ast
 import math
 from collections.abc import Callable, Iterable, Iterator, Sized
-from typing import Any
+from typing import Any, NamedTuple
 
 from RestrictedPython import RestrictingNodeTransformer, compile_restricted_exec
 
 MAX_SOURCE = 16_384
-"""Longest program, in characters."""
+"""Longest program, in characters. A guess, never measured."""
 
 MAX_DISPLAY = 64
-"""Most elements written out in one list, tuple, set or dictionary."""
+"""Most elements written out in one list, tuple or dictionary; writing them is not counted. A guess,
+never measured."""
 
 _MAX_NUMBER = 2.0**53
+"""Largest number in a program: up to it, every whole number has an exact double."""
 
 
 class StepLimitError(Exception):
@@ -82,7 +85,7 @@
         return self._counted("_compare_", node, name, node.left, node.comparators[0])
 
     def visit_Constant(self, node: ast.Constant) -> ast.AST:  # noqa: N802
-        """Refuse numbers that are no ordinary floating-point numbers."""
+        """Refuse numbers that no double holds exactly, and values other than numbers and text."""
         value = node.value
         numeric = isinstance(value, int | float) and not isinstance(value, bool)
         if numeric and not abs(value) <= _MAX_NUMBER:
@@ -138,7 +141,11 @@
     "IsNot": lambda a, b: a is not b,
 }
 
+_IN_PLACE = {"+=": "Add", "-=": "Sub", "*=": "Mult", "/=": "Div", "//=": "FloorDiv"}
+"""Operations of augmented assignments, by symbol."""
+
 _MAX_RANGE = 10_000
+"""Longest range, in elements: half of a run's steps. A guess, never measured."""
 
 _METHODS = {dict: ("get", "items", "keys", "values"), list: ("append",)}
 
@@ -166,7 +173,11 @@
             raise StepLimitError
 
     def iterate(self, values: Any) -> Iterator[Any]:
-        """Yield values, counting each."""
+        """Yield values and count each.
+
+        Raises:
+            StepLimitError: When no steps are left.
+        """
         for value in values:
             self.charge()
             yield value
@@ -193,10 +204,9 @@
 
     def in_place(self, symbol: str, left: Any, right: Any) -> float:
         """Apply an augmented assignment to two numbers."""
-        names = {"+=": "Add", "-=": "Sub", "*=": "Mult", "/=": "Div", "//=": "FloorDiv"}
-        if symbol not in names:
+        if symbol not in _IN_PLACE:
             raise TypeError(f"{symbol} is not allowed in a policy")
-        return self.binary(names[symbol], left, right)
+        return self.binary(_IN_PLACE[symbol], left, right)
 
     def key(self, value: Any) -> Any:
         """Check a dictionary key or list index: a single value, cheap to hash."""
@@ -247,24 +257,9 @@
         return value
 
     def namespace(self) -> dict[str, Any]:
-        """Return the names that a program sees."""
-        builtins = {
-            "abs": abs,
-            "all": all,
-            "any": any,
-            "bool": bool,
-            "enumerate": lambda values: list(enumerate(values)),
-            "float": lambda value: float(_number(value)),
-            "len": len,
-            "max": lambda *values: max(_ordered(values)),
-            "min": lambda *values: min(_ordered(values)),
-            "range": _bounded_range,
-            "round": lambda value: float(round(_number(value))),
-            "sorted": lambda values: sorted(_flat(value) for value in values),
-            "sum": lambda values: float(sum(_number(value) for value in values)),
-        }
+        """Return the names that a program sees; those in underscores serve rewritten code."""
         return {
-            "__builtins__": builtins,
+            "__builtins__": dict(_BUILTINS),
             "_getiter_": self.iterate,
             "_getattr_": self.attribute,
             "_getitem_": self.item,
@@ -312,7 +307,37 @@
     return float(value)
 
 
-def compile_bounded(source: str, name: str) -> tuple[Any, tuple[str, ...]]:
+_BUILTINS: dict[str, Callable[..., Any]] = {
+    "abs": abs,
+    "all": all,
+    "any": any,
+    "bool": bool,
+    "enumerate": lambda values: list(enumerate(values)),
+    "float": lambda value: float(_number(value)),
+    "len": len,
+    "max": lambda *values: max(_ordered(values)),
+    "min": lambda *values: min(_ordered(values)),
+    "range": _bounded_range,
+    "round": lambda value: float(round(_number(value))),
+    "sorted": lambda values: sorted(_flat(value) for value in values),
+    "sum": lambda values: float(sum(_number(value) for value in values)),
+}
+"""Functions that a program may call; `Meter.call` counts the elements that they read."""
+
+
+class Compiled(NamedTuple):
+    """A program after compilation.
+
+    Args:
+        code: What `exec` takes; None when there are faults.
+        faults: What is wrong with the program, one line each.
+    """
+
+    code: Any
+    faults: tuple[str, ...]
+
+
+def compile_bounded(source: str, name: str) -> Compiled:
     """Compile a program.
 
     Args:
@@ -320,12 +345,12 @@
         name: Name for messages.
 
     Returns:
-        The code, or None, and the faults found.
+        The code, or the faults found.
     """
     if len(source) > MAX_SOURCE:
-        return None, (f"{len(source)} characters; at most {MAX_SOURCE} are allowed",)
+        return Compiled(None, (f"{len(source)} characters; at most {MAX_SOURCE} are allowed",))
     try:
         result = compile_restricted_exec(source, filename=name, policy=_BoundedTransformer)
     except (RecursionError, MemoryError, ValueError) as error:
-        return None, (f"cannot be compiled: {type(error).__name__}",)
-    return result.code, tuple(result.errors)
+        return Compiled(None, (f"cannot be compiled: {type(error).__name__}",))
+    return Compiled(result.code, tuple(result.errors))
--- a/sprucewinch/steering/guard.py
+++ b/sprucewinch/steering/guard.py
@@ -1,7 +1,28 @@
-"""The guard: turns the shares a policy wants into shares that are granted.
+"""The guard: turns the weights that a policy wants into shares that overload no region.
 
-A pipeline of small filters over weights by region. No policy can override it. A missing or old
-measure never lets a region gain callers.
+Question: how much of what a policy wants may each region have now?
+
+Inputs: wanted weights by region, the shares in force, a `Snapshot` (slots, requests a second,
+seconds, milliseconds) and `GuardLimits`. It owns no state, reads no clock and does no I/O.
+
+Rule: a draining region, or one without slots, gets nothing while another can take its callers. A
+region whose measures are missing or old keeps at most what it holds. A region over the ceiling
+shrinks in proportion; any other gains at most this planner's part of its free slots and one warm-up
+step, and at most what its link carries. What fits nowhere stays where it is.
+
+Why: several planners may choose the same quiet region at once, so each takes only its part of the
+free slots, and gains are counted from the smallest share that the delayed measures may still
+reflect. Without that the same free slots are given out again in each round: with 3 planners and
+measures 4 rounds late the planned load passed the ceiling (commit f6fd5b2). Smaller steps alone
+only delay that overload. Refusing is left to the regions, which know their slots exactly.
+
+Constants: `GuardLimits` comes from the configuration; its defaults, `_DEFAULT_LATENCY_MS` and
+`_LEAST_SLOT_S` are guesses, never measured.
+
+Shows in: the notes of `Granted`, which `sprucewinch explain` and `compare` print as `limits` and
+`/state` of the routed path lists by service. No log line: a limit takes effect in every round.
+
+Tests: `tests.test_guard` (`Filters`, `NoDecisionOverloads`), `tests.test_gateway_policies`.
 """
 
 import math
@@ -14,16 +35,28 @@
 Weights = dict[str, float]
 
 _EPSILON = 1e-9
+"""Difference of shares that counts as none: above the rounding errors of sums of a few doubles,
+far below the share of one caller."""
+
+_DEFAULT_LATENCY_MS = 50.0
+"""Time that a request is taken to hold a slot while nothing is measured, in milliseconds. A guess,
+never measured."""
+
+_LEAST_SLOT_S = 1e-4
+"""Shortest time that a request is taken to hold a slot, in seconds; keeps a region that measures 0
+from being granted any number of requests. A guess, never measured."""
 
 
 class GuardLimits(NamedTuple):
-    """Limits of the guard, from the configuration.
+    """Limits of the guard, from the configuration. The defaults are guesses, never measured.
 
     Args:
-        ceiling: Largest part of a region's slots that steering plans to use.
+        ceiling: Largest part of a region's slots that steering plans to use; the rest is a margin
+            for load that the measures do not show yet.
         stale_s: Age beyond which measures are too old for a region to gain, in seconds.
         warm_step: Largest part of a region's slots' worth of callers it may gain in one window.
-        planners: How many client regions plan on their own; each may fill its part of headroom.
+        planners: How many client regions plan on their own; each may use its part of the free
+            slots.
     """
 
     ceiling: float = 0.8
@@ -37,7 +70,8 @@
 
     Args:
         shares: Granted shares, before the shift cap.
-        notes: One word for each limit that took effect, with its region.
+        notes: `limit:region` for each limit that took effect; the limit is `drained`, `stale`,
+            `link`, `ceiling`, `headroom` or `warm-up`.
     """
 
     shares: Shares
@@ -52,11 +86,11 @@
     Args:
         wanted: Weights by region from a policy; finite, 0 or more, not all 0.
         current: Shares in force.
-        snapshot: Measures.
+        snapshot: Measures of all regions, as seen from one client region.
         limits: Limits.
 
     Returns:
-        A `Granted`.
+        The granted shares and the limits that took effect.
     """
     held = current.as_dict()
     weights, drained = _without_drained(_normalised(wanted, snapshot), held, snapshot)
@@ -72,11 +106,11 @@
     """Check what a policy returned.
 
     Args:
-        wanted: The value.
+        wanted: What the policy returned.
         order: Known regions.
 
     Returns:
-        None when it is usable; else what is wrong with it.
+        None when it is usable; otherwise what is wrong with it.
     """
     if not isinstance(wanted, dict):
         return "the result is no dictionary of region to weight"
@@ -113,7 +147,11 @@
 def _without_drained(
     weights: Weights, held: Weights, snapshot: Snapshot
 ) -> tuple[Weights, tuple[str, ...]]:
-    """Take the weight of unusable regions away; returns also the regions that lost some."""
+    """Return weights without unusable regions, and a note for each region that loses some.
+
+    When no usable region is wanted, the usable ones get weight by their slots; when none is usable,
+    the shares in force stay.
+    """
     usable = {region: _usable(measures) for region, measures in snapshot.regions.items()}
     lost = tuple(
         f"drained:{region}"
@@ -131,7 +169,7 @@
 
 
 class _Bound(NamedTuple):
-    """The largest share a region may have now, and the limit that says so."""
+    """The largest share that a region may have now, and the limit that sets it."""
 
     share: float
     why: str
@@ -150,7 +188,7 @@
 
 
 def _room(region: str, held: float, snapshot: Snapshot, limits: GuardLimits) -> _Bound:
-    """Return the bound from slots: shrink above the ceiling, else gain a part of what is free."""
+    """Return the bound from slots: shrink above the ceiling, else gain part of the free slots."""
     measures = snapshot.regions[region]
     if _over_ceiling(measures, limits):
         part = limits.ceiling * measures.capacity / measures.in_use
@@ -167,26 +205,26 @@
 
 
 def _headroom_gain(measures: RegionMeasures, limits: GuardLimits) -> float:
-    """Requests a second that this client region's planner may add to a region."""
+    """Return the requests a second that this client region's planner may add to a region."""
     free = max(0.0, limits.ceiling * measures.capacity - measures.in_use)
     return free / _slot_seconds(measures) / limits.planners
 
 
-_DEFAULT_LATENCY_MS = 50.0
-
-
 def _slot_seconds(measures: RegionMeasures) -> float:
-    """Seconds that one request holds a slot, measured where possible."""
+    """Return the time that one request holds a slot, measured where possible, in seconds."""
     if measures.in_use > 0 and measures.arrivals_per_s > 0:
-        return max(measures.in_use / measures.arrivals_per_s, 1e-4)
-    return max(measures.latency_ms or _DEFAULT_LATENCY_MS, 0.1) / 1000.0
+        held_s = measures.in_use / measures.arrivals_per_s
+    else:
+        held_s = (measures.latency_ms or _DEFAULT_LATENCY_MS) / 1000.0
+    return max(held_s, _LEAST_SLOT_S)
 
 
 def _fit(weights: Weights, held: Weights, bounds: Weights) -> Weights:
-    """Cut each weight to its bound and hand the excess to regions with room.
+    """Cut each weight to its bound and give the excess to regions below theirs.
 
-    What fits nowhere stays where it is held now: the regions' own admission refuses what they
-    cannot run, and moving it elsewhere would only move the overload.
+    Regions get back what they held before others gain. What fits nowhere stays where it is held
+    now: the regions' own admission refuses what they cannot run, and moving it elsewhere would only
+    move the overload.
     """
     fitted = {region: min(weight, bounds[region]) for region, weight in weights.items()}
     excess = 1.0 - sum(fitted.values())
@@ -207,6 +245,7 @@
 
 
 def _leave_excess(fitted: Weights, held: Weights, bounds: Weights, excess: float) -> None:
+    """Add what fits nowhere to `fitted`, in proportion to the shares in force."""
     basis = {r: held.get(r, 0.0) if bounds[r] > 0 else 0.0 for r in fitted}
     if sum(basis.values()) <= _EPSILON:
         basis = {r: bounds[r] for r in fitted}
--- a/sprucewinch/steering/placement.py
+++ b/sprucewinch/steering/placement.py
@@ -1,8 +1,24 @@
 """Placement of client blocks: which region serves a block, given the shares of a service.
 
-Weighted rendezvous hashing: a block draws one exponential number for each region, fixed for ever,
-and goes to the region whose number divided by its weight is least. The part of blocks that a
-change of weights moves has a closed form, so it can be bounded without counting blocks.
+Question: which region serves this block or object, and which part of all moves when shares change?
+
+Inputs: `Shares` of the regions (together 1) and the key of a block or object (8 bytes).
+`BlockTable` owns the client blocks of a configuration; nothing else is kept.
+
+Rule: weighted rendezvous hashing. A key draws one exponential number for each region, fixed for
+ever, and goes to the region whose number divided by its weight is least.
+
+Why: the part of keys that a change of weights moves has a closed form, so it can be bounded without
+counting, and nothing moves between regions whose weights stay in proportion. With thresholds on one
+hash, leaving one of three regions also moved keys between the two others, 1.5 times what is needed
+(commit 5a446ba).
+
+Constants: `_HASH_SPACE` follows from the hash, `_BISECTIONS` and `_SEEDS` are guesses, never
+measured.
+
+Shows in: `sprucewinch explain`, as `key` and `region`.
+
+Tests: `tests.test_shift.MovedPart` holds the closed form against counted blocks.
 """
 
 import functools
@@ -19,20 +35,30 @@
 from .._hash import hash32
 
 _HASH_SPACE = float(1 << 32)
+"""Values of the 32-bit hash."""
+
 _BISECTIONS = 30
+"""Halvings of the line between two shares: a step is found to a billionth of the line. A guess,
+never measured."""
+
+_SEEDS = 1024
+"""Region names whose hashes are kept, far above the regions of a fleet. A guess, never measured."""
+
 _IPV4 = 4
+"""Version 4 of the internet protocol, as `ipaddress` numbers it."""
+
 _IPV6 = 6
-"""Versions of the internet protocol, as `ipaddress` numbers them."""
+"""Version 6 of the internet protocol, as `ipaddress` numbers it."""
 
 
-@functools.lru_cache(maxsize=1024)
+@functools.lru_cache(maxsize=_SEEDS)
 def _seed(region: str) -> int:
     return hash32(region)
 
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """Shares of regions.
+    """Shares of regions, which decide where each key goes.
 
     Args:
         regions: Names of regions, in the configuration's order.
@@ -59,7 +85,7 @@
         return dict(zip(self.regions, self.weights, strict=True))
 
     def region_at(self, key: bytes) -> str:
-        """Return the region of a block.
+        """Return the region of a block or object.
 
         Args:
             key: The block's key for a service, as `block_key` returns it.
@@ -92,7 +118,7 @@
 def moved_part(old: Shares, new: Shares) -> float:
     """Return the part of blocks that a change of shares moves, in `[0, 1]`.
 
-    A block stays in region *r* when its number there is least under both sets of weights, that is
+    A block stays in region *r* when its number there is least under both sets of weights, that is,
     when every other region *s* draws at least `max(w_s / w_r, w'_s / w'_r)` times as much. The
     draws are exponential, so that has probability one over the sum of these ratios.
 
@@ -117,7 +143,7 @@
         allowance: Largest part of blocks that may move, in `[0, 1]`.
 
     Returns:
-        Shares on the straight line from `old` to `new`.
+        Shares on the straight line from `old` to `new`; `old` when no step is small enough.
     """
     if moved_part(old, new) <= allowance:
         return new
--- a/sprucewinch/steering/policy.py
+++ b/sprucewinch/steering/policy.py
@@ -1,4 +1,26 @@
-"""Steering policies: short programs that turn a snapshot of measures into wanted shares."""
+"""Steering policies: short programs that turn a snapshot of measures into wanted shares.
+
+Question: which shares does this policy want, for one service and one client region?
+
+Inputs: a `Snapshot`, given to the program as plain dictionaries (`snapshot_tables` lists keys and
+units). A policy owns its compiled program and no state: each run starts afresh and sees no clock,
+no random numbers and nothing outside the snapshot.
+
+Rule: run the program under a limit of steps. Its result is used when it is a dictionary of known
+regions to finite weights, not all 0; anything else is a `PolicyFault`. On a fault
+`hall.planning` plans for the shares in force and `gateway.regions` keeps its last target.
+
+Why: programs by operators must neither stop nor fill a VM. Starlark through a native package counts
+steps but does not bound memory, and expressions alone say too little to compare policies, so
+programs are Python whose every operation `_sandbox` counts.
+
+Constants: `STEP_LIMIT`, and the figures of the trial snapshots; guesses, never measured.
+
+Shows in: `event=policy-fault` of the log, `fault` of `sprucewinch explain` and `compare`, and the
+notes `policy-fault:...` in `/state` of the routed path.
+
+Tests: `tests.test_policy` (`ShippedPolicies`, `BadPrograms`), `tests.test_gateway_policies`.
+"""
 
 import abc
 from importlib import resources
@@ -10,33 +32,63 @@
 from .measures import RegionMeasures, Snapshot
 
 STEP_LIMIT = 20_000
-"""Most steps of one run of a program."""
+"""Most steps of one run of a program; `_sandbox` counts each loop step, call, comparison and
+operation as one or more. A guess: 34 hostile programs were refused or stopped under it within 10 ms
+(commit 15f4903, a trial), but no larger or smaller limit was tried."""
+
+_UNMEASURED = -1.0
+"""What a program sees in place of a time that is not measured; no measured time is below 0."""
 
 _ENTRY = "shares"
 _SUFFIX = ".py.txt"
 
+_TRIAL_HOMES = 3
+"""Client regions that a trial run takes, the first ones. A guess, never measured."""
+
+_TRIAL_HOME_MS = 3.0
+"""Time one way to the callers' own region in trial snapshots, in milliseconds: the brief's 3 ms
+from clients to the freight consortium's regions."""
+
+_TRIAL_AWAY_MS = 13.0
+"""Time one way to other regions in trial snapshots, in milliseconds: 3 ms and the brief's 10 ms
+between the freight consortium's regions."""
+
+_TRIAL_DEMAND_PER_S = 100.0
+"""Requests a second in trial snapshots. A guess, never measured."""
+
+_TRIAL_MEASURES = (
+    RegionMeasures(capacity=40, in_use=10, latency_ms=20.0, arrivals_per_s=100.0, age_s=0.5),
+    RegionMeasures(capacity=40),
+    RegionMeasures(capacity=40, in_use=40, latency_ms=900.0, arrivals_per_s=400.0, age_s=30.0),
+)
+"""Regions of trial snapshots: fresh, unmeasured, and full with old measures. 40 slots are ten
+servers of the brief's four; the other figures are guesses, never measured."""
+
 
 class PolicyFault(NamedTuple):
-    """A sentinel returned in place of weights when a program failed."""
+    """Takes the place of weights when a program fails.
+
+    Args:
+        problem: What went wrong, on one line.
+    """
 
     problem: str
 
 
 class Policy(abc.ABC):
-    """Something that wants shares for one service and one client region."""
+    """Wants shares for one service and one client region."""
 
     name: str
 
     @abc.abstractmethod
     def weights(self, snapshot: Snapshot) -> Union[dict[str, float], PolicyFault]:
-        """Return weights by region, or the fault that kept the policy from doing so."""
+        """Return weights by region, or the fault that prevents them."""
 
 
 class ProgramPolicy(Policy):
     """A policy written as a program that defines `shares(snapshot)`.
 
-    The same snapshot always gives the same weights: programs see no clock, no random numbers and
-    nothing outside the snapshot, and start afresh on every run.
+    The same snapshot always gives the same weights.
 
     Args:
         name: Name of the policy.
@@ -83,18 +135,19 @@
     """Return a snapshot as the plain dictionaries that a program sees.
 
     Keys of the result: `service`, `client_region`, `demand_per_s`, and `regions`, a dictionary by
-    region of `capacity`, `in_use`, `headroom`, `latency_ms`, `distance_ms`, `arrivals_per_s`,
-    `age_s` (-1 when there are no measures), `drained` and `home`.
+    region of `capacity` and `in_use` (slots), `headroom` (free part of the slots), `latency_ms` and
+    `distance_ms` (milliseconds), `arrivals_per_s`, `age_s` (seconds), `drained` and `home`.
+    `latency_ms` and `age_s` are -1 when they are not measured.
     """
     regions = {
         name: {
             "capacity": float(measures.capacity),
             "in_use": float(measures.in_use),
             "headroom": measures.headroom,
-            "latency_ms": -1.0 if measures.latency_ms is None else measures.latency_ms,
+            "latency_ms": _UNMEASURED if measures.latency_ms is None else measures.latency_ms,
             "distance_ms": snapshot.distance_ms[name],
             "arrivals_per_s": measures.arrivals_per_s,
-            "age_s": -1.0 if measures.age_s is None else measures.age_s,
+            "age_s": _UNMEASURED if measures.age_s is None else measures.age_s,
             "drained": measures.drained,
             "home": name == snapshot.client_region,
         }
@@ -109,7 +162,7 @@
 
 
 def check_program(name: str, source: str, regions: tuple[str, ...]) -> None:
-    """Refuse a program that fails on ordinary snapshots of these regions.
+    """Refuse a program that fails on a trial snapshot of these regions.
 
     Args:
         name: Name of the policy.
@@ -117,7 +170,7 @@
         regions: Regions of the configuration.
 
     Raises:
-        PolicyError: With the fault.
+        PolicyError: When the program does not compile or fails on a snapshot.
     """
     policy = ProgramPolicy(name, source)
     for snapshot in trial_snapshots(regions):
@@ -130,24 +183,23 @@
 
 def trial_snapshots(regions: tuple[str, ...]) -> list[Snapshot]:
     """Return snapshots that a program must be able to handle: fresh, unmeasured and full."""
-    kinds = (
-        RegionMeasures(40, 10, 20.0, 100.0, 0.5),
-        RegionMeasures(40),
-        RegionMeasures(40, 40, 900.0, 400.0, 30.0),
-    )
     return [
         Snapshot(
             service="trial",
             client_region=home,
             regions=dict.fromkeys(regions, measures),
-            distance_ms={region: 3.0 if region == home else 13.0 for region in regions},
-            demand_per_s=100.0,
+            distance_ms=_trial_distances(regions, home),
+            demand_per_s=_TRIAL_DEMAND_PER_S,
         )
-        for measures in kinds
-        for home in regions[:3]
+        for measures in _TRIAL_MEASURES
+        for home in regions[:_TRIAL_HOMES]
     ]
 
 
+def _trial_distances(regions: tuple[str, ...], home: str) -> dict[str, float]:
+    return {region: _TRIAL_HOME_MS if region == home else _TRIAL_AWAY_MS for region in regions}
+
+
 def shipped_policies() -> dict[str, str]:
     """Return the sources of the policies that come with the package, by name."""
     folder = resources.files("sprucewinch.steering") / "policies"
--- a/sprucewinch/steering/shift.py
+++ b/sprucewinch/steering/shift.py
@@ -1,7 +1,24 @@
 """The shift cap: how fast callers of one service may be moved between regions.
 
-Every entry VM moves its own shares through a `ShiftLimiter`. The cap is a part of the callers, so
-when each VM stays under it, the fleet does too, whatever each VM knows or when it learnt it.
+Question: how far may the shares go towards a target now?
+
+Inputs: shares in force and wanted, monotonic time in seconds, and a `ShiftCap` (part of callers,
+seconds). Each `ShiftLimiter` owns the moves that it made within the last window; it reads no clock.
+
+Rule: within any window, plus the time that callers cache answers, at most the cap moves; moves back
+and forth both count. One step moves at most a tenth of the cap. A process that does not know what
+was moved before its start counts the whole cap as spent.
+
+Why: the cap is a part of the callers, so it holds for the fleet when it holds at each VM, whatever
+the VMs know. Dividing it into allowances between VMs would need agreement on who holds which, and a
+frozen VM would keep its allowance.
+
+Constants: `_STEPS_PER_WINDOW`; cap and window are the operators'.
+
+Shows in: the shares themselves, in `sprucewinch explain` and in `/state` of the routed path. No log
+line: shares move in many small steps.
+
+Tests: `tests.test_shift` (`FleetShift`, `WrongVersionsAreFound`, `ShiftLimiterCases`).
 """
 
 from collections import deque
@@ -10,6 +27,10 @@
 from .placement import Shares, make_shares, moved_part, step_towards
 
 _STEPS_PER_WINDOW = 10
+"""Steps over which one window's cap is spread, so that a region that gains callers warms up. Twenty
+were half of what one-second rounds can use: draining a region left 47 % there after 80 rounds; with
+ten, and placement by rendezvous hashing in the same change, it was empty after 66 (commit
+5a446ba)."""
 
 
 class ShiftCap(NamedTuple):
@@ -27,6 +48,13 @@
 
 
 class _Move(NamedTuple):
+    """One step that was made.
+
+    Args:
+        at: Monotonic time, in seconds.
+        part: Part of callers moved.
+    """
+
     at: float
     part: float
 
@@ -34,15 +62,14 @@
 class ShiftLimiter:
     """Moves shares towards a target under a cap on the part of callers moved in any window.
 
-    Moves back and forth both count. A caller that cached an answer just before a step comes over
-    up to `ttl_s` later, so the limiter keeps to the cap over `window_s + ttl_s`: arrivals within
-    any window then belong to steps within one longer window.
+    A caller that caches an answer just before a step moves up to `ttl_s` later, so the limiter
+    keeps to the cap over `window_s + ttl_s`: arrivals within any window then belong to steps within
+    one longer window.
 
     Args:
         start: Shares at the start.
         limit: The cap.
-        spent_at: When given, the whole cap counts as spent at that time. A process that does not
-            know what was moved before it started passes its start.
+        spent_at: When given, the whole cap counts as spent at that monotonic time, in seconds.
     """
 
     __slots__ = ("_moves", "current", "limit")
@@ -55,7 +82,7 @@
             self._moves.append(_Move(spent_at, limit.cap))
 
     def set_limit(self, limit: ShiftCap) -> None:
-        """Take over a changed cap at once; what was already moved still counts.
+        """Apply a changed cap at once; earlier moves still count.
 
         While moves are remembered, a window only grows, so that none is forgotten early.
         """
@@ -78,10 +105,8 @@
     def propose(self, target: Shares, now: float) -> Shares:
         """Return the next shares on the way to a target, as far as the cap allows.
 
-        Steps are small and spread over the window, so that a region that gains callers warms up.
-
         Args:
-            target: Where to go; regions as in `current`.
+            target: Wanted shares; regions as in `current`.
             now: Monotonic time, in seconds.
         """
         allowance = min(self.allowance(now), self.limit.cap / _STEPS_PER_WINDOW)
@@ -90,19 +115,33 @@
         return step_towards(self.current, target, allowance)
 
     def commit(self, shares: Shares, now: float) -> None:
-        """Make shares current and count what they moved as moved now."""
+        """Make shares current and count the difference as moved now.
+
+        Args:
+            shares: Shares from now on.
+            now: Monotonic time, in seconds.
+        """
         part = moved_part(self.current, shares)
         if part > 0:
             self._moves.append(_Move(now, part))
         self.current = shares
 
     def move(self, target: Shares, now: float) -> Shares:
-        """Propose a step, commit it, and return the shares from now on."""
+        """Propose a step, commit it, and return the shares from now on.
+
+        Args:
+            target: Wanted shares; regions as in `current`.
+            now: Monotonic time, in seconds.
+        """
         self.commit(self.propose(target, now), now)
         return self.current
 
     def reorder(self, order: tuple[str, ...]) -> None:
-        """Take over a changed list of regions; weights of removed regions go to the others."""
+        """Apply a changed list of regions; weights of removed regions go to the others.
+
+        Args:
+            order: Regions in the configuration's order.
+        """
         held = {region: self.current.share(region) for region in order}
         if sum(held.values()) <= 0:
             held = dict.fromkeys(order, 1.0)
