--- a/sprucewinch/gateway/requests/choice/room.py
+++ b/sprucewinch/gateway/requests/choice/room.py
@@ -1,24 +1,25 @@
-"""Rule: whether a backend server has room for a request, and how long a request waits for it.
-
-Question: may this VM send one more request to this server now, and if not, how long does the
-request wait? Inputs: the server's counts, the load limit of the route's time, the route's rank, the
-request's times in monotonic seconds. Rule: there is room when no request waits there that is more
-urgent, or as urgent and given up earlier by its caller, this VM's requests are below its
-concurrency limit there, and the server's load, all VMs together, is below what it answers within
-the route's time. A request waits for a part of its route's latency target at most, and only before
-its first attempt.
-
-Why so: no VM asks another one for a slot, so each bounds itself by what servers report; a refusal
-is useful to a caller only while it comes early, with time left to come back. Requests that wait
-stand in the order of the route's rank, then of their deadlines (`servers.capacity.room_queue`), and
-the first one looks anew when a request there is over; when as many wait as the server has slots,
-the last one is refused.
-
-Constants: `ROOM_WAIT_PART`, `DEFAULT_LATENCY_TARGET_S`, `LOOK_AGAIN_S`, `KEPT_FREE_PART`; the load
-limit's are in `servers.capacity.service_times`. Shows in: event `request`, `outcome` `no-room` and
-`blocked`. Tests: tests/test_gateway_request_rules.py (`Selections`),
-tests/test_gateway_server_selection.py (`Overload`, `Priorities`, `QueuesThatFit`),
-tests/test_gateway_usability.py (`WaitsForRoom`), tests/test_gateway_fair_order.py.
+"""Decides whether a backend server has room for a request, and how long the request waits for it.
+
+The decision is whether this VM may send one more request to this server now, and if not, how long
+the request waits. A server has room when all of these hold: no request waits there that is more
+urgent, or as urgent with an earlier deadline; this VM's requests there are below its concurrency
+limit for the server; and the server's load, counted over all VMs, is below the number of requests
+that it can answer within the route's timeout. A request waits for at most a fraction of its route's
+latency target, and only before its first attempt.
+
+VMs do not reserve slots with each other; each VM limits itself by what servers report. A refusal
+helps a caller only if it comes early enough to retry. Waiting requests are ordered by the
+priorities of workspace and route, then by deadline (`servers.capacity.room_queue`). When a request
+at the server ends, the first waiting request checks for room again. When as many requests wait as
+the server has slots, the last one is refused.
+
+The inputs are the server's counts, its load limit for the route's timeout, the priorities, and the
+request's times (monotonic, in seconds). The constants of the load limit are in
+`servers.capacity.service_times`. A refusal is logged in the event `request` with the `outcome`
+`no-room`, and the values that decided it in `blocked`. The tests are in
+tests/test_gateway_request_rules.py (`Selections`), tests/test_gateway_server_selection.py
+(`Overload`, `Priorities`, `QueuesThatFit`), tests/test_gateway_usability.py (`WaitsForRoom`) and
+tests/test_gateway_fair_order.py.
 """
 
 from typing import Optional
@@ -30,19 +31,19 @@
 from ..client_request import BlockedReason, ClientRequest
 
 DEFAULT_LATENCY_TARGET_S = 0.4
-"""Latency target of a route that sets none, in seconds."""
+"""Latency target of a route that sets none."""
 
-ROOM_WAIT_PART = 0.1
-"""Part of a route's latency target that a request waits for room: short, so that a caller that is
-refused learns it early enough to be served in time elsewhere or later."""
+ROOM_WAIT_FRACTION = 0.1
+"""Fraction of a route's latency target for which a request may wait for room. It is short so that a
+refused caller still has time to be served elsewhere or by a later retry."""
 
-KEPT_FREE_PART = 0.34
-"""Part of a server's limit that a workspace ahead of its share leaves to others: one of three
-slots."""
+RESERVED_FRACTION = 0.34
+"""Fraction of a server's concurrency limit that a workspace above its fair share leaves to other
+workspaces: one slot of three."""
 
 LOOK_AGAIN_S = 0.02
-"""Longest time between two looks for room, in seconds: room may also come from a server's load
-report, which wakes no waiting request."""
+"""Longest time between two checks for room. A server's load report may also free room, and it
+wakes no waiting request."""
 
 
 def no_room_reason(
@@ -54,12 +55,12 @@
         server: The server.
         request: The request.
         route: Its route.
-        times: Knows the load limit of a route's time at a server.
+        times: Gives the load limit of a server for a route's timeout.
         now: Monotonic time, in seconds.
     """
     if server.stands_before(place_in_queue(request, route)):
         return BlockedReason.OTHER_WAITS
-    if server.in_flight >= int(server.concurrency_limit) - _kept_free(server, request):
+    if server.in_flight >= int(server.concurrency_limit) - _reserved_slots(server, request):
         return BlockedReason.CONCURRENCY_LIMIT
     limit = times.load_limit(server.backend, server.latency_s, route.timeout_s)
     if server.load(now) >= limit:
@@ -67,20 +68,20 @@
     return None
 
 
-def _kept_free(server: BackendServer, request: ClientRequest) -> int:
-    """Return how much of a server's limit a request leaves to others.
+def _reserved_slots(server: BackendServer, request: ClientRequest) -> int:
+    """Return how many slots of a server's concurrency limit a request leaves to other workspaces.
 
-    A workspace that is ahead of its share fills no server whole: what waits behind it would have to
-    wait for a whole run.
+    A workspace above its fair share must not fill a server, as the next request of another
+    workspace would have to wait for a whole request to complete.
     """
-    return int(server.concurrency_limit * KEPT_FREE_PART) if request.ahead else 0
+    return int(server.concurrency_limit * RESERVED_FRACTION) if request.ahead else 0
 
 
 def place_in_queue(request: ClientRequest, route: Route) -> Place:
     """Return a request's place among those that wait for room.
 
-    Its workspace's rank comes first, then its route's; within a rank those go first whose workspace
-    is not ahead of its share.
+    Requests are ordered by the workspace's priority, then by the route's; within the same
+    priorities, requests of workspaces that are not above their fair share go first.
     """
     workspace = request.caller.workspace
     workspace_rank = workspace.priority if workspace else 0
@@ -88,7 +89,7 @@
 
 
 def room_wait_s(request: ClientRequest, route: Route, now: float) -> float:
-    """Return how long a request may still wait for room, in seconds; 0 or less for not at all.
+    """Return how long a request may still wait for room, in seconds; 0 or less means no wait.
 
     Args:
         request: The request.
@@ -100,4 +101,4 @@
     target_s = DEFAULT_LATENCY_TARGET_S
     if route.latency_target_s is not None:
         target_s = route.latency_target_s
-    return min(request.arrived_at + target_s * ROOM_WAIT_PART, request.deadline) - now
+    return min(request.arrived_at + target_s * ROOM_WAIT_FRACTION, request.deadline) - now
--- a/sprucewinch/gateway/requests/outcome/hold_time.py
+++ b/sprucewinch/gateway/requests/outcome/hold_time.py
@@ -24,8 +24,8 @@
   once with `no-server`.
 - The deadline is over, margin included, or less of it is left than any answer of the service takes
   (`time_left`): refused at once with `no-time`.
-- The server is full and stays full: held for `room.ROOM_WAIT_PART` of the route's latency target
-  at most, then refused with `no-room`.
+- The server is full and stays full: held for `room.ROOM_WAIT_FRACTION` of the route's latency
+  target at most, then refused with `no-room`.
 """
 
 import enum
