--- a/sprucewinch/gateway/requests/choice/__init__.py
+++ b/sprucewinch/gateway/requests/choice/__init__.py
@@ -1,7 +1,7 @@
-"""Which backend server gets a request, or why none does.
+"""Selects the backend server of a request, or says why none is selected.
 
-Owns three rules, one a module: `server_order` orders the servers for an object, `server_selection`
-selects one of them, `room` says whether it has room and how long to wait for that; `server_choice`
-is their order. Relies on `regions` for shares and on `servers` for what is known of backend
-servers. Read `server_choice` first.
+`server_order` ranks the servers for an object, `server_selection` selects one of them, and `room`
+decides whether it has room and how long the request waits for it; `server_choice` runs these steps
+in order. The package relies on `regions` for the regions' shares and on `servers` for the state of
+backend servers. Read `server_choice` first.
 """
--- a/sprucewinch/gateway/requests/choice/room.py
+++ b/sprucewinch/gateway/requests/choice/room.py
@@ -74,7 +74,7 @@
     A workspace above its fair share must not fill a server, as the next request of another
     workspace would have to wait for a whole request to complete.
     """
-    return int(server.concurrency_limit * RESERVED_FRACTION) if request.ahead else 0
+    return int(server.concurrency_limit * RESERVED_FRACTION) if request.steps_over_share else 0
 
 
 def place_in_queue(request: ClientRequest, route: Route) -> Place:
@@ -85,7 +85,7 @@
     """
     workspace = request.caller.workspace
     workspace_rank = workspace.priority if workspace else 0
-    return Place((workspace_rank, route.priority, request.ahead), request.deadline)
+    return Place((workspace_rank, route.priority, request.steps_over_share), request.deadline)
 
 
 def room_wait_s(request: ClientRequest, route: Route, now: float) -> float:
--- a/sprucewinch/gateway/requests/choice/server_choice.py
+++ b/sprucewinch/gateway/requests/choice/server_choice.py
@@ -1,10 +1,10 @@
-"""Chooses the server of a request: select one, wait for one, take one request of its limit.
+"""Chooses the backend server of a request: selects one, waits for room, takes a grant of its limit.
 
-Owns the order of these steps. A request that waited, or whose server had nothing left of its limit,
-looks anew from the pipeline's first step, so that it meets the newest servers. Relies on
-`server_order` for the ranking, on `server_selection` and `room` for the decisions, and on
-`statements.server_quotas` for servers' limits. Tests: tests/test_gateway_pipeline.py,
-tests/test_gateway_server_limits.py.
+`ServerChoice` runs these steps in order. A request that waited, or whose server had nothing left of
+its rate limit, starts again from the pipeline's first step, so that it uses the current set of
+servers. The module relies on `server_order` for the ranking, on `server_selection` and `room` for
+the decisions, and on `statements.server_quotas` for the limits that servers state. The tests are in
+tests/test_gateway_pipeline.py and tests/test_gateway_server_limits.py.
 """
 
 import asyncio
@@ -18,18 +18,18 @@
 from .server_order import Ranking, ServerRanker
 from .server_selection import ServerSelector
 
-_LEAST_WAIT_S = 0.001
-"""Least time for which a request waits for a server that takes none now, in seconds."""
+_MIN_WAIT_S = 0.001
+"""Shortest wait for a server that accepts no requests at the moment."""
 
 
 class ServerChoice:
-    """Chooses servers.
+    """Chooses the backend servers of requests.
 
     Args:
-        ranker: Orders the servers of an object.
-        selector: Selects one of them.
-        quarantine: Requests that crash servers, which are kept apart.
-        server_quotas: Limits that servers state.
+        ranker: Ranks the servers for an object.
+        selector: Selects one server of a ranking.
+        quarantine: Requests that crash servers.
+        server_quotas: Rate limits that servers state.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
     async def choose(
         self, request: ClientRequest, route: Route, service: str, now: float
     ) -> Union[Selection, RefusalReason, None]:
-        """Choose a server that grants a request where it states a limit, else wait or refuse.
+        """Choose a server, with a grant of its rate limit if it states one; else wait or refuse.
 
         Args:
             request: The request.
@@ -56,7 +56,8 @@
             now: Monotonic time, in seconds.
 
         Returns:
-            None when the request has to look anew.
+            The selection, or the reason for a refusal; None when the request has to start again
+            from the first step.
         """
         selection = await self._choose_or_wait(request, route, service, now)
         if not isinstance(selection, Selection):
@@ -64,7 +65,7 @@
         server = selection.server
         grant = await self.server_quotas.take(server.backend, server.stated)
         if grant is None:
-            request.vain_asks += 1
+            request.denied_grants += 1
             return None
         return selection._replace(grant=grant)
 
@@ -74,36 +75,40 @@
         """Choose a server, else wait for room, else refuse.
 
         Returns:
-            None when the request has waited and has to look anew.
+            The selection, or the reason for a refusal; None when the request has waited and has to
+            start again from the first step.
         """
         key = request.key if route.affinity and request.key else request.id
         if self.quarantine.judgement(request).crashes:
-            # Away from the other suspects of a crash, and equal ones to the same server.
+            # The key separates this request from other suspects of a crash, and sends equal
+            # requests to the same server.
             key = self.quarantine.names.fingerprint_of(request).hex()
         ranking = self.ranker.place(service, key, route.regions, now)
         selection = self.selector.choose(request, ranking, service, now, route)
-        if selection is RefusalReason.NO_SERVER and await self._wait_for_word(request, route, now):
+        if selection is RefusalReason.NO_SERVER and await self._wait_until_accepted(
+            request, route, now
+        ):
             return None
         if selection is not RefusalReason.NO_ROOM:
             return selection
         waited = await self._wait_for_room(request, route, ranking, now)
         return None if waited else selection
 
-    async def _wait_for_word(self, request: ClientRequest, route: Route, now: float) -> bool:
-        """Wait until the first server takes requests again; False when that is too late.
+    async def _wait_until_accepted(self, request: ClientRequest, route: Route, now: float) -> bool:
+        """Wait until a server accepts requests again; False when that would take too long.
 
-        Only where all servers take none by their own word.
+        This applies only where every server has stated that it accepts none for now.
         """
         until = request.blocked.until if request.blocked else None
         if until is None or until <= now or until - now > room_wait_s(request, route, now):
             return False
-        await asyncio.sleep(max(_LEAST_WAIT_S, until - now))
+        await asyncio.sleep(max(_MIN_WAIT_S, until - now))
         return True
 
     async def _wait_for_room(
         self, request: ClientRequest, route: Route, ranking: Ranking, now: float
     ) -> bool:
-        """Wait for room; False when there is no time left or too many wait already."""
+        """Wait for room; False when there is no time left or too many requests wait already."""
         server = self.selector.candidate(request, ranking, now)
         left_s = room_wait_s(request, route, now)
         if server is None or left_s <= 0:
--- a/sprucewinch/gateway/requests/choice/server_order.py
+++ b/sprucewinch/gateway/requests/choice/server_order.py
@@ -1,14 +1,17 @@
-"""Rule: in which order the backend servers of a service are tried for an object.
+"""Ranks the backend servers of a service for an object.
 
-Question: which servers may run a request about this object, the best first? Inputs: service,
-object, allowed regions, the regions' shares in force, time in monotonic seconds. Rule: the share
-that the object's hash falls into gives its region; servers of that region come first, then all
-others, each group by rendezvous hashing weighted with the servers' slots.
+The ranking says which servers may run a request about the object, in order of preference. The
+region is the one whose share the object's hash falls into. Its servers come first, then those of
+all other regions; within each group the order is that of rendezvous hashing, weighted by the
+servers' slots. The inputs are the service, the object's key, the allowed regions, the regions'
+current shares and the time (monotonic, in seconds).
 
-Why so: every VM finds the same order without asking another one, and a server that comes or goes
-moves its own objects only, so the others find their servers warm. Rankings are kept until the
-registry changes, as one costs a hash for each server. Constants: `RANKINGS_KEPT`. Shows in: event
-`request`, first of `sends`. Tests: tests/test_gateway_pipeline.py (`Placing`).
+Every VM computes the same ranking without asking another one. When a server joins or leaves, only
+its own objects move, so the caches of the other servers stay warm. A ranking costs one hash for
+each server, so rankings are cached until the registry changes.
+
+The first server of a ranking is logged as the first of `sends` in the event `request`. The tests
+are in tests/test_gateway_pipeline.py (`Placing`).
 """
 
 import math
@@ -22,10 +25,10 @@
 from ...servers.backend_server import BackendServer
 
 _HASH_SPACE = float(1 << 32)
-"""Number of values of the hash, which has 32 bits."""
+"""Number of values of the 32-bit hash."""
 
-RANKINGS_KEPT = 4_000
-"""Rankings that are kept before all are dropped, to bound memory."""
+MAX_CACHED_RANKINGS = 4_000
+"""Largest number of cached rankings, which bounds memory; beyond it the cache is cleared."""
 
 
 class Ranking(NamedTuple):
@@ -34,7 +37,7 @@
     Args:
         region: Region that the object's hash falls into.
         servers: Servers of that region, then those of the others.
-        near: Number of servers in that region.
+        near: Number of servers in that region, which come first in `servers`.
     """
 
     region: str
@@ -43,11 +46,11 @@
 
 
 class ServerRanker:
-    """Orders servers by region shares, then by rendezvous hashing within a region.
+    """Ranks servers by region shares, then by rendezvous hashing within a region.
 
     Args:
         registry: Backend servers.
-        shares: Region shares in force.
+        shares: Current region shares.
         regions: Region of each data hall.
     """
 
@@ -57,7 +60,7 @@
         self.registry = registry
         self.shares = shares
         self.regions = regions
-        self._kept: dict[tuple[str, str, str], Ranking] = {}
+        self._rankings: dict[tuple[str, str, str], Ranking] = {}
         self._generation = -1
 
     def place(self, service: str, key: str, allowed: tuple[str, ...], now: float) -> Ranking:
@@ -65,19 +68,22 @@
 
         Args:
             service: Service.
-            key: Names the object.
-            allowed: Regions that may run it; empty for all.
+            key: Key of the object.
+            allowed: Regions that may serve it; empty for all.
             now: Monotonic time, in seconds.
         """
-        if self._generation != self.registry.generation or len(self._kept) > RANKINGS_KEPT:
+        if (
+            self._generation != self.registry.generation
+            or len(self._rankings) > MAX_CACHED_RANKINGS
+        ):
             self._generation = self.registry.generation
-            self._kept.clear()
+            self._rankings.clear()
         block = block_key(key, service)
         region = self.shares.shares(service, now).region_at(block)
         at = (service, key, f"{region}|{'|'.join(allowed)}")
-        ranking = self._kept.get(at)
+        ranking = self._rankings.get(at)
         if ranking is None:
-            ranking = self._kept[at] = self._rank(service, block, region, allowed)
+            ranking = self._rankings[at] = self._rank(service, block, region, allowed)
         return ranking
 
     def _rank(self, service: str, block: bytes, region: str, allowed: tuple[str, ...]) -> Ranking:
--- a/sprucewinch/gateway/requests/client_request.py
+++ b/sprucewinch/gateway/requests/client_request.py
@@ -79,8 +79,8 @@
         on_trial: True when it is sent although equal ones have crashed servers.
         api_key: Digest of its caller's API key; None when it has none.
         caller: Its workspace, and what it took of that one's limit.
-        ahead: Steps by which its workspace is ahead of its share; 0 for not at all.
-        vain_asks: Servers with a limit that had nothing left for it.
+        steps_over_share: Steps by which its workspace is above its fair share; 0 for not at all.
+        denied_grants: Number of rate-limited servers that had no grant left for it.
     """
 
     id: str
@@ -101,8 +101,8 @@
     on_trial: bool = False
     api_key: Optional[bytes] = None
     caller: CallerRequest = CallerRequest()
-    ahead: int = 0
-    vain_asks: int = 0
+    steps_over_share: int = 0
+    denied_grants: int = 0
 
     def tried_servers(self) -> set[str]:
         """Return the backend servers that were tried."""
@@ -236,13 +236,13 @@
     """Why a server is selected."""
 
     FIRST_CHOICE = "first-choice"
-    """It is the object's first server."""
+    """It is the first server of the object's ranking."""
     FIRST_USABLE = "first-usable"
-    """The servers before it were tried or cannot be used."""
+    """The servers before it were tried or are not usable."""
     HELPS_FULL = "helps-full"
-    """The server before it has no room."""
+    """The server before it has no room, so the request spills over to this one."""
     SHARES_BUSY = "shares-busy"
-    """The server before it, of the same region, has no free slot."""
+    """The server before it, of the same region, has no free slot, and this one answers sooner."""
 
 
 class Selection(NamedTuple):
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -179,7 +179,7 @@
             service = self.splits.service(route, request.key or request.id)
             self.budgets.of(service).arrived(now)
             fair_order = self.fair_orders.setdefault(service, FairOrder())
-            request.ahead = fair_order.arrived(request.caller.workspace, now)
+            request.steps_over_share = fair_order.arrived(request.caller.workspace, now)
         elif service not in {part.service for part in route.parts}:
             service = self.splits.service(route, request.key)
         return service
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -1,4 +1,4 @@
-"""Rules of a request: its body, its server, its room, its time, its retries, its final answer."""
+"""Rules for one request: body, server selection, room, time left, retries and final answer."""
 
 import itertools
 import random
@@ -236,12 +236,12 @@
     def _choose(
         self, *loads: int, tried: int = 0, warm: int = 0, halls: tuple[str, ...] = ("east-a",)
     ) -> tuple[int, Union[SelectionReason, BlockedReason]]:
-        """Return the place of the selected server in the ranking, or -1, and the reason.
+        """Return the index of the selected server in the ranking, or -1, and the reason.
 
         Args:
             *loads: Requests that each server holds, in the order of the ranking.
-            tried: How many servers could not be reached before.
-            warm: Place of the server that got the object lately.
+            tried: Number of servers that could not be reached before.
+            warm: Index of the server that was sent the object recently.
             halls: Data halls of the servers, in turn.
         """
 
--- a/tests/test_gateway_server_selection.py
+++ b/tests/test_gateway_server_selection.py
@@ -1,4 +1,4 @@
-"""Choice of a server under load and beside silent ones."""
+"""Selection of a backend server under load, and beside servers that do not answer."""
 
 import asyncio
 import unittest
@@ -58,7 +58,7 @@
         """Return how many of 20 requests about one object run on its servers, in their order.
 
         Args:
-            busy: Requests that each other server holds already.
+            busy: Requests that each of the other servers holds already.
         """
 
         async def main(loop: VirtualLoop) -> list[int]:
@@ -225,7 +225,10 @@
         run_virtual(main)
 
     async def _six_run_and_six_wait(self, path: Path) -> list[asyncio.Task]:
-        """Send a server of six slots six requests that end one by one, then six 3 ms apart."""
+        """Send a server of six slots six requests that end one by one, then six that wait there.
+
+        The requests that wait are sent 3 ms apart.
+        """
         path.world.configure(route(latency_target_s=4.0))
         server = path.first()
         server.work_s = 0.3
@@ -262,7 +265,7 @@
 
 
 class QueuesThatFit(unittest.TestCase):
-    """How much may wait at a server depends on what its requests take and may take."""
+    """How many requests queue at a server depends on their latency and on the route's timeout."""
 
     def _runs(self, work_s: float, timeout_s: float) -> tuple[int, set[int]]:
         """Return how many of 12 requests a server of six slots got at once, and all statuses."""
