--- a/sprucewinch/gateway/requests/outcome/__init__.py
+++ b/sprucewinch/gateway/requests/outcome/__init__.py
@@ -1,7 +1,7 @@
-"""How a request ends: whether it is sent again, how long it is held, what its caller gets.
+"""Rules for the end of a request: how long it is held, whether it is retried, what its caller gets.
 
-Owns five rules, one a module: `hold_time`, `time_left`, `retry_decision`, `final_answer`,
-`return_times`. Each does no I/O and takes what it needs as arguments; `return_times` alone holds
-state, when each server's refused callers return. Relies on the request's types; `pipeline` asks the
-rules in that order, `retry_budget` beside it counts retries.
+Each of the five rules has a module: `hold_time`, `time_left`, `retry_decision`, `final_answer` and
+`return_times`. None does I/O; each takes its inputs as arguments. Only `return_times` holds state:
+the times at which the refused callers of each server may retry. The package relies on the types in
+`client_request`. `pipeline` applies the rules in this order, and `retry_budget` counts retries.
 """
--- a/sprucewinch/gateway/requests/outcome/hold_time.py
+++ b/sprucewinch/gateway/requests/outcome/hold_time.py
@@ -1,31 +1,30 @@
-"""Rule: how long a request is held before this VM gives its final answer.
+"""Decides how long a request is held before this VM gives its final answer.
 
-Question: until when may a request wait or be worked on? Inputs: the caller's stated wait as text
-in milliseconds, the arrival in monotonic seconds, the route's time in seconds. Rule: until shortly
-before the caller gives up, and never past the route's time. A request without a readable wait is
-held for a default, and one with too long a wait for the limit, so that a caller cannot hold memory
-without end. Only the caller's own deadline has a margin, for the way back of the answer;
-a route's time is kept to the end.
+A request may wait or be worked on until shortly before its caller gives up, and never past the
+route's timeout. A request without a readable wait is held for a default time, and one with too long
+a wait for the maximum, so that a caller cannot hold memory without end. Only the caller's own
+deadline has a margin, for the answer's transfer; a route's timeout is used in full. The inputs are
+the text of the caller's header (in milliseconds), the arrival (monotonic, in seconds) and the
+route's timeout (in seconds).
 
-Constants: `ANSWER_MARGIN_S`, `DEFAULT_WAIT_S`, `MAX_WAIT_S`, each with its ground below it.
-Shows in: event `request`, `outcome` `timeout` or `no-time` and `ms`; counter
-`requests_with_unreadable_deadline`. Tests: tests/test_gateway_request_rules.py,
-tests/test_gateway_pipeline.py (`Ends`).
+The result is logged in the event `request` as the `outcome` `timeout` or `no-time` and in `ms`; the
+counter `requests_with_unreadable_deadline` counts headers that are not a number. The tests are in
+tests/test_gateway_request_rules.py and tests/test_gateway_pipeline.py (`Ends`).
 
-Requests that are known to be unservable, and what each does today:
+Requests that are known to be unservable are handled as follows:
 
 - No server is allowed (the service has none, the route's regions have none, or all were tried):
   refused at once with `no-server`; it is not held.
-- All servers are cold past this VM's allowance: `server_selection` takes none of them, so it is
-  refused at once with `no-server`; it does not wait until the allowance allows one more.
-- All servers rest, are silent or ejected, and at least one is not cold: the first that is not cold
-  is tried all the same; it is not refused.
-- All servers are cold, and those with an allowance left rest, are silent or ejected: refused at
+- All servers are cold and this VM's allowance for them is used up: `server_selection` takes none of
+  them, so the request is refused at once with `no-server`; it does not wait for the allowance.
+- All servers are backed off, silent or ejected, and at least one is not cold: the first one that is
+  not cold is tried all the same; the request is not refused.
+- All servers are cold, and those with allowance left are backed off, silent or ejected: refused at
   once with `no-server`.
-- The deadline is over, margin included, or less of it is left than any answer of the service takes
-  (`time_left`): refused at once with `no-time`.
-- The server is full and stays full: held for `room.ROOM_WAIT_FRACTION` of the route's latency
-  target at most, then refused with `no-room`.
+- The deadline has passed, margin included, or less time is left than any answer of the service
+  takes (`time_left`): refused at once with `no-time`.
+- The server is full and stays full: held for at most `room.ROOM_WAIT_FRACTION` of the route's
+  latency target, then refused with `no-room`.
 """
 
 import enum
@@ -36,38 +35,38 @@
 from ..client_request import ClientRequest
 
 DEFAULT_WAIT_S = 10.0
-"""Assumed wait of a caller that states none, in seconds."""
+"""Wait that is assumed for a caller that states none."""
 
 MAX_WAIT_S = 300.0
-"""Longest wait that a caller's header may set, in seconds."""
+"""Longest wait that a caller's header may request."""
 
 ANSWER_MARGIN_S = 0.04
-"""How long before a caller leaves it gets its final answer, in seconds: a safety margin for the way
-back."""
+"""Time before a caller's deadline at which it gets its final answer: a margin for the answer's
+transfer."""
 
 MS_PER_S = 1000
-"""Milliseconds in a second: deadlines are stated in milliseconds."""
+"""Milliseconds in a second; deadlines are stated in milliseconds."""
 
 
 class WaitSource(enum.Enum):
-    """Where the length of a caller's wait comes from."""
+    """Source of a caller's wait."""
 
     STATED = "stated"
     """The caller's header."""
     CAPPED = "capped"
-    """The limit: the caller's header asks for more."""
+    """The limit, as the caller's header asks for more."""
     ABSENT = "absent"
-    """The default: there is no header, which is allowed."""
+    """The default, as there is no header, which is allowed."""
     UNREADABLE = "unreadable"
-    """The default: the header is no positive, finite number."""
+    """The default, as the header is not a positive, finite number."""
 
 
 class CallerWait(NamedTuple):
     """How long a caller waits.
 
     Args:
-        seconds: Time from the arrival, in seconds.
-        source: Where it comes from.
+        seconds: Time from the request's arrival, in seconds.
+        source: Source of this time.
     """
 
     seconds: float
@@ -75,10 +74,10 @@
 
 
 def caller_wait(text: Optional[str]) -> CallerWait:
-    """Return how long a caller waits; the source says when a default stands in for its header.
+    """Return how long a caller waits, and whether this is its header or a default.
 
     Args:
-        text: The caller's header, in milliseconds; None or empty when there is none.
+        text: Value of the caller's header, in milliseconds; None or empty when there is none.
     """
     if not text:
         return CallerWait(DEFAULT_WAIT_S, WaitSource.ABSENT)
@@ -94,12 +93,12 @@
 
 
 class HoldBound(enum.Enum):
-    """What bounds the time that a request is held."""
+    """What limits the time for which a request is held."""
 
     CALLER = "caller"
-    """The caller's deadline, less the margin."""
+    """The caller's deadline, minus the margin."""
     ROUTE = "route"
-    """The route's time."""
+    """The route's timeout."""
 
 
 class HoldTime(NamedTuple):
@@ -107,7 +106,7 @@
 
     Args:
         until: Monotonic time, in seconds.
-        bound: What bounds it.
+        bound: What limits it.
     """
 
     until: float
--- a/sprucewinch/gateway/requests/outcome/time_left.py
+++ b/sprucewinch/gateway/requests/outcome/time_left.py
@@ -1,25 +1,27 @@
-"""Rule: whether a request has time left for an answer.
+"""Decides whether a request has enough time left for an answer.
 
-Question: can any server still answer this request in its time? Inputs: until when it is held, now,
-and the least time in which the service answers of late (`servers.capacity.service_times`); all in
-seconds. Rule: it is not sent, and not sent again, when less than that least time is left.
+A request is not sent, and not retried, when the time left until the end of its hold time is shorter
+than the shortest recent latency of its service (`servers.capacity.service_times`, which also holds
+the constants). All inputs are in seconds: the end of the hold time, the current time, and that
+latency.
 
-Why so: such a request takes a slot from others, and its caller gets nothing for it but a later
-failure. One that was never sent gets its refusal at once, with the promise that it has not run. The
-least time, not the usual one: most requests with a little less than the usual time still succeed.
+Such a request would take a slot from others, and its caller would only get a failure later. A
+request that was never sent is refused at once, with the promise that it has not run. The limit is
+the shortest latency and not the usual one, as most requests with slightly less than the usual
+latency left still succeed.
 
-Constants: none here; those of the least time are in `servers.capacity.service_times`. Shows in:
-event `request`, `outcome` `no-time` of one that cannot have run, else `timeout`. Tests:
-tests/test_gateway_request_rules.py (`TimeLeft`), tests/test_gateway_service_times.py.
+The refusal is logged in the event `request` with the `outcome` `no-time` when the request cannot
+have run, otherwise `timeout`. The tests are in tests/test_gateway_request_rules.py (`TimeLeft`) and
+tests/test_gateway_service_times.py.
 """
 
 
 def has_time(until: float, now: float, least_s: float) -> bool:
-    """Return whether a request may still be answered in its time.
+    """Return whether a request may still be answered before its hold time ends.
 
     Args:
         until: Monotonic time until which it is held, in seconds.
         now: Monotonic time, in seconds.
-        least_s: Least time of an answer of its service, in seconds; 0 when not known.
+        least_s: Shortest recent latency of its service, in seconds; 0 when not known.
     """
     return now < until and until - now >= least_s
