--- a/sprucewinch/gateway/requests/app.py
+++ b/sprucewinch/gateway/requests/app.py
@@ -185,7 +185,7 @@
         if admission is BodyAdmission.TOO_LARGE:
             return final_answer.refused_for_good(RefusalReason.TOO_LARGE)
         if admission is BodyAdmission.NO_MEMORY:
-            return final_answer.refused_for_memory()
+            return final_answer.refused_for_lack_of_memory()
         return None
 
     async def _run_while_caller_stays(
--- a/sprucewinch/gateway/requests/outcome/final_answer.py
+++ b/sprucewinch/gateway/requests/outcome/final_answer.py
@@ -1,39 +1,41 @@
-"""Rule: what a caller finally gets, and when it may come back.
-
-Question: which status, reason and Retry-After end a request? Inputs: the request with its attempts,
-its route if any, why no server served it, a random source; times in seconds. Rule: a server's own
-answer is passed on, its own failure too once other servers failed as well. Otherwise 503
-with Retry-After promises that the request has not run and never will; as soon as a server may have
-run it, it gets 504 or 502, which promise nothing. A reason stands for one status.
-
-Why so: callers repeat requests that must not run twice after a promise only, so a false promise
-runs them twice. Retry-After is spread at random here, so that callers that are refused together do
-not return together; where a server had no room, `return_times` says when it has.
-
-Constants: `RETRY_AFTER_RANGE_S`, `STARTING_RETRY_AFTER_S`, `NO_MEMORY_RETRY_AFTER_S`, the statuses.
-Shows in: event `request`, `outcome` and `status`; counters `requests_…`. Tests:
-tests/test_gateway_request_rules.py, tests/test_gateway_pipeline.py, tests/test_formats_gateway.py.
-
-Requests that are known to be unservable, and what each gets today:
-
-- No server is allowed, or all servers are cold past this VM's allowance: 503 `no-server` at once,
-  with a Retry-After from the range, which does not look at when the allowance allows one more.
-- All servers take nothing by their own word, as they limit themselves or rest: 503 `no-server` at
-  once, with the time at which the first one takes a request, one caller after the other. Where all
-  leave: 503 `no-server` with a Retry-After from the range, as nobody knows when another comes.
+"""Decides the final answer to a caller, and when the caller may retry.
+
+A server's own answer is forwarded, and so is its own failure once other servers have failed too.
+Otherwise this VM answers. A 503 with Retry-After promises that the request has not run and never
+will; once a server may have run it, the answer is 504 or 502, which promise nothing. Each reason
+has one status. The inputs are the request with its attempts, its route if any, the reason why no
+server served it, and a random source; times are in seconds.
+
+Callers repeat requests that must not run twice only after such a promise, so a false promise would
+run them twice. Retry-After is random, so that callers that are refused together do not retry
+together; where a server had no room, `return_times` computes it.
+
+The answer is logged in the event `request` as `outcome` and `status`, and counted in `requests_…`.
+The tests are in tests/test_gateway_request_rules.py, tests/test_gateway_pipeline.py and
+tests/test_formats_gateway.py.
+
+Requests that are known to be unservable get these answers:
+
+- No server is allowed, or all servers are cold and this VM's allowance for them is used up: 503
+  `no-server` at once, with a Retry-After from the range; it does not take into account when the
+  allowance permits one more.
+- All servers have stated that they accept no requests, by a rate limit or a requested pause: 503
+  `no-server` at once, with the time at which the first one accepts a request, one caller after the
+  other. If all servers are leaving: 503 `no-server` with a Retry-After from the range, as it is not
+  known when another one joins.
 - No server has room: 503 `no-room` after the wait of `room`, with the Retry-After of
-  `return_times`, or from the range where nothing is known of the server's times.
-- The deadline is over, or less of it is left than any answer takes (`time_left`): 503
-  `no-time` at once when nothing was sent, else 504 `timeout` at once.
+  `return_times`, or from the range if the server's latency is not known.
+- The deadline has passed, or less time is left than any answer takes (`time_left`): 503 `no-time`
+  at once if nothing was sent, otherwise 504 `timeout` at once.
 - No configuration yet: 503 `no-configuration` at once, with a fixed Retry-After.
 - Equal requests crash the servers that run them: 503 `crashes-servers` at once, with the time until
-  it is tried again, which may be an hour. True, as this one has not run; longer than callers wait,
-  so that it invites nobody before.
-- Its API key is missing or unknown: 401 `unknown-key` at once, before its body is read; where this
-  VM may not know the newest keys, 503 `behind`.
-- Its workspace has sent as much as it may: 429 `over-quota`, with the time at which one more may be
-  sent. Where no VM that knows can be asked: 503 `no-quota`.
-- Its route and its workspace allow no region in common: 503 `no-region` at once.
+  the next trial, which may be an hour. The promise holds, as this request has not run; the time is
+  longer than callers wait, so it invites no retry before the trial.
+- Its API key is missing or unknown: 401 `unknown-key` at once, before its body is read; if this VM
+  may not have the newest keys, 503 `behind`.
+- Its workspace has used up its quota: 429 `over-quota`, with the time at which one more request may
+  be sent. If no VM that owns the quota can be asked: 503 `no-quota`.
+- Its route and its workspace have no allowed region in common: 503 `no-region` at once.
 - No memory for its body: 503 `no-room` at once, with a fixed Retry-After.
 """
 
@@ -45,25 +47,25 @@
 from ..client_request import Attempt, ClientRequest, RefusalReason, Reply, Verdict
 
 RETRY_AFTER_RANGE_S = (0.25, 0.75)
-"""Range of Retry-After when nothing says when there will be room, in seconds: spread, so that
-callers refused together do not return together, and late enough that there may be room."""
+"""Range of Retry-After when it is not known when there will be room. It is random so that callers
+that are refused together do not retry together, and long enough that there may be room by then."""
 
 STARTING_RETRY_AFTER_S = 0.3
-"""Retry-After of a VM that has no configuration yet, in seconds."""
+"""Retry-After of a VM that has no configuration yet."""
 
 NO_MEMORY_RETRY_AFTER_S = 1.0
-"""Retry-After of a request whose body finds no memory, in seconds."""
+"""Retry-After of a request for whose body there is no memory."""
 
-LEAST_TRIAL_RETRY_AFTER_S = 1.0
-"""Least Retry-After of a request that crashes servers, in seconds: its trial may be due, and wait
+MIN_TRIAL_RETRY_AFTER_S = 1.0
+"""Shortest Retry-After of a request that crashes servers: its trial may be due and still waiting
 for the store."""
 
 _RETRY_AFTER_DIGITS = 3
-"""Decimal places of Retry-After, in seconds: a millisecond."""
+"""Decimal places of Retry-After, which is in seconds: milliseconds."""
 
 SERVICE_UNAVAILABLE = 503
-"""HTTP status of a refusal that promises that the request did not run; set by the HTTP standard and
-by what callers do with it."""
+"""HTTP status of a refusal that promises that the request did not run. The HTTP standard defines
+it, and callers act on it."""
 
 _STATUS = {
     RefusalReason.NO_ROUTE: 404,
@@ -74,11 +76,11 @@
     RefusalReason.TIMEOUT: 504,
     RefusalReason.FAILED: 502,
 }
-"""HTTP status of each reason that is not 503, by the HTTP standard: 502 and 504 promise nothing."""
+"""HTTP status of each reason other than 503, by the HTTP standard; 502 and 504 promise nothing."""
 
 
 def passed_on(attempt: Attempt, route: Route) -> Reply:
-    """Return the reply that passes a server's own answer on."""
+    """Return the reply that forwards a server's own answer."""
     assert attempt.answer is not None
     return Reply(attempt.answer, None, attempt.answer.status, route=route)
 
@@ -88,7 +90,7 @@
 
     Args:
         refusal: Why no server's answer is passed on.
-        rng: Spreads Retry-After; drawn from once for a 503, and not while there is no
+        rng: Source of a random Retry-After; used once for a 503, except while there is no
             configuration.
         route: Route of the request, if any.
     """
@@ -97,8 +99,8 @@
     return Reply(None, refusal, status, retry_after_s, route)
 
 
-def refused_until(refusal: RefusalReason, retry_after_s: float) -> Reply:
-    """Return this VM's own answer to a request that may come back at a known time.
+def refused_with_retry_after(refusal: RefusalReason, retry_after_s: float) -> Reply:
+    """Return this VM's own answer to a request that may be retried at a known time.
 
     Args:
         refusal: Why it is refused.
@@ -109,61 +111,61 @@
 
 
 def refused_for_good(refusal: RefusalReason) -> Reply:
-    """Return the answer to a request that would be refused again: too large, or malformed."""
+    """Return the answer to a request that a retry cannot help: it is too large or malformed."""
     return Reply(None, refusal, _STATUS[refusal])
 
 
-def refused_for_memory() -> Reply:
-    """Return the answer to a request whose body finds no memory."""
+def refused_for_lack_of_memory() -> Reply:
+    """Return the answer to a request for whose body there is no memory."""
     return Reply(None, RefusalReason.NO_ROOM, SERVICE_UNAVAILABLE, NO_MEMORY_RETRY_AFTER_S)
 
 
 def not_served(
     request: ClientRequest, route: Route, refusal: RefusalReason, rng: random.Random
 ) -> Reply:
-    """Return the final answer of a request that is not sent any more; never a false promise.
+    """Return the final answer of a request that is not sent again; it never promises too much.
 
     Args:
         request: The request.
         route: Its route.
         refusal: Why it is not sent.
-        rng: Spreads Retry-After.
+        rng: Source of a random Retry-After.
     """
     for attempt in request.attempts:
         if attempt.verdict is Verdict.ANSWERED:
             return passed_on(attempt, route)
-    return refused(_true_reason(request, refusal), rng, route)
+    return refused(_certain_reason(request, refusal), rng, route)
 
 
 def without_route(request: ClientRequest, refusal: RefusalReason, rng: random.Random) -> Reply:
-    """Return the final answer of a request whose route or workspace is there no longer.
+    """Return the final answer of a request whose route or workspace no longer exists.
 
     Args:
         request: The request.
         refusal: Why it is not sent.
-        rng: Spreads Retry-After.
+        rng: Source of a random Retry-After.
     """
-    return refused(_true_reason(request, refusal), rng)
+    return refused(_certain_reason(request, refusal), rng)
 
 
 def trial_in_s(held: Held, now: float) -> float:
-    """Return Retry-After of a request that crashes servers, in seconds: when it is tried again.
+    """Return the Retry-After of a request that crashes servers, in seconds: when its trial is due.
 
     Args:
-        held: Why it is refused.
+        held: Its quarantine.
         now: Monotonic time, in seconds.
     """
-    return round(max(LEAST_TRIAL_RETRY_AFTER_S, held.retry_after_s(now)), 1)
+    return round(max(MIN_TRIAL_RETRY_AFTER_S, held.retry_after_s(now)), 1)
 
 
 def stopped(request: ClientRequest, rng: random.Random) -> Reply:
-    """Return the final answer of a request that is given up because the process ends."""
+    """Return the final answer of a request that is abandoned because the process ends."""
     may_run = request.at_server or request.possible_runs()
     return refused(RefusalReason.FAILED if may_run else RefusalReason.STOPPING, rng)
 
 
-def _true_reason(request: ClientRequest, refusal: RefusalReason) -> RefusalReason:
-    """Return a reason whose status promises no more than is certain."""
+def _certain_reason(request: ClientRequest, refusal: RefusalReason) -> RefusalReason:
+    """Return the reason for the refusal whose status promises no more than is certain."""
     timed_out = refusal in (RefusalReason.TIMEOUT, RefusalReason.NO_TIME)
     if request.possible_runs():
         return RefusalReason.TIMEOUT if timed_out else RefusalReason.FAILED
--- a/sprucewinch/gateway/requests/outcome/return_times.py
+++ b/sprucewinch/gateway/requests/outcome/return_times.py
@@ -1,16 +1,16 @@
-"""Rule: when a caller that met no room may return.
+"""Decides the Retry-After of a caller that was refused because a server had no room.
 
-Question: what does the Retry-After of a refused request say? Inputs: the server that had no room,
-this VM's concurrency limit there, the recent mean time of a request there in seconds, the refusals
-before this one. Rule: limit divided by time is the rate at which the server frees room for this VM;
-each refused caller gets the next moment at that rate, in the order of the refusals, at least
-`LEAST_RETURN_S` and at most `MOST_RETURN_S` from now. Nothing is said of a server whose times are
-not known; then the range of `final_answer` holds.
+The server's concurrency limit at this VM, divided by the recent mean latency there in seconds, is
+the rate at which the server frees slots for this VM. Each refused caller gets the next time at that
+rate, in the order of the refusals, between `MIN_RETRY_AFTER_S` and `MAX_RETRY_AFTER_S` from now.
+The inputs are the server that had no room, this limit and this latency, and the refusals before
+this one. For a server whose latency is not known the range of `final_answer` applies.
 
-Why so: one time for all brings them back together, and a random one is later than needed for most
-and too soon for the last. The own interface has the same schedule (`sprucewinch.retry`).
+One time for all callers would bring them back together, and a random time is later than needed for
+most and too early for the last ones. The interface of the data halls uses the same schedule
+(`sprucewinch.retry`).
 
-Constants: `LEAST_RETURN_S`, `MOST_RETURN_S`. Shows in: the header; no line. Tests:
+The result is seen only in the response header and is not logged. The tests are in
 tests/test_gateway_return_times.py.
 """
 
@@ -21,66 +21,65 @@
 from ...servers.backend_registry import BackendRegistry
 from .hold_time import MS_PER_S
 
-LEAST_RETURN_S = 0.1
-"""Shortest time until a refused caller returns, in seconds, and the spread of each return. That of
-the own interface."""
+MIN_RETRY_AFTER_S = 0.1
+"""Shortest Retry-After, and the jitter of each one; the data halls' own interface uses the same."""
 
-MOST_RETURN_S = 1.0
-"""Longest time until a refused caller returns, in seconds: callers wait a third of their time at
-most, so a later moment would be lost on them."""
+MAX_RETRY_AFTER_S = 1.0
+"""Longest Retry-After. Callers wait for at most a third of their deadline, so a later time would be
+of no use to them."""
 
-UNKNOWN_RATE_PER_S = 20.0
-"""Rate at which callers return after all servers took nothing, in requests a second: one after the
-other, and soon enough that what the servers take then is used."""
+RECOVERY_RATE_PER_S = 20.0
+"""Rate at which callers are told to retry once a server accepts requests again: spread out, and
+high enough that the servers' capacity is then used."""
 
 
 class ReturnTimes:
-    """Gives callers refused for one server the moments at which it frees room.
+    """Computes the Retry-After of callers that are refused.
 
     Args:
         registry: Backend servers.
-        rng: Spreads the returns.
+        rng: Source of the jitter.
     """
 
     def __init__(self, registry: BackendRegistry, rng: random.Random) -> None:
         self.registry = registry
         self.rng = rng
         self.schedules: dict[str, ReturnSchedule] = {}
-        self._routes: dict[str, ReturnSchedule] = {}
+        self._schedules_by_route: dict[str, ReturnSchedule] = {}
         self._generation = -1
 
     def retry_after_s(self, server_id: str, now: float) -> Optional[float]:
-        """Return when the next caller refused for a server may return; None when not known.
+        """Return when the next caller that found no room at a server may retry.
 
         Args:
             server_id: The server that had no room.
             now: Monotonic time, in seconds.
 
         Returns:
-            Time from now, in seconds.
+            Time from now, in seconds; None when the server's latency is not known.
         """
-        self._drop_gone()
+        self._drop_unregistered()
         server = self.registry.servers.get(server_id)
         if server is None or not server.latency_s:
             return None
         rate_per_s = max(1, int(server.concurrency_limit)) / server.latency_s
         return self._schedule(server_id).retry_after_ms(now, rate_per_s) / MS_PER_S
 
-    def after_s(self, route: str, until: float, now: float) -> float:
-        """Return when the next caller may return that was refused as no server takes requests.
+    def retry_after_recovery_s(self, route: str, until: float, now: float) -> float:
+        """Return when the next caller may retry that was refused as no server accepts requests.
 
         Args:
             route: Name of its route.
-            until: Monotonic time at which the first server takes one again, in seconds.
+            until: Monotonic time at which the first server accepts requests again, in seconds.
             now: Monotonic time, in seconds.
 
         Returns:
             Time from now, in seconds.
         """
-        schedule = self._routes.get(route)
+        schedule = self._schedules_by_route.get(route)
         if schedule is None:
-            schedule = self._routes[route] = self._new_schedule()
-        wait_s = schedule.retry_after_ms(now, UNKNOWN_RATE_PER_S) / MS_PER_S
+            schedule = self._schedules_by_route[route] = self._new_schedule()
+        wait_s = schedule.retry_after_ms(now, RECOVERY_RATE_PER_S) / MS_PER_S
         return max(until - now, 0.0) + wait_s
 
     def _schedule(self, server_id: str) -> ReturnSchedule:
@@ -91,13 +90,13 @@
 
     def _new_schedule(self) -> ReturnSchedule:
         return ReturnSchedule(
-            self.rng, least_ms=LEAST_RETURN_S * MS_PER_S, most_ms=MOST_RETURN_S * MS_PER_S
+            self.rng, least_ms=MIN_RETRY_AFTER_S * MS_PER_S, most_ms=MAX_RETRY_AFTER_S * MS_PER_S
         )
 
-    def _drop_gone(self) -> None:
-        """Drop the schedules of servers that are gone, so that memory is bounded."""
+    def _drop_unregistered(self) -> None:
+        """Drop the schedules of servers that are no longer registered, to bound memory."""
         if self._generation != self.registry.generation:
             self._generation = self.registry.generation
             held = self.registry.servers
-            self._routes.clear()
+            self._schedules_by_route.clear()
             self.schedules = {name: s for name, s in self.schedules.items() if name in held}
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -1,13 +1,17 @@
-"""The order of a request's steps: key, quota; route, quarantine, split, time, select, send, retry.
-
-Owns the order and the state that steps share: split balances, retry budgets, workspaces' turns. Key
-and quota come once, before the body is read (`admit`), the others in `run`. Each rule is a module
-of its own: `workspaces.key_table`, `quotas.quotas`; `routes_in_force`, `crashes.quarantine`,
-`split`, `outcome.hold_time`, `outcome.time_left`, `choice.server_choice`,
-`outcome.retry_decision`, `retry_budget`, `outcome.final_answer`, `outcome.return_times`. A request
-that waited for room, whose server had nothing left of its limit or left while its connection came
-up, or whose attempt brought no answer, passes all steps again, so that it meets the newest
-configuration, servers and quarantine. Relies on the rules, the registry and the sender.
+"""Runs the steps of a request in order, from its API key to its final answer.
+
+The steps are key and quota; then route, quarantine, split, time left, server selection, sending and
+retry. Key and quota are checked once, before the body is read (`admit`), the others in `run`. The
+module owns this order and the state that steps share: split balances, retry budgets and the
+workspaces' fair order. Each rule has a module of its own: `workspaces.key_table`, `quotas.quotas`,
+`routes_in_force`, `crashes.quarantine`, `split`, `outcome.hold_time`, `outcome.time_left`,
+`choice.server_choice`, `outcome.retry_decision`, `retry_budget`, `outcome.final_answer` and
+`outcome.return_times`.
+
+A request starts again from the first step of `run` if it waited for room, if its server had nothing
+left of its rate limit or left while the connection was established, or if its attempt brought no
+answer. It then uses the current configuration, servers and quarantine. The module relies on the
+rules, the registry and the sender.
 """
 
 from typing import Optional
@@ -39,25 +43,25 @@
     KeyProblem.UNKNOWN: RefusalReason.UNKNOWN_KEY,
     KeyProblem.BEHIND: RefusalReason.BEHIND,
 }
-"""What callers get whose key is not accepted."""
+"""Refusal for each reason why an API key is not accepted."""
 
 _QUOTA_REFUSALS = {
     QuotaEnd.OVER: RefusalReason.OVER_QUOTA,
     QuotaEnd.UNKNOWN: RefusalReason.NO_QUOTA,
 }
-"""What callers get whose workspace may not send one more request."""
+"""Refusal for each reason why a workspace may not send another request."""
 
 
 class Pipeline:
     """Runs requests.
 
     Args:
-        store_view: What this VM holds of the store.
+        store_view: This VM's view of the store.
         registry: Backend servers.
-        choice: Chooses the servers of requests.
-        sender: Sends requests.
-        admission: Admits requests by key and by quota.
-        bounds: The fleet's figures.
+        choice: Chooses the backend servers of requests.
+        sender: Sends requests to backend servers.
+        admission: Admits requests by API key and by quota.
+        bounds: Limits of the fleet, from the settings.
         timing: Sources of time and randomness.
     """
 
@@ -87,15 +91,15 @@
         self.routes = RoutesInForce(store_view, admission)
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Use other figures of the fleet from now on; retries and requests stay counted."""
+        """Apply new limits of the fleet; counted retries and requests are kept."""
         self.admission.set_bounds(bounds)
         self.budgets.set_bounds(bounds)
 
     async def admit(self, request: ClientRequest) -> Optional[Reply]:
-        """Return the answer to a request that is refused by what its head says, else None.
+        """Return the answer to a request that is refused by its head; None when it is admitted.
 
-        An admitted request holds its workspace, whose name goes to the backend server, and what it
-        took of that one's limit; `settle` gives that back where no server has run it.
+        An admitted request stores its workspace, whose name is sent to the backend server, and the
+        quota that it took; `settle` returns that quota if no server has run the request.
 
         Args:
             request: The request, without its body.
@@ -112,13 +116,15 @@
         quota = await self.admission.take_quota(caller.workspace)
         if quota.end is not QuotaEnd.ADMITTED:
             reason = _QUOTA_REFUSALS[quota.end]
-            return final_answer.refused_until(reason, quota.retry_after_s)._replace(route=route)
+            return final_answer.refused_with_retry_after(reason, quota.retry_after_s)._replace(
+                route=route
+            )
         request.caller = CallerRequest(caller.workspace, quota)
         request.headers += ((self.sender.names.workspace, caller.workspace.name),)
         return None
 
     def settle(self, request: ClientRequest) -> None:
-        """Give back what a request took of its workspace's limit, where no server has run it."""
+        """Return the quota that a request took from its workspace, if no server has run it."""
         if not request.at_server and not request.possible_runs():
             self.admission.give_back(request.caller)
 
@@ -151,15 +157,15 @@
             return self._not_served(request, route, decision.refusal)
 
     def stop_reply(self, request: ClientRequest) -> Reply:
-        """Return the final answer of a request that is given up because the process ends."""
+        """Return the final answer of a request that is abandoned because the process ends."""
         return final_answer.stopped(request, self.rng)
 
     def arrivals_per_s(self, service: str, now: float) -> float:
-        """Return the requests a second that callers send here for a service."""
+        """Return the rate of callers' requests for a service at this VM, in requests a second."""
         return self.budgets.requests_per_s(service, now)
 
     async def _held(self, request: ClientRequest) -> Optional[Held]:
-        """Return why a request is refused as one that crashes servers; None when it may be sent."""
+        """Return the quarantine that a request is refused for; None when it may be sent."""
         held = self.quarantine.refusal(request)
         if held is None or not held.trial_is_due(self.monotonic()):
             return held
@@ -167,14 +173,14 @@
         return None if request.on_trial else held
 
     def _held_back(self, request: ClientRequest, route: Route, held: Held) -> Reply:
-        """Return the answer to a request that is refused as one that crashes servers."""
+        """Return the answer to a request that is refused because it crashes servers."""
         reply = self._not_served(request, route, RefusalReason.CRASHES_SERVERS)
         if reply.refusal is not RefusalReason.CRASHES_SERVERS:
             return reply
         return reply._replace(retry_after_s=final_answer.trial_in_s(held, self.monotonic()))
 
     def _service(self, request: ClientRequest, route: Route, service: str, now: float) -> str:
-        """Return the service that handles a request: drawn anew when its route has it no longer."""
+        """Return the service of a request, chosen again if its route no longer has that service."""
         if not service:
             service = self.splits.service(route, request.key or request.id)
             self.budgets.of(service).arrived(now)
@@ -187,7 +193,7 @@
     async def _send(
         self, request: ClientRequest, route: Route, selection: Selection, until: float
     ) -> Attempt:
-        """Send a request, on a new connection where a stale one could cost it a run."""
+        """Send a request, on a new connection where a stale one could use up one of its runs."""
         rest_s = most_rest_s(request, route)
         attempt = await self.sender.send(request, selection, until, most_rest_s=rest_s)
         request.attempts.append(attempt)
@@ -196,7 +202,7 @@
     def _decide_retry(
         self, request: ClientRequest, route: Route, service: str, attempt: Attempt
     ) -> RetryDecision:
-        """Decide on a retry, and take it from the budget of the service."""
+        """Decide whether a request is retried, and take the retry from the service's budget."""
         decision = self._after_crash(request, attempt) or decide_retry(request, route, attempt)
         if not decision.costs_retry:
             return decision
@@ -217,5 +223,7 @@
         if reply.refusal is RefusalReason.NO_ROOM:
             known_s = self.return_times.retry_after_s(request.blocked.server_id, self.monotonic())
         elif reply.refusal is RefusalReason.NO_SERVER and request.blocked.until is not None:
-            known_s = self.return_times.after_s(route.name, request.blocked.until, self.monotonic())
+            known_s = self.return_times.retry_after_recovery_s(
+                route.name, request.blocked.until, self.monotonic()
+            )
         return reply if known_s is None else reply._replace(retry_after_s=known_s)
--- a/sprucewinch/gateway/requests/retry_budget.py
+++ b/sprucewinch/gateway/requests/retry_budget.py
@@ -1,80 +1,81 @@
-"""Rule: how many retries of a service this VM may send, so that the fleet keeps its limit.
-
-Question: may this VM send one more retry? Inputs: this VM's counts of requests and retries over the
-window in seconds, the fleet's ratio and slack, the number of VMs. Rule: a VM spends at most the
-ratio of its own requests and its part of the slack. The sum over all VMs stays under the fleet's
-limit without any exchange between them; only the number of VMs enters, and it is too high rather
-than too low.
-
-Why so: a budget that VMs would have to agree on would fail when they cannot reach each other, which
-is when retries are many. The two windows differ so that what is counted at callers here and at
-backend servers elsewhere cannot break the limit at their edges.
-
-Constants: `SAFETY_PART`, `REQUEST_WINDOW_PART`, `RETRY_WINDOW_PART`; ratio, slack and window come
-from the settings (`Bounds`). Shows in: event `request`, `sends`; counters `repeats_after_…`. Tests:
-tests/test_gateway_pipeline.py (`Repeats`, `OwnFailures`).
+"""Limits the retries of each service that this VM may send, so that the fleet keeps its limit.
+
+The inputs are this VM's counts of requests and retries over the window (in seconds), the fleet's
+retry ratio and slack, and the number of VMs. A VM may send retries up to the ratio of its own
+requests plus its share of the slack. The sum over all VMs then stays below the fleet's limit
+without any exchange between them: only the number of VMs matters, and it is overestimated rather
+than underestimated.
+
+A budget that VMs have to agree on would fail when they cannot reach each other, which is when
+retries are frequent. Requests and retries are counted over different windows, so that differences
+between counts taken at callers here and at backend servers elsewhere cannot break the limit at the
+windows' edges.
+
+Ratio, slack and window come from the settings (`Bounds`). Retries are logged in `sends` of the
+event `request` and counted in `repeats_after_…`. The tests are in tests/test_gateway_pipeline.py
+(`Repeats`, `OwnFailures`) and tests/test_gateway_retry_budget.py.
 """
 
 from ..settings import Bounds
 from .sliding_count import SlidingCount
 
-SAFETY_PART = 0.75
-"""Part of the limit that is used: a margin for counts of callers and of backend servers, which
-differ at the windows' edges."""
+SAFETY_FACTOR = 0.75
+"""Fraction of the limit that is used. The margin covers counts taken at callers and at backend
+servers, which differ at the windows' edges."""
 
-REQUEST_WINDOW_PART = 0.9
-"""Part of the limit's window over which requests are counted: a margin for requests that fall out
-of a window elsewhere first."""
+REQUEST_WINDOW_FACTOR = 0.9
+"""Fraction of the limit's window over which requests are counted, as requests may drop out of the
+window earlier elsewhere."""
 
-RETRY_WINDOW_PART = 1.1
-"""Part of the limit's window over which retries are counted: a margin for retries that fall out of
-a window elsewhere last."""
+RETRY_WINDOW_FACTOR = 1.1
+"""Multiple of the limit's window over which retries are counted, as retries may drop out of the
+window later elsewhere."""
 
 
 class WindowRetryBudget:
-    """Retries of one service at this VM.
+    """The retry budget of one service at this VM.
 
     Args:
-        bounds: The fleet's figures.
+        bounds: Limits of the fleet, from the settings.
     """
 
     __slots__ = ("bounds", "requests", "retries")
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
-        self.requests = SlidingCount(bounds.retry_window_s * REQUEST_WINDOW_PART)
-        self.retries = SlidingCount(bounds.retry_window_s * RETRY_WINDOW_PART)
+        self.requests = SlidingCount(bounds.retry_window_s * REQUEST_WINDOW_FACTOR)
+        self.retries = SlidingCount(bounds.retry_window_s * RETRY_WINDOW_FACTOR)
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Use other figures from now on; what is counted stays, so no reload gives a second budget.
+        """Apply new limits; the counts are kept, so that a reload does not grant a second budget.
 
         Args:
-            bounds: The fleet's figures.
+            bounds: Limits of the fleet, from the settings.
         """
         self.bounds = bounds
-        self.requests.resize(bounds.retry_window_s * REQUEST_WINDOW_PART)
-        self.retries.resize(bounds.retry_window_s * RETRY_WINDOW_PART)
+        self.requests.resize(bounds.retry_window_s * REQUEST_WINDOW_FACTOR)
+        self.retries.resize(bounds.retry_window_s * RETRY_WINDOW_FACTOR)
 
     def arrived(self, now: float) -> None:
         """Count a caller's request."""
         self.requests.add(now)
 
     def requests_per_s(self, now: float) -> float:
-        """Return the requests a second of callers, over the window of the budget."""
+        """Return the rate of callers' requests over the budget's window, in requests a second."""
         return self.requests.count(now) / self.requests.window_s
 
     def take(self, now: float, vm_count: int) -> bool:
-        """Take one retry.
+        """Take one retry from the budget.
 
         Args:
             now: Monotonic time, in seconds.
-            vm_count: How many VMs share the slack.
+            vm_count: Number of VMs that share the slack.
 
         Returns:
-            False when none is left.
+            False when no retry is left.
         """
         slack = self.bounds.retry_slack / max(1, vm_count)
-        allowed = SAFETY_PART * (self.bounds.retry_ratio * self.requests.count(now) + slack)
+        allowed = SAFETY_FACTOR * (self.bounds.retry_ratio * self.requests.count(now) + slack)
         if self.retries.count(now) + 1 > allowed:
             return False
         self.retries.add(now)
@@ -82,10 +83,10 @@
 
 
 class RetryBudgets:
-    """The budgets of all services at this VM.
+    """The retry budgets of all services at this VM.
 
     Args:
-        bounds: The fleet's figures.
+        bounds: Limits of the fleet, from the settings.
     """
 
     __slots__ = ("_by_service", "bounds")
@@ -95,19 +96,19 @@
         self._by_service: dict[str, WindowRetryBudget] = {}
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Use other figures from now on; see `WindowRetryBudget.set_bounds`."""
+        """Apply new limits; see `WindowRetryBudget.set_bounds`."""
         self.bounds = bounds
         for budget in self._by_service.values():
             budget.set_bounds(bounds)
 
     def of(self, service: str) -> WindowRetryBudget:
-        """Return the budget of a service, made at its first request."""
+        """Return the budget of a service, which is created on its first request."""
         budget = self._by_service.get(service)
         if budget is None:
             budget = self._by_service[service] = WindowRetryBudget(self.bounds)
         return budget
 
     def requests_per_s(self, service: str, now: float) -> float:
-        """Return the requests a second that callers send here for a service."""
+        """Return the rate of callers' requests for a service, in requests a second."""
         budget = self._by_service.get(service)
         return budget.requests_per_s(now) if budget else 0.0
--- a/sprucewinch/gateway/requests/sliding_count.py
+++ b/sprucewinch/gateway/requests/sliding_count.py
@@ -1,17 +1,17 @@
-"""Counts over a sliding window of time.
+"""Counts events over a sliding window of time.
 
-Owns a count in buckets, so that its memory depends on the window's length and not on the number of
-events. Relies on nothing; the caller gives the time.
+The counter uses buckets, so its memory depends on the window's length and not on the number of
+events. It relies on no other module and reads no clock: callers pass the monotonic time in seconds.
 """
 
 from collections import deque
 
 BUCKET_S = 0.25
-"""Length of a bucket, in seconds; an event counts for up to this much longer than the window."""
+"""Default length of a bucket; an event counts for up to this much longer than the window."""
 
 
 class SlidingCount:
-    """Counts events within a window, in small buckets.
+    """Counts events within a sliding window, in small buckets.
 
     Args:
         window_s: Length of the window, in seconds.
@@ -27,7 +27,7 @@
         self._buckets: deque[list[float]] = deque()
 
     def resize(self, window_s: float) -> None:
-        """Count over a window of another length from now on; dropped events do not come back.
+        """Change the window's length; events that were dropped before are not restored.
 
         Args:
             window_s: Length of the window, in seconds.
--- a/tests/test_gateway_retry_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -12,7 +12,7 @@
 
 
 def _taken(budget: WindowRetryBudget, now: float, vm_count: int = 1) -> int:
-    """Take retries until none is left; returns how many there were."""
+    """Take retries until none is left, and return their number."""
     return next(taken for taken in range(_MANY) if not budget.take(now, vm_count))
 
 
--- a/tests/test_gateway_return_times.py
+++ b/tests/test_gateway_return_times.py
@@ -1,4 +1,4 @@
-"""When callers that met no room are told to return."""
+"""Retry-After of callers that were refused because a server had no room."""
 
 import random
 import unittest
@@ -8,8 +8,8 @@
 
 from sprucewinch.gateway.requests.client_request import RefusalReason
 from sprucewinch.gateway.requests.outcome.return_times import (
-    LEAST_RETURN_S,
-    MOST_RETURN_S,
+    MAX_RETRY_AFTER_S,
+    MIN_RETRY_AFTER_S,
     ReturnTimes,
 )
 from standins.virtual import VirtualLoop, run_virtual
@@ -34,7 +34,7 @@
 
         returns = run_virtual(main)
         least, most = min(returns), max(returns)
-        self.assertTrue(LEAST_RETURN_S <= least <= most <= MOST_RETURN_S + LEAST_RETURN_S)
+        self.assertTrue(MIN_RETRY_AFTER_S <= least <= most <= MAX_RETRY_AFTER_S + MIN_RETRY_AFTER_S)
         room_per_s = 6 / latency_s
         for end in (0.3, 0.5):
             back = sum(after_s < end for after_s in returns)
@@ -72,7 +72,7 @@
             server.record_load(14, 0, loop.time())
             reply = await path.pipeline.run(path.request("q"))
             self.assertIs(reply.refusal, RefusalReason.NO_ROOM)
-            self.assertLessEqual(reply.retry_after_s, 2 * LEAST_RETURN_S)
+            self.assertLessEqual(reply.retry_after_s, 2 * MIN_RETRY_AFTER_S)
 
         run_virtual(main)
 
