--- a/sprucewinch/gateway/requests/client_request.py
+++ b/sprucewinch/gateway/requests/client_request.py
@@ -1,8 +1,9 @@
-"""The data of a caller's request: its attempts, its selection and its reply.
+"""Data types of a request: the request, its attempts, its selected server and its reply.
 
-Owns the types that the steps of a request share: the request, its attempts with their verdicts, why
-it is blocked or refused, its selection and its reply. Relies on the resources and on what is known
-of a backend server. Holds no rule; each rule has a module of its own.
+These are the types that the steps of a request share: the request itself, its attempts with their
+verdicts, the reasons why it is blocked or refused, the selected server and the reply. The module
+relies on the resources and on the state of a backend server. It decides nothing; each rule has a
+module of its own.
 """
 
 import enum
@@ -17,70 +18,71 @@
 from ..workspaces.admission import CallerRequest
 
 TIMED_OUT = "timeout"
-"""Cause of an attempt that ended at the time until which its request is held."""
+"""Cause of an attempt that was still running at the end of its request's hold time."""
 
 ANSWERED = "answered"
-"""Cause of an attempt that ran and brought the server's own answer."""
+"""Cause of an attempt that returned the server's own answer."""
 
 MISDIRECTED = "misdirected"
-"""Cause of an attempt whose address now belongs to another server."""
+"""Cause of an attempt at an address that now belongs to another server."""
 
 SHED = "shed"
-"""Start of the cause of an attempt that its server refused to run; its status follows."""
+"""Prefix of the cause of an attempt that its server refused to run; the HTTP status follows."""
 
 UNREACHABLE = "unreachable"
 """Cause of an attempt whose server could not be reached."""
 
 NOT_OFFERED = "not-offered"
-"""Cause of an attempt whose server was no longer offered once its connection had come up."""
+"""Cause of an attempt whose server was no longer available once its connection was established."""
 
 QUARANTINED = "quarantined"
-"""Cause of an attempt whose request was known to crash servers once its connection had come up."""
+"""Cause of an attempt whose request was known to crash servers once its connection was
+established."""
 
 ENDED = "the connection ended"
-"""Cause of an attempt whose connection ended before the whole answer, but for a crash."""
+"""Cause of an attempt whose connection ended before the whole answer, unless the server crashed."""
 
 CRASHED = "server-crashed"
-"""Cause of an attempt whose connection ended because its server's process did."""
+"""Cause of an attempt whose connection ended because its server's process crashed."""
 
 RESTARTED = "server-restarted"
-"""Cause of an attempt whose server's process ended before it answered."""
+"""Cause of an attempt whose server's process was replaced by a new one before it answered."""
 
 _LOAD_DIGITS = 1
-"""Digits after the point of loads and limits in a request's line: enough to compare them."""
+"""Decimal places of loads and limits in a request's log line, which are enough to compare them."""
 
 _AGE_DIGITS = 3
-"""Digits after the point of ages in a request's line: milliseconds."""
+"""Decimal places of ages in a request's log line: milliseconds."""
 
-_LONGEST_AGE_S = 1e6
-"""Age in a request's line, in seconds, of a load that was never reported: JSON has no infinity."""
+_MAX_AGE_S = 1e6
+"""Age in a request's log line of a load that was never reported, as JSON has no infinity."""
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request of a caller, read whole.
+    """One request of a caller, including its whole body.
 
     Args:
-        id: Names the request.
+        id: Id of the request, from the caller's header; empty when there is none.
         method: HTTP method.
         host: Value of the `Host` header.
         path: Path without the query.
         target: Path and query as they were sent.
-        headers: Headers that are passed on, names in lower case.
+        headers: Headers that are forwarded, names in lower case.
         body: The whole body.
         arrived_at: Monotonic time of arrival, in seconds.
         deadline: Monotonic time until which the caller waits, in seconds.
-        key: Names the object that it concerns; empty when it names none.
+        key: Key of the object that it concerns; empty when there is none.
         attempts: Its attempts so far.
-        blocked: Why no server could be selected, the last time that this happened; None if never.
-        at_server: True while a backend server may work on it.
+        blocked: Why no server could be selected the last time that this happened; None if never.
+        at_server: True while a backend server may be working on it.
         target_hash: See `crashes.fingerprint`; None until it is needed.
-        fingerprint: What names it and all equal requests; None until it is needed.
-        on_trial: True when it is sent although equal ones have crashed servers.
+        fingerprint: Fingerprint of this and all equal requests; None until it is needed.
+        on_trial: True when it is sent although equal requests have crashed servers.
         api_key: Digest of its caller's API key; None when it has none.
-        caller: Its workspace, and what it took of that one's limit.
+        caller: Its workspace, and the quota that it took from it.
         steps_over_share: Steps by which its workspace is above its fair share; 0 for not at all.
-        denied_grants: Number of rate-limited servers that had no grant left for it.
+        denied_grants: Number of rate-limited servers that denied it a grant.
     """
 
     id: str
@@ -105,11 +107,11 @@
     denied_grants: int = 0
 
     def tried_servers(self) -> set[str]:
-        """Return the backend servers that were tried."""
+        """Return the ids of the backend servers that were tried."""
         return {attempt.server_id for attempt in self.attempts}
 
     def possible_runs(self) -> int:
-        """Return on how many backend servers it may have run."""
+        """Return the number of backend servers on which it may have run."""
         return sum(attempt.verdict is not Verdict.NOT_RUN for attempt in self.attempts)
 
 
@@ -119,26 +121,26 @@
     NO_SERVER = "no-server"
     """No server is allowed, untried and usable."""
     OTHER_WAITS = "other-waits"
-    """A request that is more urgent, or as urgent with an earlier deadline, waits there."""
+    """A more urgent request, or one as urgent with an earlier deadline, waits there."""
     CONCURRENCY_LIMIT = "concurrency-limit"
-    """This VM has as many requests at the server as it may have."""
+    """This VM has reached its concurrency limit at the server."""
     LOAD_LIMIT = "load-limit"
-    """The server holds as many requests as it answers in the route's time."""
+    """The server holds as many requests as it can answer within the route's timeout."""
 
 
 class Blocked(NamedTuple):
     """Why a request was not sent to its first usable server.
 
     Args:
-        server_id: The server; empty when none can be used.
+        server_id: The server; empty when none is usable.
         reason: The rule that decided it; not part of the log line.
-        in_flight: This VM's requests there.
-        concurrency_limit: Most requests that this VM may have there.
-        load: Requests that the server probably holds, of all VMs.
+        in_flight: Number of this VM's requests there.
+        concurrency_limit: Largest number of requests that this VM may have there.
+        load: Estimated number of requests at the server, from all VMs.
         load_age_s: Age of the server's last reported load, in seconds; infinite when it reported
             none.
-        until: Monotonic time until which no server takes a request by its own word, in seconds;
-            None where that is not the reason. Not part of the log line.
+        until: Monotonic time until which all servers have stated that they accept no requests, in
+            seconds; None where that is not the reason. Not part of the log line.
     """
 
     server_id: str
@@ -150,38 +152,38 @@
     until: Optional[float] = None
 
     def log_fields(self) -> dict[str, Union[str, float]]:
-        """Return the fields of a request's line; others read their names, so those stay."""
+        """Return the fields of a request's log line; their names are part of the log format."""
         return {
             "server_id": self.server_id,
             "in_flight": self.in_flight,
             "window": round(self.concurrency_limit, _LOAD_DIGITS),
             "load": round(self.load, _LOAD_DIGITS),
-            "told_s": round(min(self.load_age_s, _LONGEST_AGE_S), _AGE_DIGITS),
+            "told_s": round(min(self.load_age_s, _MAX_AGE_S), _AGE_DIGITS),
         }
 
 
 class Verdict(enum.Enum):
-    """What is certain about one attempt."""
+    """What an attempt proves about whether its request ran."""
 
     ANSWERED = "answered"
-    """The backend server's own whole answer."""
+    """The backend server's own answer arrived whole."""
     NOT_RUN = "not-run"
-    """It did not run and never will."""
+    """The request did not run there and never will."""
     UNKNOWN = "unknown"
-    """It may have run."""
+    """The request may have run there."""
 
 
 class Attempt(NamedTuple):
-    """One try of a request at a backend server.
+    """One attempt to have a request served by a backend server.
 
     Args:
-        server_id: Backend server.
-        verdict: What is certain about it.
+        server_id: Id of the backend server.
+        verdict: What the attempt proves about whether the request ran.
         arrived: True when a byte of the request may have reached the server.
         why: Cause of the verdict, for the log.
-        answer: The whole answer, when there is one.
-        seconds: How long it took.
-        statement: What its answer states of the server.
+        answer: The whole answer; None when there is none.
+        seconds: Duration, in seconds.
+        statement: What the answer's headers state about the server.
     """
 
     server_id: str
@@ -194,7 +196,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why the system gives an answer of its own; the value is the line's `outcome`."""
+    """Why this VM gives an answer of its own; the value is `outcome` in the request's log line."""
 
     NO_CONFIGURATION = "no-configuration"
     NO_ROUTE = "no-route"
@@ -218,11 +220,11 @@
     """The final answer to a caller.
 
     Args:
-        answer: A backend server's answer, passed on.
-        refusal: Why no server's answer is passed on; None when one is.
+        answer: A backend server's answer that is forwarded; None when there is none.
+        refusal: Why no server's answer is forwarded; None when one is.
         status: HTTP status.
         retry_after_s: Value of Retry-After, in seconds; None to send no such header.
-        route: Route of the request, if any.
+        route: Route of the request; None when it has none.
     """
 
     answer: Optional[Answer]
@@ -233,7 +235,7 @@
 
 
 class SelectionReason(enum.Enum):
-    """Why a server is selected."""
+    """Why a server was selected."""
 
     FIRST_CHOICE = "first-choice"
     """It is the first server of the object's ranking."""
@@ -249,10 +251,10 @@
     """Where a request is sent next.
 
     Args:
-        server: Backend server.
-        service: Service.
-        reason: Why this server.
-        grant: The right to send there, where the server states a limit.
+        server: The selected backend server.
+        service: Service that handles the request.
+        reason: Why this server was selected.
+        grant: Permission to send there, where the server states a rate limit.
     """
 
     server: BackendServer
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -136,9 +136,9 @@
             route = self.routes.usable(request)
             if isinstance(route, RefusalReason):
                 return final_answer.without_route(request, route, self.rng)
-            held = await self._held(request)
+            held = await self._quarantine_of(request)
             if held is not None:
-                return self._held_back(request, route, held)
+                return self._quarantine_reply(request, route, held)
             service = self._service(request, route, service, now)
             until = hold_time(request, route).until
             if not has_time(until, now, self.registry.times.least_s(service)):
@@ -164,7 +164,7 @@
         """Return the rate of callers' requests for a service at this VM, in requests a second."""
         return self.budgets.requests_per_s(service, now)
 
-    async def _held(self, request: ClientRequest) -> Optional[Held]:
+    async def _quarantine_of(self, request: ClientRequest) -> Optional[Held]:
         """Return the quarantine that a request is refused for; None when it may be sent."""
         held = self.quarantine.refusal(request)
         if held is None or not held.trial_is_due(self.monotonic()):
@@ -172,7 +172,7 @@
         request.on_trial = await self.quarantine.take_trial(held)
         return None if request.on_trial else held
 
-    def _held_back(self, request: ClientRequest, route: Route, held: Held) -> Reply:
+    def _quarantine_reply(self, request: ClientRequest, route: Route, held: Held) -> Reply:
         """Return the answer to a request that is refused because it crashes servers."""
         reply = self._not_served(request, route, RefusalReason.CRASHES_SERVERS)
         if reply.refusal is not RefusalReason.CRASHES_SERVERS:
