--- a/sprucewinch/gateway/requests/attempt_feedback.py
+++ b/sprucewinch/gateway/requests/attempt_feedback.py
@@ -1,10 +1,10 @@
-"""What a VM learns of a backend server, and of a request, from one attempt.
+"""Records what one attempt shows about its backend server and its request.
 
-Owns which attempt tells what: load, latency, rest, outlier samples, the limit on cold servers, good
-ends of suspects, what the server states. Relies on the registry, the outlier detector, the
-quarantine and `statements`, which keep it.
-`sender` gives it each attempt once it has ended. Shows in: event `server-rests`. Tests:
-tests/test_gateway_pipeline.py, tests/test_gateway_outliers.py,
+The module decides which attempt updates what: load, latency, back-off, outlier samples, the limit
+on cold servers, requests that completed without a crash, and the server's own statements. It relies
+on the registry, the outlier detector, the quarantine and `statements`, which store these. `sender`
+passes it each attempt once that has ended. It logs the event `server-rests`. The tests are in
+tests/test_gateway_pipeline.py, tests/test_gateway_outliers.py and
 tests/test_gateway_taken_addresses.py.
 """
 
@@ -33,24 +33,24 @@
 from .outcome.retry_decision import SERVER_FAILED_STATUS
 
 SHED_PAUSE_S = 0.05
-"""Pause of a server that refused to run a request as it is full, or as it may be, in seconds. One
-that refuses and reports free slots fails for another reason: less load would not help it, and its
-pause sends objects to servers that do not know them."""
+"""Pause of a server that refused to run a request because it is full, or may be. A server that
+refuses but reports free slots has another fault: less load would not help it, and a pause would
+send its objects to servers that do not keep them warm."""
 
 MISDIRECTED_PAUSE_S = 60.0
-"""Pause of a server whose address now belongs to another server, in seconds."""
+"""Pause of a server whose address now belongs to another server."""
 
 
 class AttemptFeedback:
-    """Keeps what attempts tell.
+    """Records what attempts show about servers and requests.
 
     Args:
         registry: Backend servers.
-        outliers: Gets every attempt at a warm server as a sample.
-        quarantine: Gets the good ends of requests.
-        statements: Takes in what servers state of themselves.
-        monotonic: Source of time, in seconds.
-        events: Logs when a server rests after a failure.
+        outliers: Detector that gets every attempt at a warm server as a sample.
+        quarantine: Is told which requests completed without a crash.
+        statements: Stores what servers state about themselves.
+        monotonic: Source of monotonic time, in seconds.
+        events: Logs when a server is backed off after a failure.
     """
 
     def __init__(
@@ -69,35 +69,43 @@
         self.monotonic = monotonic
         self.events = events
 
-    def conclude(
+    def record(
         self, request: ClientRequest, server: BackendServer, attempt: Attempt, started: float
     ) -> None:
-        """Keep what an attempt tells of its server."""
+        """Record what a completed attempt shows about its server and its request.
+
+        Args:
+            request: The request.
+            server: The server that it was sent to.
+            attempt: The attempt.
+            started: Monotonic time at which the attempt started, in seconds.
+        """
         now = self.monotonic()
         if attempt.why in (NOT_OFFERED, QUARANTINED):
-            # No byte was sent: this tells nothing of the server and is no send to a cold one.
+            # No byte was sent, so the attempt shows nothing about the server, and it does not count
+            # as a request sent to a cold one.
             server.cold_sends.take_back(started)
             return
         if attempt.why == RESTARTED:
-            # The process that this tells of has ended; the next one starts with nothing.
+            # The attempt belongs to a process that has ended; its successor starts without history.
             return
         stated = ServerAnswer(attempt.statement, started, request.id)
         self.statements.answered(server.backend, server.stated, stated, now)
-        self._learn(request, server, attempt, started, now)
+        self._update_server(request, server, attempt, started, now)
         if server.cold(started):
-            self._note_cold(server, attempt)
+            self._record_cold_attempt(server, attempt)
         else:
-            self._sample(server, attempt, request.key, now)
+            self._record_sample(server, attempt, request.key, now)
 
-    def _note_cold(self, server: BackendServer, attempt: Attempt) -> None:
-        """Note the end of an attempt at a cold server; it does not count as an outlier sample."""
+    def _record_cold_attempt(self, server: BackendServer, attempt: Attempt) -> None:
+        """Record an attempt at a cold server; it does not count as an outlier sample."""
         if attempt.verdict is Verdict.ANSWERED or attempt.why == TIMED_OUT:
             self.registry.cold_limit.record_attempt(
                 server.backend.service, attempt.verdict is Verdict.ANSWERED
             )
 
-    def _sample(self, server: BackendServer, attempt: Attempt, key: str, now: float) -> None:
-        """Give the outlier detector the attempt as a sample of its server."""
+    def _record_sample(self, server: BackendServer, attempt: Attempt, key: str, now: float) -> None:
+        """Pass the attempt to the outlier detector as a sample of its server."""
         if attempt.verdict is Verdict.UNKNOWN:
             self.outliers.record_failure(server, now, late=attempt.why == TIMED_OUT)
         elif attempt.verdict is Verdict.ANSWERED and attempt.answer is not None:
@@ -108,7 +116,7 @@
             requests_there = load.running + load.waiting if load else 0
             self.outliers.record_success(server, key, attempt.seconds, requests_there, now)
 
-    def _learn(
+    def _update_server(
         self,
         request: ClientRequest,
         server: BackendServer,
@@ -121,16 +129,17 @@
             self.registry.record_load(server, load.running, load.waiting, now)
         if attempt.verdict is Verdict.ANSWERED:
             if load is None:
-                # Its refusals lower the limit, so its answers have to raise it again.
+                # The server reports no load: its refusals lower the concurrency limit, so its
+                # answers have to raise it again.
                 server.limit.increase(server.backend.capacity)
             self.registry.record_success(server, attempt.seconds, now)
             if attempt.why == ANSWERED:
-                # Not where the server has not run it: such an answer clears nobody.
+                # An answer to a request that the server did not run does not clear the request.
                 self.quarantine.note_good_end(request)
         elif attempt.why == MISDIRECTED:
             server.pause(now + MISDIRECTED_PAUSE_S)
         elif attempt.why.startswith(SHED):
-            _note_shed(server, load, now)
+            _pause_full_server(server, load, now)
         elif attempt.why != TIMED_OUT or server.answered_at < started:
             server.record_failure(now)
             self.events.state(
@@ -138,8 +147,8 @@
             )
 
 
-def _note_shed(server: BackendServer, load: Optional[LoadReport], now: float) -> None:
-    """Send less to a server that refused to run a request, unless it reports free slots."""
+def _pause_full_server(server: BackendServer, load: Optional[LoadReport], now: float) -> None:
+    """Pause a server that refused to run a request, unless it reports free slots."""
     if load is None or load.running + load.waiting >= server.backend.capacity:
         server.pause(now + SHED_PAUSE_S)
         server.limit.decrease(now)
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -1,13 +1,16 @@
 """Sends a request to one backend server and returns the attempt.
 
-Owns one attempt: its connection, its encoding, its time, and whether the server crashed meanwhile.
-Once a connection is there it asks whether the server is still offered and takes requests by its own
-word, and the quarantine whether the request may still be sent; from there to the first byte it
-waits for nothing. What was granted by a server's quota and not sent it gives back.
-Relies on `verdict` for what an answer proves, on `attempt_feedback` for what the VM learns from an
-attempt, and on the connection pool. Decides on no retry. Shows in: event `server-crashed`;
-`not-offered`, `quarantined` and `server-crashed` in `sends` of the event `request`. Tests:
-tests/test_gateway_pipeline.py, tests/test_gateway_crash_check.py, tests/test_formats_gateway.py.
+A `Sender` owns one attempt at a time for each request: its connection, its encoding, its time-out,
+and the check whether the server crashed meanwhile. Once a connection is established it checks
+whether the server is still available and accepts requests, and whether the quarantine still lets
+the request pass; from there to the first byte it does not wait for anything. It returns a grant of
+a server's rate limit that was not used.
+
+The module relies on `verdict` for what an answer proves, on `attempt_feedback` for what the VM
+learns from an attempt, and on the connection pool. It does not decide on retries. It logs the event
+`server-crashed`; `not-offered`, `quarantined` and `server-crashed` are logged in `sends` of the
+event `request`. The tests are in tests/test_gateway_pipeline.py, tests/test_gateway_crash_check.py
+and tests/test_formats_gateway.py.
 """
 
 import asyncio
@@ -44,23 +47,23 @@
 from .verdict import judge_answer
 
 MIN_DEADLINE_MS = 1
-"""Least deadline that is sent to a server, in milliseconds, so that none is 0 or less."""
+"""Smallest deadline that is sent to a server, so that none is 0 or less."""
 
 _BODYLESS_METHODS = frozenset(("GET", "HEAD", "DELETE", "OPTIONS"))
-"""Methods whose empty body is sent without a length."""
+"""Methods for which an empty body is sent without a content-length."""
 
 
 class Sender:
-    """Sends requests over kept connections.
+    """Sends requests over pooled connections.
 
     Args:
         registry: Backend servers.
-        pool: Connections.
+        pool: Connections to backend servers.
         names: Names of headers.
-        feedback: Keeps what attempts tell.
-        server_quotas: Limits that servers state.
-        monotonic: Source of time, in seconds.
-        wall: Source of the time of day, in seconds since the epoch.
+        feedback: Records what attempts show about servers and requests.
+        server_quotas: Rate limits that servers state.
+        monotonic: Source of monotonic time, in seconds.
+        wall: Source of wall-clock time, in seconds since the epoch.
     """
 
     def __init__(
@@ -84,7 +87,7 @@
         self.monotonic = monotonic
         self.wall = wall
         self.crash_check = CrashCheck(pool)
-        self._at_work: dict[BackendServer, set[Connection]] = {}
+        self._connections_in_use: dict[BackendServer, set[Connection]] = {}
         registry.on_restart.append(self._end_attempts)
 
     async def send(
@@ -95,13 +98,13 @@
         *,
         most_rest_s: float = float("inf"),
     ) -> Attempt:
-        """Send a request to the chosen server, unless it leaves before the first byte is sent.
+        """Send a request to the selected server, unless that leaves before the first byte is sent.
 
         Args:
             request: The request.
-            selection: The chosen server.
-            until: Monotonic time at which the attempt is given up, in seconds.
-            most_rest_s: Longest rest of a kept connection that carries it, in seconds.
+            selection: The selected server.
+            until: Monotonic time at which the attempt times out, in seconds.
+            most_rest_s: Longest idle time of a pooled connection that may carry it, in seconds.
         """
         server = selection.server
         started = self.monotonic()
@@ -110,8 +113,8 @@
         attempt = attempt._replace(seconds=self.monotonic() - started)
         if not attempt.arrived:
             self.server_quotas.give_back(selection.grant)
-        self.feedback.conclude(request, server, attempt, started)
-        return await self._look_for_crash(request, selection, attempt, started)
+        self.feedback.record(request, server, attempt, started)
+        return await self._detect_crash(request, selection, attempt, started)
 
     async def _attempt(
         self,
@@ -121,7 +124,7 @@
         until: float,
         most_rest_s: float,
     ) -> Attempt:
-        """Make one attempt within its time, counted at the server while it lasts."""
+        """Make one attempt with a time-out, counted as in flight at the server meanwhile."""
         server = selection.server
         self.registry.take(server, started)
         try:
@@ -141,8 +144,8 @@
             connection = await self.pool.take(backend.address, most_rest_s=most_rest_s)
         except ConnectFailedError:
             return Attempt(backend.id, Verdict.NOT_RUN, False, UNREACHABLE)
-        # While the connection came up, the server may have left, its data hall been evacuated, or
-        # the server may have stated a limit or asked for rest.
+        # While the connection was established, the server may have left, its data hall may have
+        # been evacuated, or the server may have stated a rate limit or requested a pause.
         if not self._may_send(selection):
             connection.close()
             return Attempt(backend.id, Verdict.NOT_RUN, False, NOT_OFFERED)
@@ -163,35 +166,37 @@
         return Attempt(backend.id, judged.verdict, True, judged.why, answer, statement=statement)
 
     def _may_send(self, selection: Selection) -> bool:
-        """Return whether the server still takes the request, now that its first byte is due."""
+        """Return whether the server still accepts the request, right before the first byte."""
         stated, now = selection.server.stated, self.monotonic()
         if not self.registry.offers(selection.server, selection.service) or stated.rest_until > now:
             return False
         granted = selection.grant.quota is not None
         return granted or not stated.is_limited(now)
 
-    async def _look_for_crash(
+    async def _detect_crash(
         self, request: ClientRequest, selection: Selection, attempt: Attempt, started: float
     ) -> Attempt:
-        """Return an attempt, with the cause `CRASHED` where its server's process has ended.
+        """Return an attempt, with the cause `CRASHED` if its server's process has crashed.
 
-        A server that is offered no more ends as was planned.
+        The end of a server that is no longer available is planned and not a crash.
         """
         server = selection.server
         if attempt.why == RESTARTED and not server.leaving:
-            self._note_crash(request, server, attempt, started)
+            self._record_crash(request, server, attempt, started)
         if attempt.why != ENDED or not self.registry.offers(server, selection.service):
             return attempt
         ended = await self.crash_check.has_ended(server.backend.address)
-        if not ended or any(connection.alive for connection in self._at_work.get(server, ())):
+        if not ended or any(
+            connection.alive for connection in self._connections_in_use.get(server, ())
+        ):
             return attempt
-        self._note_crash(request, server, attempt, started)
+        self._record_crash(request, server, attempt, started)
         return attempt._replace(why=CRASHED)
 
-    def _note_crash(
+    def _record_crash(
         self, request: ClientRequest, server: BackendServer, attempt: Attempt, started: float
     ) -> None:
-        """Keep a crash as evidence on the request that was there."""
+        """Record a crash as evidence against the request that the server was running."""
         self.events.count("attempts_ended_by_crashes")
         self.events.state(
             "server-crashed",
@@ -205,27 +210,27 @@
     async def _answer(
         self, server: BackendServer, connection: Connection, request: ClientRequest, data: bytes
     ) -> Answer:
-        """Return the answer of a server's process, which `_end_attempts` may end before."""
-        at_work = self._at_work.setdefault(server, set())
-        at_work.add(connection)
+        """Return the server's answer, unless `_end_attempts` fails the connection first."""
+        in_use = self._connections_in_use.setdefault(server, set())
+        in_use.add(connection)
         try:
             return await connection.exchange(
                 data, request_id=request.id, body_length=len(request.body)
             )
         finally:
-            at_work.discard(connection)
-            if not at_work:
-                self._at_work.pop(server, None)
+            in_use.discard(connection)
+            if not in_use:
+                self._connections_in_use.pop(server, None)
 
     def _end_attempts(self, server: BackendServer) -> None:
-        """End the attempts at a process that has ended: no answer can come any more.
+        """Fail the attempts at a server process that has ended, as no answer can arrive any more.
 
-        They may have run. Without this they wait until their time is up where the process ended
-        behind a cut, which resets no connection, and a request that may run twice is not repeated
-        in time.
+        Their requests may have run. If the process ended during a network partition, its
+        connections are not reset. Without this the attempts would wait for their time-out, and a
+        repeatable request would not be retried in time.
         """
         self.pool.drop(server.backend.address)
-        connections = self._at_work.pop(server, set())
+        connections = self._connections_in_use.pop(server, set())
         self.events.count("server_restarts")
         self.events.state("server-restarted", server=server.backend.id, in_flight=len(connections))
         for connection in connections:
--- a/tests/test_gateway_server_selection.py
+++ b/tests/test_gateway_server_selection.py
@@ -172,7 +172,7 @@
         now = loop.time()
         statement = read_statement(answer, NAMES, "q", now)
         attempt = Attempt("s0", Verdict.NOT_RUN, True, f"{SHED}-503", answer, statement=statement)
-        path.sender.feedback._learn(path.request("q"), server, attempt, now, now)
+        path.sender.feedback._update_server(path.request("q"), server, attempt, now, now)
         self.assertEqual(server.paused_until > loop.time(), load != "2,0,6")
         return server.limit.value
 
