--- a/sprucewinch/gateway/requests/request_log.py
+++ b/sprucewinch/gateway/requests/request_log.py
@@ -1,7 +1,6 @@
-"""The interface that records how requests end.
+"""Interface for recording the outcomes of requests.
 
-Owns the interface; `app` calls it and `decision_log` implements it. Relies on the
-types of a request.
+`app` calls it and `decision_log` implements it. The module relies on the types in `client_request`.
 """
 
 import abc
@@ -10,23 +9,23 @@
 
 
 class RequestLog(abc.ABC):
-    """Records the end of each request."""
+    """Records the outcome of each request."""
 
     @abc.abstractmethod
     def replied(self, request: ClientRequest, reply: Reply, seconds: float) -> None:
-        """Note a final answer.
+        """Record a final answer.
 
         Args:
             request: The request.
             reply: Its answer.
-            seconds: Time from its arrival to the answer.
+            seconds: Time from its arrival to the answer, in seconds.
         """
 
     @abc.abstractmethod
     def left(self, request: ClientRequest, seconds: float) -> None:
-        """Note a caller that left before its answer.
+        """Record that a caller closed its connection before its answer.
 
         Args:
-            request: Its request.
-            seconds: Time from the request's arrival.
+            request: The caller's request.
+            seconds: Time from the request's arrival, in seconds.
         """
--- a/sprucewinch/gateway/requests/routes.py
+++ b/sprucewinch/gateway/requests/routes.py
@@ -1,10 +1,12 @@
-"""Rule: which route a request takes.
+"""Decides which route of the current configuration a request takes.
 
-Question: which route of the configuration in force matches? Inputs: the `Host` header and the path
-without its query. Rule: the host's longest prefix that begins the path; hosts are compared without
-port and case. Prefixes end with a slash, so looking up the path's own starts finds the longest one
-in as many steps as the path has segments. Constants: none. Shows in: event `request`, `route`, or
-`outcome` `no-route`. Tests: tests/test_gateway_routes.py (`LongestPrefix`).
+The inputs are the `Host` header and the path without its query. The route is the one of the host
+whose prefix is the longest that the path starts with; hosts are compared without port and case. All
+prefixes end with a slash, so looking up the path cut at each of its slashes, from the last one on,
+finds the longest prefix in at most as many steps as the path has segments.
+
+The route is logged as `route` in the event `request`; a request without one has the `outcome`
+`no-route`. The tests are in tests/test_gateway_routes.py (`LongestPrefix`).
 """
 
 from typing import Optional
@@ -13,10 +15,10 @@
 
 
 class RouteTable:
-    """Routes by host and prefix.
+    """Routes by host and path prefix.
 
     Args:
-        configuration: The version in force.
+        configuration: The current route configuration.
     """
 
     __slots__ = ("_by_host", "version")
@@ -28,7 +30,7 @@
             self._by_host.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Optional[Route]:
-        """Return the route of a request; None when there is none.
+        """Return the route of a request; None when no route matches.
 
         Args:
             host: Value of the `Host` header.
--- a/sprucewinch/gateway/requests/routes_in_force.py
+++ b/sprucewinch/gateway/requests/routes_in_force.py
@@ -1,8 +1,8 @@
-"""The route of a request by the configuration in force, as far as its workspace may use it.
+"""Finds the route of a request in the current configuration, limited to what its workspace may use.
 
-Owns the route table, which each new configuration replaces. Relies on `routes` for the match and on
-`workspaces` for the regions that a workspace allows. Tests: tests/test_gateway_pipeline.py,
-tests/test_gateway_keys.py.
+The module owns the route table, which is replaced with each new configuration. It relies on
+`routes` to match requests and on `workspaces` for the regions that a workspace allows. The tests
+are in tests/test_gateway_pipeline.py and tests/test_gateway_keys.py.
 """
 
 from typing import Optional, Union
@@ -16,11 +16,11 @@
 
 
 class RoutesInForce:
-    """Finds routes.
+    """Finds the routes of requests in the current configuration.
 
     Args:
-        store_view: What this VM holds of the store.
-        admission: Workspaces, as they are now.
+        store_view: This VM's view of the store.
+        admission: Current workspaces.
     """
 
     def __init__(self, store_view: StoreView, admission: WorkspaceAdmission) -> None:
@@ -29,14 +29,14 @@
         store_view.listeners.append(self._on_change)
 
     def find(self, request: ClientRequest) -> Union[Route, RefusalReason]:
-        """Return a request's route, or why it has none."""
+        """Return a request's route, or the reason why it has none."""
         if self.table is None:
             return RefusalReason.NO_CONFIGURATION
         route = self.table.find(request.host, request.path)
         return RefusalReason.NO_ROUTE if route is None else route
 
     def usable(self, request: ClientRequest) -> Union[Route, RefusalReason]:
-        """Return a request's route as far as its workspace, as it is now, may use it."""
+        """Return a request's route, limited to the regions that its workspace currently allows."""
         route = self.find(request)
         admitted = request.caller.workspace
         if isinstance(route, RefusalReason) or admitted is None:
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -211,15 +211,15 @@
         self, server: BackendServer, connection: Connection, request: ClientRequest, data: bytes
     ) -> Answer:
         """Return the server's answer, unless `_end_attempts` fails the connection first."""
-        in_use = self._connections_in_use.setdefault(server, set())
-        in_use.add(connection)
+        connections = self._connections_in_use.setdefault(server, set())
+        connections.add(connection)
         try:
             return await connection.exchange(
                 data, request_id=request.id, body_length=len(request.body)
             )
         finally:
-            in_use.discard(connection)
-            if not in_use:
+            connections.discard(connection)
+            if not connections:
                 self._connections_in_use.pop(server, None)
 
     def _end_attempts(self, server: BackendServer) -> None:
--- a/sprucewinch/gateway/requests/split.py
+++ b/sprucewinch/gateway/requests/split.py
@@ -1,33 +1,35 @@
-"""Rule: which service of a split route gets a request.
+"""Decides which service of a split route handles a request.
 
-Question: which part of the route gets this request? Inputs: the route's parts with their weights,
-the object's key. Rule: the object's hash gives its service, unless that service's running share
-lies too far above its weight; then the service that lies furthest below its weight gets it.
+A route is split when it has several parts, each with a service and a weight. The hash of the
+object's key selects the service, unless that service's running share exceeds its weight by more
+than `MAX_SHARE_EXCESS`; then the service that is furthest below its weight is selected.
 
-Why so: an object stays with one service as far as the weights allow, so that it finds its backend
-servers warm, and few objects with many requests cannot bend the split. Shares are each VM's own.
-Constants: `MAX_SHARE_EXCESS`, `DECAY_REQUESTS`. Shows in: event `request`, by the servers in
-`sends`. Tests: tests/test_gateway_routes.py (`SplitShares`).
+An object stays with one service as far as the weights allow, so that its backend servers keep it
+warm, and a few objects with many requests cannot distort the split. Each VM computes the running
+shares from its own requests.
+
+The service is visible in the event `request` by the servers in `sends`. The tests are in
+tests/test_gateway_routes.py (`SplitShares`).
 """
 
 from ..._hash import hash64
 from ..resources import Part, Route
 
 MAX_SHARE_EXCESS = 0.03
-"""How far a service's running share may lie above its weight, as a part of all requests."""
+"""Largest excess of a service's running share over its weight, as a fraction of all requests."""
 
 DECAY_REQUESTS = 200.0
-"""Requests of a route after which an older one counts 1/e (a half after 139)."""
+"""Number of requests of a route after which an older one has the weight 1/e (a half after 139)."""
 
 _HASH_SPACE = float(1 << 64)
-"""Number of values of the hash, which has 64 bits."""
+"""Number of values of the 64-bit hash."""
 
 
 class SplitBalance:
-    """Running shares of one route's parts.
+    """Running shares of the parts of one route.
 
     Args:
-        parts: The parts, with positive weights.
+        parts: The route's parts, with positive weights.
     """
 
     __slots__ = ("parts", "_counts", "_total", "_weights")
@@ -40,10 +42,10 @@
         self._total = 0.0
 
     def choose(self, key: str) -> str:
-        """Return the service of a request for an object, and count the request."""
+        """Return the service that handles a request for an object, and count the request."""
         wanted = self._by_key(key)
-        near_weight = self._excess(wanted) <= MAX_SHARE_EXCESS
-        chosen = wanted if near_weight else min(self._weights, key=self._excess)
+        within_excess = self._excess(wanted) <= MAX_SHARE_EXCESS
+        chosen = wanted if within_excess else min(self._weights, key=self._excess)
         self._count(chosen)
         return chosen
 
@@ -56,7 +58,7 @@
         return next(reversed(self._weights))
 
     def _excess(self, service: str) -> float:
-        """Return how far a service's share would lie above its weight after one more request."""
+        """Return a service's share minus its weight, as they would be after one more request."""
         return (self._counts[service] + 1) / (self._total + 1) - self._weights[service]
 
     def _count(self, service: str) -> None:
@@ -68,13 +70,13 @@
 
 
 class Splits:
-    """The balances of all split routes."""
+    """The running shares of all split routes."""
 
     def __init__(self) -> None:
         self._balances: dict[str, SplitBalance] = {}
 
     def service(self, route: Route, key: str) -> str:
-        """Return the service that a request on a route goes to."""
+        """Return the service that handles a request on a route."""
         if len(route.parts) == 1:
             return route.parts[0].service
         balance = self._balances.get(route.name)
--- a/sprucewinch/gateway/requests/verdict.py
+++ b/sprucewinch/gateway/requests/verdict.py
@@ -1,13 +1,14 @@
-"""Rule: what an answer of a backend server proves about the request that it answers.
+"""Decides what an answer of a backend server proves about its request.
 
-Question: is this the server's own answer to this request, proof that it did not run, or neither?
-Inputs: the whole answer, the request's id, the platform's header names. Rule: a server that says
-that it did not run a request, or that is another one, proves that it did not run; an answer to
-another request or an unsigned success proves nothing; everything else is the server's own answer.
+The answer is the server's own answer to the request, or it proves that the request did not run, or
+it proves neither. The inputs are the whole answer, the request's id and the platform's header
+names. A server that states that it did not run the request, or that it is not the intended one,
+proves that the request did not run. An answer to another request, or a success without a signature,
+proves nothing. Any other answer is the server's own.
 
-Why so: only what the server itself says may end in a promise to the caller. Constants: the
-statuses. Shows in: event `request`, `sends`. Tests: tests/test_gateway_pipeline.py
-(`SpoiltAnswers`, `Ends`).
+A promise to a caller that its request did not run may rest only on what the server itself states.
+The verdict is logged in `sends` of the event `request`. The tests are in
+tests/test_gateway_pipeline.py (`SpoiltAnswers`, `Ends`).
 """
 
 from typing import NamedTuple
@@ -21,7 +22,7 @@
 """HTTP status of an answer to a request that no server would run, by the HTTP standard."""
 
 MISDIRECTED_STATUS = 421
-"""HTTP status of an answer from a server other than the one that was meant, by the HTTP
+"""HTTP status of an answer from a server that the request was not meant for, by the HTTP
 standard."""
 
 
@@ -29,8 +30,8 @@
     """The verdict on an answer.
 
     Args:
-        verdict: What is certain.
-        why: Cause, for the log.
+        verdict: What the answer proves about whether the request ran.
+        why: Cause of the verdict, for the log.
     """
 
     verdict: Verdict
@@ -38,16 +39,16 @@
 
 
 def judge_answer(answer: Answer, names: HeaderNames, request_id: str) -> AnswerJudgement:
-    """Return what an answer proves about a request.
+    """Return what an answer proves about whether its request ran.
 
     Args:
         answer: A whole answer.
         names: Names of headers.
-        request_id: The request's id.
+        request_id: The request's id; empty when it has none.
     """
     if answer.status == MISDIRECTED_STATUS:
-        # Before the statement that it did not run: this server's address belongs to another one,
-        # so a short pause, as for a full server, would ask there again every 50 ms.
+        # This precedes the check of the not-run header: the address now belongs to another server,
+        # and the short pause of a full server would send requests there again every 50 ms.
         return AnswerJudgement(Verdict.NOT_RUN, MISDIRECTED)
     if answer.header(names.not_run) is not None and answer.status == BAD_REQUEST_STATUS:
         return AnswerJudgement(Verdict.ANSWERED, "malformed")
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -25,7 +25,7 @@
     SelectionReason,
     Verdict,
 )
-from sprucewinch.gateway.requests.connection_age import ONCE_REST_S, most_rest_s
+from sprucewinch.gateway.requests.connection_age import MAX_NON_REPEATABLE_IDLE_S, most_rest_s
 from sprucewinch.gateway.requests.outcome import final_answer
 from sprucewinch.gateway.requests.outcome.hold_time import (
     ANSWER_MARGIN_S,
@@ -359,7 +359,7 @@
         lost = _unanswered(Verdict.UNKNOWN, "reset")
         once = route(repeatable=False)
         self.assertEqual(most_rest_s(_request(), route()), float("inf"))
-        self.assertEqual(most_rest_s(_request(), once), ONCE_REST_S)
+        self.assertEqual(most_rest_s(_request(), once), MAX_NON_REPEATABLE_IDLE_S)
         self.assertEqual(most_rest_s(_request(lost), route()), 0.0)
         self.assertEqual(most_rest_s(_request(lost), once), 0.0)
 
@@ -368,7 +368,9 @@
             path = Path(loop, servers=1)
             path.world.configure(route(repeatable=False))
             opened = []
-            for number, pause_s in enumerate((0.0, ONCE_REST_S / 2, ONCE_REST_S + 0.1)):
+            for number, pause_s in enumerate(
+                (0.0, MAX_NON_REPEATABLE_IDLE_S / 2, MAX_NON_REPEATABLE_IDLE_S + 0.1)
+            ):
                 await pass_time(pause_s)
                 reply = await path.pipeline.run(path.request(f"q{number}"))
                 self.assertEqual(reply.status, 200)
--- a/tests/test_gateway_routes.py
+++ b/tests/test_gateway_routes.py
@@ -1,4 +1,4 @@
-"""Route choice and splits against simple oracles."""
+"""Route lookup against a simple oracle, and the shares of split routes."""
 
 import random
 import unittest
--- a/tools/wrong_version_list.py
+++ b/tools/wrong_version_list.py
@@ -344,7 +344,7 @@
         "Duty",
         "splits follow the objects alone",
         f"{_GATEWAY}/requests/split.py",
-        "chosen = wanted if near_weight else min(self._weights, key=self._excess)",
+        "chosen = wanted if within_excess else min(self._weights, key=self._excess)",
         "chosen = wanted",
         ("tests.test_gateway_routes.SplitShares",),
     ),
