--- a/sprucewinch/gateway/requests/app.py
+++ b/sprucewinch/gateway/requests/app.py
@@ -1,8 +1,8 @@
-"""The callers' side as an ASGI application.
+"""The ASGI application that serves callers.
 
-Owns the requests that are in flight: their number, the memory of their bodies, and their final
-answers when the process ends. Relies on `callers` to read requests, admit bodies and write answers,
-on the pipeline to run requests, and on the request log for their ends.
+It owns the requests in flight: their number, the memory of their bodies, and their final answers
+when the process ends. It relies on `callers` to read requests, admit bodies and write answers, on
+the pipeline to run requests, and on the request log to record their outcomes.
 """
 
 import asyncio
@@ -26,11 +26,11 @@
 
 
 class Exchange:
-    """One request of a caller on its connection.
+    """One HTTP exchange with a caller.
 
     Args:
         scope: Its ASGI scope.
-        body: Its body.
+        body: Body of its request.
         arrived_at: Monotonic time of its arrival, in seconds.
     """
 
@@ -45,23 +45,23 @@
 
     @property
     def cut_short(self) -> bool:
-        """Return whether reading the body ended before its end, so that the connection must close.
+        """Return whether the body was read only in part, so that the connection must close.
 
-        A body that nobody began to read is dropped by the listener as it arrives: closing would
-        reset the connection, and the caller might never see its answer.
+        The listener discards a body that nobody began to read as it arrives. To close the
+        connection then would reset it, and the caller might never see its answer.
         """
         return self.body_begun and not self.body.complete
 
 
 class GatewayApp:
-    """Reads requests, runs them, and writes their answers.
+    """ASGI application that reads requests, runs them, and writes their answers.
 
     Args:
-        store_view: What this VM holds of the store.
+        store_view: This VM's view of the store.
         pipeline: Runs requests.
         names: Names of headers.
-        events: Gets the end of every request.
-        monotonic: Source of time, in seconds.
+        events: Records the outcome of every request.
+        monotonic: Source of monotonic time, in seconds.
         memory_bytes: Memory of the process, in bytes.
         counters: Counts requests with an unreadable deadline; None to count none.
     """
@@ -91,21 +91,21 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes of the bodies that are held."""
+        """Bytes of request bodies in memory."""
         return self.bodies.held_bytes
 
     @property
     def limits(self) -> CallerLimits:
-        """Limits on callers in force: the configuration's, else the defaults."""
+        """Current limits on callers: those of the configuration, else the defaults."""
         configuration = self.store_view.configuration
         return configuration.limits if configuration else CallerLimits()
 
     def stop(self) -> None:
-        """End each connection with its next answer from now on."""
+        """Close each connection after its next answer from now on."""
         self.stopping = True
 
     def give_up_all(self) -> None:
-        """Give every request that is still in flight its final answer now: the process ends."""
+        """Answer every request that is still in flight now, as the process ends."""
         self.giving_up = True
         for task in self._serving:
             task.cancel()
@@ -125,19 +125,19 @@
             self.bodies.release(len(exchange.body.first))
 
     async def _serve(self, exchange: Exchange, send: Send, task: asyncio.Task) -> None:
-        """Answer one request, or note that its caller left."""
+        """Answer one request, or record that its caller left."""
         try:
             reply = await self._reply(exchange, task)
             self._serving.discard(task)
-            self._note_reply(exchange, reply)
+            self._record_reply(exchange, reply)
             await write_reply(reply, send, close=self.stopping or exchange.cut_short)
         except CallerLeftError:
-            # Before the whole request is read there is nothing to name in a line, and nothing ran.
+            # Before the whole request is read, nothing has run and there is no request to log.
             if exchange.request is not None:
                 self.events.left(exchange.request, self.monotonic() - exchange.arrived_at)
 
     async def _reply(self, exchange: Exchange, task: asyncio.Task) -> Reply:
-        """Return the final answer: of the request's run, or of the stop that cuts it off."""
+        """Return the final answer, from the pipeline or because the process ends."""
         request = self._read_request(exchange)
         try:
             refusal = await self._refusal_by_head(request)
@@ -155,16 +155,16 @@
             self.pipeline.settle(request)
 
     async def _refusal_by_head(self, request: ClientRequest) -> Optional[Reply]:
-        """Return the answer to a request that is refused before its body is read, else None."""
+        """Return the answer to a request that is refused by its head; None when it is admitted."""
         if not request.path.startswith("/"):
             return final_answer.refused_for_good(RefusalReason.MALFORMED)
         return await self.pipeline.admit(request)
 
     async def _read_body(self, exchange: Exchange, request: ClientRequest) -> Optional[Reply]:
-        """Read a body up to the most that is accepted, and one byte more to see whether it ends.
+        """Read a body up to the largest accepted size, plus one byte to detect a longer one.
 
         Returns:
-            The answer to a request whose body is not accepted, else None.
+            The answer to a request whose body is refused; None when it is accepted.
         """
         body = exchange.body
         exchange.body_begun = True
@@ -191,7 +191,11 @@
     async def _run_while_caller_stays(
         self, request: ClientRequest, body: AsgiBody, task: asyncio.Task
     ) -> Reply:
-        """Run a request, and cancel it when its caller has left."""
+        """Run a request, and cancel it when its caller leaves.
+
+        Raises:
+            CallerLeftError: The caller closed its connection.
+        """
         left = asyncio.create_task(body.caller_left())
         left.add_done_callback(lambda done: None if done.cancelled() else task.cancel())
         try:
@@ -204,6 +208,6 @@
         finally:
             left.cancel()
 
-    def _note_reply(self, exchange: Exchange, reply: Reply) -> None:
+    def _record_reply(self, exchange: Exchange, reply: Reply) -> None:
         assert exchange.request is not None
         self.events.replied(exchange.request, reply, self.monotonic() - exchange.arrived_at)
--- a/sprucewinch/gateway/requests/callers/__init__.py
+++ b/sprucewinch/gateway/requests/callers/__init__.py
@@ -1,5 +1,5 @@
-"""The callers' side of a request: what is read of it, what may be held of it, what is written back.
+"""The callers' side of a request: reads it, admits its body into memory, writes its final answer.
 
-Owns the reading of a request from ASGI, the admission of its body into memory, and the writing of
-its final answer. Relies on the request's types and on header names. `app` puts them together.
+The package reads requests from ASGI. It relies on the types in `client_request` and on the header
+names. `app` combines its modules.
 """
--- a/sprucewinch/gateway/requests/callers/answer_writer.py
+++ b/sprucewinch/gateway/requests/callers/answer_writer.py
@@ -1,7 +1,8 @@
 """Writes a final answer to a caller over ASGI.
 
-Owns the form of this VM's own answers and which headers of a server's answer are returned. Relies
-on the reply that `outcome.final_answer` made; decides nothing.
+The module decides the format of this VM's own answers and which headers of a server's answer are
+forwarded. It relies on the reply that `outcome.final_answer` made, and does not change what the
+reply says.
 """
 
 import msgspec
@@ -10,8 +11,8 @@
 from ....net.request import end_to_end
 from ..client_request import Reply
 
-_NOT_RETURNED = frozenset(("content-length", "keep-alive"))
-"""Headers of a server's answer that belong to the connection to it."""
+_NOT_FORWARDED_TO_CALLERS = frozenset(("content-length", "keep-alive"))
+"""Headers of a server's answer that apply only to the connection to that server."""
 
 
 async def write_reply(reply: Reply, send: Send, *, close: bool) -> None:
@@ -20,7 +21,7 @@
     Args:
         reply: The answer.
         send: ASGI send.
-        close: End the connection with it.
+        close: True to close the connection after it.
     """
     headers, body = _encoded(reply)
     raw = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in headers]
@@ -35,7 +36,7 @@
     """Return the headers and the body of an answer."""
     if reply.answer is not None:
         returned = end_to_end(list(reply.answer.headers))
-        return [h for h in returned if h[0] not in _NOT_RETURNED], reply.answer.body
+        return [h for h in returned if h[0] not in _NOT_FORWARDED_TO_CALLERS], reply.answer.body
     assert reply.refusal is not None
     headers = [("content-type", "application/json")]
     if reply.retry_after_s is not None:
--- a/sprucewinch/gateway/requests/callers/body_admission.py
+++ b/sprucewinch/gateway/requests/callers/body_admission.py
@@ -1,39 +1,39 @@
-"""Rule: whether a request's body is taken into memory.
+"""Decides whether a request's body is accepted into memory.
 
-Question: how much of a body may be read, and is it accepted? Inputs, all in bytes: the
-configuration's limit on a body, the bytes of bodies that are held, the size of what was read. Rule:
-a body is read up to the configured limit or the memory that is left, whichever is less, and one
-byte more to see whether it ends there. A longer body is refused: as too large if it passes the
-configured limit, else because memory is short.
+A body is read up to the configured limit or the memory that is left, whichever is less, plus one
+byte to detect a longer one. A longer body is refused: as too large if it exceeds the configured
+limit, otherwise for lack of memory. The inputs, all in bytes, are the configured limit, the memory
+used by bodies, and the size of what was read.
 
-Why so: a body has to be whole before a request is sent, as it may be sent twice, and the process
-has to stay below its memory whatever callers send. Memory is counted once a body is read, not
-while it is read, so bodies that are read at the same time may pass the part together.
+A body must be complete before its request is sent, as the request may be sent twice, and the
+process must stay within its memory whatever callers send. Memory is counted once a body has been
+read and not while it is read, so bodies that are read at the same time may together exceed
+`MAX_BODIES_FRACTION`.
 
-Constants: `MAX_BODIES_PART`, with its ground below it. Shows in: event `request`, `outcome`
-`too-large` or `no-room` without `blocked`; gauge `body_bytes`. Tests:
-tests/test_gateway_request_rules.py (`BodiesInMemory`), tests/test_formats_gateway.py.
+A refusal is logged in the event `request` with the `outcome` `too-large`, or `no-room` without
+`blocked`; the gauge `body_bytes` shows the memory in use. The tests are in
+tests/test_gateway_request_rules.py (`BodiesInMemory`) and tests/test_formats_gateway.py.
 """
 
 import enum
 
-MAX_BODIES_PART = 0.25
-"""Part of the process's memory that bodies of requests may take."""
+MAX_BODIES_FRACTION = 0.25
+"""Fraction of the process's memory that request bodies may use."""
 
 
 class BodyAdmission(enum.Enum):
     """Whether a body is accepted, and why not."""
 
     ADMITTED = "admitted"
-    """The whole body is held."""
+    """The whole body is in memory."""
     TOO_LARGE = "too-large"
-    """It is larger than the configuration allows."""
+    """The body is larger than the configuration allows."""
     NO_MEMORY = "no-memory"
-    """It is larger than the memory that was left for bodies."""
+    """The body is larger than the memory that was left for bodies."""
 
 
 class BodyMemory:
-    """Memory that the bodies of requests take.
+    """Memory used by request bodies.
 
     Args:
         memory_bytes: Memory of the process, in bytes.
@@ -42,11 +42,11 @@
     __slots__ = ("held_bytes", "max_bytes")
 
     def __init__(self, memory_bytes: int) -> None:
-        self.max_bytes = int(memory_bytes * MAX_BODIES_PART)
+        self.max_bytes = int(memory_bytes * MAX_BODIES_FRACTION)
         self.held_bytes = 0
 
     def room_bytes(self, limit_bytes: int) -> int:
-        """Return how large a body may be now, in bytes.
+        """Return the largest body that may be read now, in bytes.
 
         Args:
             limit_bytes: The configuration's limit on a body, in bytes.
@@ -54,11 +54,11 @@
         return max(0, min(limit_bytes, self.max_bytes - self.held_bytes))
 
     def take(self, size_bytes: int) -> None:
-        """Count a body that is held from now on."""
+        """Count a body that is now in memory."""
         self.held_bytes += size_bytes
 
     def release(self, size_bytes: int) -> None:
-        """Subtract a body that is no longer held."""
+        """Subtract a body that is no longer in memory."""
         self.held_bytes -= size_bytes
 
 
@@ -66,9 +66,9 @@
     """Return whether a body is accepted, and why not.
 
     Args:
-        size_bytes: Bytes that were read of the body.
+        size_bytes: Number of bytes of the body that were read.
         limit_bytes: The configuration's limit on a body, in bytes.
-        complete: True when they are the whole body.
+        complete: True when these are the whole body.
     """
     if complete:
         return BodyAdmission.ADMITTED
--- a/sprucewinch/gateway/requests/callers/request_reader.py
+++ b/sprucewinch/gateway/requests/callers/request_reader.py
@@ -1,9 +1,9 @@
 """Reads a caller's request from its ASGI scope.
 
-Owns which headers are passed on, and where a request's id, deadline, object and API key are found.
-A key goes no further than its digest: it is neither passed on nor held. Relies on
-the platform's header names, and on `outcome.hold_time` for how long a caller waits. Reads no body
-and refuses nothing.
+The module decides which headers are forwarded, and where a request's id, deadline, object key and
+API key are found. Only the digest of an API key is kept: the key itself is neither forwarded nor
+stored. The module relies on the platform's header names, and on `outcome.hold_time` for how long a
+caller waits. It does not read the body and refuses nothing.
 """
 
 from typing import Any, NamedTuple, Optional
@@ -15,16 +15,16 @@
 from ..client_request import ClientRequest
 from ..outcome.hold_time import WaitSource, caller_wait
 
-_NOT_PASSED_ON = frozenset(("content-length", "accept-encoding"))
-"""Headers that this VM sets itself towards a server, or that would have the answer encoded."""
+_NOT_FORWARDED_TO_SERVERS = frozenset(("content-length", "accept-encoding"))
+"""Headers that this VM sets itself for a server, or that would cause the answer to be encoded."""
 
 
 class ReadRequest(NamedTuple):
-    """A request as it was read.
+    """A request read from its ASGI scope.
 
     Args:
         request: The request.
-        wait_source: Where the length of its caller's wait comes from.
+        wait_source: Source of its caller's wait.
     """
 
     request: ClientRequest
@@ -44,11 +44,11 @@
         self.names = names
 
     def read(self, scope: dict[str, Any], body: bytes, arrived_at: float) -> ReadRequest:
-        """Return a request.
+        """Return the request of an ASGI scope.
 
         Args:
             scope: Its ASGI scope.
-            body: Its body, as far as it was kept.
+            body: Its body, as far as it has been read.
             arrived_at: Monotonic time of its arrival, in seconds.
         """
         headers = [(n.decode("latin-1"), v.decode("latin-1")) for n, v in scope["headers"]]
@@ -62,7 +62,7 @@
             host=first_by_name.get("host", ""),
             path=target.partition("?")[0],
             target=target,
-            headers=self._passed_on(headers),
+            headers=self._forwarded(headers),
             body=body,
             arrived_at=arrived_at,
             deadline=arrived_at + wait.seconds,
@@ -71,25 +71,25 @@
         )
         return ReadRequest(request, wait.source)
 
-    def _passed_on(self, headers: list[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
+    def _forwarded(self, headers: list[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
         names = self.names
         own = (names.deadline_ms, names.expected, names.api_key, names.workspace)
         return tuple(
             (name, value)
             for name, value in end_to_end(headers)
-            if name not in _NOT_PASSED_ON and name not in own
+            if name not in _NOT_FORWARDED_TO_SERVERS and name not in own
         )
 
 
 def _digest(api_keys: list[str]) -> Optional[bytes]:
-    """Return the digest of a request's API key; two keys are no proof of either workspace."""
+    """Return the digest of a request's API key; two keys prove neither workspace, so give None."""
     if len(api_keys) != 1 or not api_keys[0]:
         return None
     return key_digest(api_keys[0])
 
 
 def _cookie(header: str, name: str) -> str:
-    """Return the value of a cookie; empty when it is not there."""
+    """Return the value of a cookie; empty when it is absent."""
     for pair in header.split(";"):
         key, _, value = pair.strip().partition("=")
         if key.lower() == name.lower():
