--- a/tests/test_gateway_connection.py
+++ b/tests/test_gateway_connection.py
@@ -1,4 +1,4 @@
-"""Strict framing, and why the HTTP client library is not used towards backend servers."""
+"""Strict response framing, and why no HTTP client library is used towards backend servers."""
 
 import asyncio
 import socket
@@ -14,7 +14,7 @@
 
 
 class ResetAnswers(unittest.IsolatedAsyncioTestCase):
-    """A real server that resets its connection in the middle of an answer without a length."""
+    """A server that resets its connection in the middle of an answer without a content-length."""
 
     async def asyncSetUp(self) -> None:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -28,12 +28,12 @@
         await asyncio.sleep(0.05)
         reset(writer.transport)
 
-    async def test_a_reset_answer_is_no_answer(self) -> None:
+    async def test_an_answer_cut_by_a_reset_is_an_error(self) -> None:
         connection = await connect(self.address, 5.0)
         with self.assertRaises(ExchangeFailedError):
             await connection.exchange(_REQUEST)
 
-    async def test_the_client_library_takes_it_for_whole(self) -> None:
+    async def test_the_client_library_accepts_it_as_whole(self) -> None:
         async with (
             aiohttp.ClientSession() as session,
             session.get(f"http://{self.address}/") as response,
@@ -42,7 +42,7 @@
 
 
 class OwnPauses(unittest.IsolatedAsyncioTestCase):
-    """A process that stands still while a connection comes up."""
+    """The VM's own process stalls while a connection is established."""
 
     async def asyncSetUp(self) -> None:
         self.server = await asyncio.start_server(self._hold, "127.0.0.1", 0)
@@ -53,7 +53,7 @@
         await reader.read()
         writer.close()
 
-    async def test_a_server_that_took_the_connection_is_not_blamed(self) -> None:
+    async def test_a_server_that_accepted_the_connection_is_not_unreachable(self) -> None:
         opening = asyncio.ensure_future(connect(self.address, 0.2))
         await asyncio.sleep(0)
         asyncio.get_running_loop().call_soon(time.sleep, 0.4)
@@ -62,7 +62,7 @@
         connection.close()
         await asyncio.sleep(0.05)
 
-    async def test_a_silent_address_is_given_up_in_time(self) -> None:
+    async def test_connecting_to_an_address_that_does_not_answer_times_out(self) -> None:
         full = socket.socket()
         self.addCleanup(full.close)
         full.bind(("127.0.0.1", 0))
--- a/tests/test_gateway_pipeline.py
+++ b/tests/test_gateway_pipeline.py
@@ -1,4 +1,4 @@
-"""What callers get and what backend servers see, for every way in which a send can end."""
+"""What callers and backend servers receive, for each way in which an attempt can end."""
 
 import unittest
 from collections.abc import Callable
@@ -22,30 +22,32 @@
 
 
 class SpoiltAnswers(unittest.TestCase):
-    def test_a_repeatable_request_gets_a_whole_answer_from_another_server(self) -> None:
+    def test_a_repeatable_request_is_retried_at_another_server(self) -> None:
         for spoil in _SPOILT:
             if spoil in (Spoil.SILENT, Spoil.UNFRAMED, Spoil.OTHER_ID):
                 continue
             with self.subTest(spoil=spoil):
-                self.assertEqual(run_virtual(lambda loop, s=spoil: _one(loop, s, True)), (200, 2))
+                self.assertEqual(
+                    run_virtual(lambda loop, s=spoil: _send_one(loop, s, True)), (200, 2)
+                )
 
-    def test_a_request_that_must_not_run_twice_never_does_nor_is_called_not_run(self) -> None:
+    def test_a_non_repeatable_request_runs_once_and_is_never_promised_as_not_run(self) -> None:
         for spoil in _SPOILT:
             if spoil is Spoil.UNFRAMED:
                 continue
             with self.subTest(spoil=spoil):
-                status, runs = run_virtual(lambda loop, s=spoil: _one(loop, s, False))
+                status, runs = run_virtual(lambda loop, s=spoil: _send_one(loop, s, False))
                 self.assertEqual(runs, 1)
                 self.assertNotIn(status, _PROMISES)
                 self.assertGreaterEqual(status, 500)
 
-    def test_an_answer_without_length_is_whole_when_its_connection_ends_in_order(self) -> None:
-        self.assertEqual(run_virtual(lambda loop: _one(loop, Spoil.UNFRAMED, True)), (200, 1))
+    def test_an_answer_without_length_is_whole_if_its_connection_closes_cleanly(self) -> None:
+        self.assertEqual(run_virtual(lambda loop: _send_one(loop, Spoil.UNFRAMED, True)), (200, 1))
 
-    def test_an_answer_to_another_request_reaches_nobody(self) -> None:
-        self.assertEqual(run_virtual(lambda loop: _one(loop, Spoil.OTHER_ID, True)), (504, 1))
+    def test_an_answer_to_another_request_is_not_forwarded(self) -> None:
+        self.assertEqual(run_virtual(lambda loop: _send_one(loop, Spoil.OTHER_ID, True)), (504, 1))
 
-    def test_second_answers_reach_nobody(self) -> None:
+    def test_second_answers_are_not_forwarded(self) -> None:
         for spoil in (Spoil.TWICE, Spoil.TWICE_LATE):
             with self.subTest(spoil=spoil):
                 run_virtual(lambda loop, s=spoil: self._second_answers(loop, s))
@@ -65,7 +67,7 @@
             self.assertEqual(path.runs(f"q{number}"), 1)
 
 
-async def _one(loop: VirtualLoop, spoil: Spoil, repeatable: bool) -> tuple[int, int]:
+async def _send_one(loop: VirtualLoop, spoil: Spoil, repeatable: bool) -> tuple[int, int]:
     path = Path(loop)
     path.world.configure(route(repeatable=repeatable))
     path.first().spoils = [spoil]
@@ -74,7 +76,7 @@
 
 
 class Ends(unittest.TestCase):
-    def test_a_full_server_is_passed_over_and_a_refusal_is_a_promise(self) -> None:
+    def test_a_full_server_is_skipped_and_the_refusal_promises_no_run(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route(repeatable=False))
@@ -96,7 +98,7 @@
 
         run_virtual(main)
 
-    def test_a_dark_server_costs_no_run_and_little_time(self) -> None:
+    def test_a_server_that_drops_packets_costs_no_run_and_little_time(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route(repeatable=False))
@@ -108,7 +110,7 @@
 
         run_virtual(main)
 
-    def test_an_address_that_another_service_took_over_runs_nothing(self) -> None:
+    def test_an_address_taken_over_by_another_service_runs_no_request(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route(repeatable=False))
@@ -120,7 +122,7 @@
 
         run_virtual(main)
 
-    def test_a_held_request_is_answered_at_its_routes_time(self) -> None:
+    def test_a_request_is_answered_at_its_routes_timeout(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route(timeout_s=0.5))
@@ -136,7 +138,7 @@
 
         run_virtual(main)
 
-    def test_a_caller_that_leaves_ends_the_run_at_once(self) -> None:
+    def test_a_caller_that_leaves_cancels_the_run_at_once(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route())
@@ -149,7 +151,7 @@
 
         run_virtual(main)
 
-    def test_without_a_configuration_nothing_is_denied(self) -> None:
+    def test_without_a_configuration_the_status_is_503_and_not_404(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             reply = await path.pipeline.run(path.request("q"))
@@ -160,7 +162,7 @@
 
         run_virtual(main)
 
-    def test_a_repeat_meets_the_newest_configuration(self) -> None:
+    def test_a_retry_uses_the_current_configuration(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route(), version=1)
@@ -176,7 +178,7 @@
 
 
 class Repeats(unittest.TestCase):
-    def test_the_fleets_budget_bounds_repeats_when_every_answer_is_lost(self) -> None:
+    def test_the_fleets_budget_limits_retries_when_every_answer_is_lost(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route())
@@ -211,16 +213,21 @@
 
 
 class OwnFailures(unittest.TestCase):
-    """A server's own failure is final only where no other server may be asked."""
+    """A server's own failure is final only if no other server may be tried."""
 
-    def _reply(self, failing: int, **changes: object) -> tuple[int, int]:
-        """Return the status of a request whose first servers fail, and how often it ran."""
+    def _reply(self, failing_servers: int, **changes: object) -> tuple[int, int]:
+        """Return the status of a request whose first servers fail, and how often it ran.
+
+        Args:
+            failing_servers: Number of servers that fail, in the order of the ranking.
+            **changes: Fields of the route.
+        """
 
         async def main(loop: VirtualLoop) -> tuple[int, int]:
             path = Path(loop, servers=3)
             path.world.configure(route(**changes))
             ranking = path.ranker.place("rates", "lane-1", (), loop.time())
-            for server in ranking.servers[:failing]:
+            for server in ranking.servers[:failing_servers]:
                 path.servers[server.backend.id].spoils = [Spoil.FAILED]
             reply = await path.pipeline.run(path.request("q"))
             if reply.status == 500:
@@ -233,13 +240,13 @@
     def test_another_server_answers_a_repeatable_request(self) -> None:
         self.assertEqual(self._reply(1), (200, 2))
 
-    def test_the_failure_is_passed_on_when_all_attempts_fail(self) -> None:
+    def test_the_failure_is_forwarded_when_all_attempts_fail(self) -> None:
         self.assertEqual(self._reply(3), (500, 2))
 
-    def test_the_failure_is_passed_on_when_the_request_must_not_run_twice(self) -> None:
+    def test_the_failure_is_forwarded_when_the_request_is_not_repeatable(self) -> None:
         self.assertEqual(self._reply(1, repeatable=False), (500, 1))
 
-    def test_the_failure_is_passed_on_when_the_budget_is_spent(self) -> None:
+    def test_the_failure_is_forwarded_when_the_retry_budget_is_used_up(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route())
@@ -254,7 +261,7 @@
 
 
 class Placing(unittest.TestCase):
-    def test_an_object_stays_with_its_server_while_others_come_and_go(self) -> None:
+    def test_an_object_stays_with_its_server_when_another_one_leaves(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=6)
             path.world.configure(route())
@@ -268,7 +275,7 @@
 
         run_virtual(main)
 
-    def test_routes_with_regions_reach_no_other(self) -> None:
+    def test_a_route_with_regions_sends_to_no_other_region(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=6, halls=("east-a", "west-a"))
             path.world.configure(route(regions=("west",)))
@@ -282,7 +289,7 @@
 
 
 _LATE_S = 0.1
-"""Seconds after which a late connection comes up: below the time that a connection has."""
+"""Time after which a late connection is established: below the connect time-out."""
 
 
 def _drain(path: Path, server: BackendServer) -> None:
@@ -313,24 +320,24 @@
 
 
 def _lapse(path: Path, server: BackendServer) -> None:
-    """Let a server's entry go in an outage, in which a server that runs may lose its entry."""
+    """Drop a server's entry during a store outage, in which a running server may lose its entry."""
     path.world.outages.lost(path.loop.time() - 2 * path.world.outages.heartbeat_s)
     _remove(path, server)
 
 
-class _Kept(NamedTuple):
-    """What a VM keeps of a server after a request that it was chosen for.
+class _ServerState(NamedTuple):
+    """A VM's state about a server after a request for which that server was selected.
 
     Args:
-        retries: Retries taken from the budget of its service.
-        failures: Failures in a row.
-        resting: True when it gets no request for a while.
+        retries: Number of retries taken from the budget of its service.
+        failures: Number of consecutive failures.
+        resting: True when it is backed off.
         ejected: True when it is ejected.
-        samples: True when the outlier detector holds a record of it.
-        in_flight: Requests that count as at work there.
-        started: Times of these requests, in monotonic seconds.
-        cold_sends: Times of sends that count towards its cold limit, in monotonic seconds.
-        connections: Connections that are open there.
+        samples: True when the outlier detector has a record of it.
+        in_flight: Number of requests that count as in flight there.
+        started: Start times of these requests, in monotonic seconds.
+        cold_sends: Times of requests that count towards its cold limit, in monotonic seconds.
+        connections: Number of connections that are open there.
     """
 
     retries: int
@@ -344,12 +351,12 @@
     connections: int
 
 
-_NOTHING_KEPT = _Kept(0, 0, False, False, False, 0, [], [], 0)
+_UNTOUCHED = _ServerState(0, 0, False, False, False, 0, [], [], 0)
 
 
-def _kept(path: Path, server: BackendServer) -> _Kept:
+def _server_state(path: Path, server: BackendServer) -> _ServerState:
     now = path.loop.time()
-    return _Kept(
+    return _ServerState(
         path.pipeline.budgets.of("rates").retries.count(now),
         server.rest.failures,
         server.rest.until > now,
@@ -363,22 +370,25 @@
 
 
 class Departures(unittest.TestCase):
-    """A connection may take long to come up, and its server may leave meanwhile.
+    """A server that leaves while a connection to it is established gets no request.
 
-    Operators saw requests reach backend servers that had left before. A request chose its server,
-    then waited for a connection; the VM learnt in that time that the server drains, is gone or
-    stands in an evacuated data hall, and sent the request all the same, as nothing looked at the
-    server again. The request got no byte out, so it has not run: it belongs to another server, and
-    nothing of this is the fault of the server that left.
+    Guards against requests that reach backend servers after these have left. A request selects its
+    server and then waits for a connection. If the VM learns meanwhile that the server is draining
+    or gone, or that its data hall is evacuated, and does not check the server again, it sends the
+    request all the same. No byte has been sent by then, so the request has not run: it is to be
+    sent to another server, and no failure is to be recorded for the server that left.
     """
 
-    def test_a_server_that_leaves_while_its_connection_comes_up_gets_no_request(self) -> None:
+    def test_a_server_that_leaves_during_connect_gets_no_request(self) -> None:
         ways = (_drain, _remove, _evacuate)
-        ends = {way.__name__: run_virtual(lambda loop, w=way: _one_leaves(loop, w)) for way in ways}
-        elsewhere = _End(200, 1, 0, [(Verdict.NOT_RUN, False)], _NOTHING_KEPT)
-        self.assertEqual(ends, {way.__name__: elsewhere for way in ways})
-
-    def test_a_server_that_left_takes_none_of_the_routes_attempts(self) -> None:
+        outcomes = {
+            way.__name__: run_virtual(lambda loop, w=way: _outcome_when_leaving(loop, w))
+            for way in ways
+        }
+        elsewhere = _Outcome(200, 1, 0, [(Verdict.NOT_RUN, False)], _UNTOUCHED)
+        self.assertEqual(outcomes, {way.__name__: elsewhere for way in ways})
+
+    def test_a_server_that_left_does_not_count_as_an_attempt(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=3)
             path.world.configure(route(repeatable=False, max_attempts=1))
@@ -390,7 +400,7 @@
             self.assertEqual((reply.status, path.runs("q")), (200, 1))
             self.assertEqual(whys, ["not-offered", "shed-503", "answered"])
             self.assertEqual(len(path.servers[last.backend.id].runs), 1)
-            self.assertEqual(_kept(path, left).retries, 1)
+            self.assertEqual(_server_state(path, left).retries, 1)
 
         run_virtual(main)
 
@@ -402,11 +412,11 @@
             reply = await _run_while_leaving(path, path.request("q"), leaving)
             self.assertEqual((reply.status, path.runs("q")), (200, 1))
             self.assertEqual(len(path.servers[last.backend.id].runs), 1)
-            self.assertEqual([_kept(path, server) for server in leaving], [_NOTHING_KEPT] * 4)
+            self.assertEqual([_server_state(path, server) for server in leaving], [_UNTOUCHED] * 4)
 
         run_virtual(main)
 
-    def test_a_request_whose_servers_all_leave_ends_with_a_promise(self) -> None:
+    def test_a_request_whose_servers_all_leave_is_promised_as_not_run(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=5)
             path.world.configure(route(repeatable=False, max_attempts=1))
@@ -420,35 +430,37 @@
 
         run_virtual(main)
 
-    def test_a_server_that_is_still_offered_gets_the_request_of_a_late_connection(self) -> None:
+    def test_a_server_still_available_after_a_slow_connect_gets_the_request(self) -> None:
         for change in (_keep, _rest, _turn_cold, _lapse):
             with self.subTest(change=change.__name__):
-                end = run_virtual(lambda loop, change=change: _one_leaves(loop, change))
-                self.assertEqual((end.status, end.runs, end.arrivals), (200, 1, 1))
+                outcome = run_virtual(
+                    lambda loop, change=change: _outcome_when_leaving(loop, change)
+                )
+                self.assertEqual((outcome.status, outcome.runs, outcome.arrivals), (200, 1, 1))
 
 
-class _End(NamedTuple):
-    """The end of a request whose first server leaves while its connection comes up.
+class _Outcome(NamedTuple):
+    """The outcome of a request whose first server leaves while its connection is established.
 
     Args:
         status: HTTP status.
-        runs: How often it ran, at all servers.
-        arrivals: How often it reached the server that left.
-        spent: Verdicts of its attempts there, and whether a byte may have arrived.
-        kept: What the VM keeps of that server.
+        runs: Number of runs, at all servers.
+        arrivals: Number of times that it reached the server that left.
+        attempts: Verdicts of its attempts there, and whether a byte may have arrived.
+        state: The VM's state about that server.
     """
 
     status: int
     runs: int
     arrivals: int
-    spent: list[tuple[Verdict, bool]]
-    kept: _Kept
+    attempts: list[tuple[Verdict, bool]]
+    state: _ServerState
 
 
 async def _run_while_leaving(
     path: Path, request: ClientRequest, leaving: list[BackendServer]
 ) -> Reply:
-    """Run a request; its servers leave in turn, each half-way through the wait for a connection."""
+    """Run a request whose servers leave in turn, each half-way through its connect time."""
     for server in leaving:
         path.delay(path.servers[server.backend.id], _LATE_S)
     task = path.loop.create_task(path.pipeline.run(request))
@@ -461,8 +473,10 @@
     return reply
 
 
-async def _one_leaves(loop: VirtualLoop, leave: Callable[[Path, BackendServer], None]) -> _End:
-    """Run a request whose server leaves half-way through the wait for its connection."""
+async def _outcome_when_leaving(
+    loop: VirtualLoop, leave: Callable[[Path, BackendServer], None]
+) -> _Outcome:
+    """Run a request whose server leaves half-way through the connect time."""
     path = Path(loop, servers=4, halls=("east-a", "east-b"))
     path.world.configure(route(repeatable=False, max_attempts=1))
     left = path.ranker.place("rates", "lane-1", (), loop.time()).servers[0]
@@ -474,9 +488,11 @@
     leave(path, left)
     reply = await task
     await pass_time(2 * loop.delay_s)
-    spent = [
+    attempts = [
         (attempt.verdict, attempt.arrived)
         for attempt in request.attempts
         if attempt.server_id == left.backend.id
     ]
-    return _End(reply.status, path.runs("q"), len(scripted.arrivals), spent, _kept(path, left))
+    return _Outcome(
+        reply.status, path.runs("q"), len(scripted.arrivals), attempts, _server_state(path, left)
+    )
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -70,7 +70,7 @@
 
 
 class CallersWait(unittest.TestCase):
-    def test_each_source(self) -> None:
+    def test_each_source_of_a_callers_wait(self) -> None:
         for text, seconds, source in (
             ("2500", 2.5, WaitSource.STATED),
             ("300001", MAX_WAIT_S, WaitSource.CAPPED),
@@ -89,7 +89,7 @@
     def _hold(self, timeout_s: Optional[float]) -> tuple[float, HoldBound]:
         return tuple(hold_time(_request(), route(timeout_s=timeout_s)))
 
-    def test_the_routes_time_or_shortly_before_the_caller_leaves(self) -> None:
+    def test_the_routes_timeout_or_the_callers_deadline_minus_the_margin(self) -> None:
         self.assertEqual(self._hold(0.8), (10.8, HoldBound.ROUTE))
         self.assertEqual(self._hold(9.0), (12.5 - ANSWER_MARGIN_S, HoldBound.CALLER))
         self.assertEqual(self._hold(None), (12.5 - ANSWER_MARGIN_S, HoldBound.CALLER))
@@ -110,40 +110,48 @@
         self.assertIs(self._reason(failure, repeatable=False), RetryReason.FAILURE_IS_FINAL)
 
     def test_an_attempt_that_may_have_run(self) -> None:
-        lost = _unanswered(Verdict.UNKNOWN, "reset")
-        late = _unanswered(Verdict.UNKNOWN, TIMED_OUT)
-        self.assertIs(self._reason(lost), RetryReason.NOT_ANSWERED)
-        self.assertIs(self._reason(lost, lost), RetryReason.MAY_HAVE_RUN)
-        self.assertIs(self._reason(lost, repeatable=False), RetryReason.MAY_HAVE_RUN)
-        self.assertIs(self._reason(late), RetryReason.TIME_IS_UP)
+        reset = _unanswered(Verdict.UNKNOWN, "reset")
+        timed_out = _unanswered(Verdict.UNKNOWN, TIMED_OUT)
+        self.assertIs(self._reason(reset), RetryReason.NOT_ANSWERED)
+        self.assertIs(self._reason(reset, reset), RetryReason.MAY_HAVE_RUN)
+        self.assertIs(self._reason(reset, repeatable=False), RetryReason.MAY_HAVE_RUN)
+        self.assertIs(self._reason(timed_out), RetryReason.TIME_IS_UP)
 
     def test_an_attempt_that_did_not_run(self) -> None:
         shed = _unanswered(Verdict.NOT_RUN, "shed-503")
-        dark = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
+        unreachable = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
         self.assertIs(self._reason(shed, repeatable=False), RetryReason.NOT_ANSWERED)
         self.assertIs(self._reason(shed, shed, shed), RetryReason.TOO_MANY_ATTEMPTS)
-        self.assertIs(self._reason(dark, dark), RetryReason.UNREACHABLE)
-        self.assertIs(self._reason(dark, dark, dark), RetryReason.TOO_MANY_UNREACHABLE)
+        self.assertIs(self._reason(unreachable, unreachable), RetryReason.UNREACHABLE)
+        self.assertIs(
+            self._reason(unreachable, unreachable, unreachable), RetryReason.TOO_MANY_UNREACHABLE
+        )
 
-    def test_a_server_that_got_no_byte_takes_no_attempt(self) -> None:
+    def test_a_server_that_got_no_byte_does_not_count_as_an_attempt(self) -> None:
         shed = _unanswered(Verdict.NOT_RUN, "shed-503")
-        dark = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
-        gone = _unanswered(Verdict.NOT_RUN, "not-offered", arrived=False)
-        for unsent in (dark, gone):
+        unreachable = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
+        not_offered = _unanswered(Verdict.NOT_RUN, "not-offered", arrived=False)
+        for unsent in (unreachable, not_offered):
             self.assertIs(self._reason(unsent, shed, shed), RetryReason.NOT_ANSWERED)
             self.assertIs(self._reason(unsent, shed, shed, shed), RetryReason.TOO_MANY_ATTEMPTS)
-        self.assertIs(self._reason(gone, gone, gone, gone), RetryReason.NOT_OFFERED)
-        self.assertIs(self._reason(gone, gone, dark, dark), RetryReason.UNREACHABLE)
-
-    def test_only_a_server_that_got_nothing_costs_no_retry(self) -> None:
-        dark = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
-        gone = _unanswered(Verdict.NOT_RUN, "not-offered", arrived=False)
-        self.assertFalse(decide_retry(_request(dark), route(), dark).costs_retry)
-        self.assertFalse(decide_retry(_request(gone), route(), gone).costs_retry)
+        self.assertIs(
+            self._reason(not_offered, not_offered, not_offered, not_offered),
+            RetryReason.NOT_OFFERED,
+        )
+        self.assertIs(
+            self._reason(not_offered, not_offered, unreachable, unreachable),
+            RetryReason.UNREACHABLE,
+        )
+
+    def test_only_a_server_that_got_no_byte_costs_no_retry(self) -> None:
+        unreachable = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
+        not_offered = _unanswered(Verdict.NOT_RUN, "not-offered", arrived=False)
+        self.assertFalse(decide_retry(_request(unreachable), route(), unreachable).costs_retry)
+        self.assertFalse(decide_retry(_request(not_offered), route(), not_offered).costs_retry)
         for attempt in (_answered(500), _unanswered(Verdict.NOT_RUN, "shed-503")):
             self.assertTrue(decide_retry(_request(attempt), route(), attempt).costs_retry)
 
-    def test_without_budget_nothing_is_sent_again(self) -> None:
+    def test_without_budget_nothing_is_retried(self) -> None:
         for verdict, refusal in (
             (Verdict.ANSWERED, None),
             (Verdict.NOT_RUN, RefusalReason.NO_ROOM),
@@ -156,7 +164,7 @@
 
 class FinalAnswers(unittest.TestCase):
     def test_no_promise_once_a_server_may_have_run_it(self) -> None:
-        lost = _unanswered(Verdict.UNKNOWN, "reset")
+        reset = _unanswered(Verdict.UNKNOWN, "reset")
         shed = _unanswered(Verdict.NOT_RUN, "shed-503")
         for refusal, attempts in itertools.product(
             (
@@ -165,26 +173,26 @@
                 RefusalReason.NO_ROOM,
                 RefusalReason.NO_SERVER,
             ),
-            ((lost,), (lost, shed), (shed, lost)),
+            ((reset,), (reset, shed), (shed, reset)),
         ):
             request = _request(*attempts)
             reply = final_answer.not_served(request, route(), refusal, random.Random(1))
             self.assertNotIn(reply.status, _PROMISES)
             self.assertIsNone(reply.retry_after_s)
 
-    def test_a_request_that_ran_nowhere_gets_a_promise_and_a_time(self) -> None:
+    def test_a_request_that_did_not_run_gets_a_promise_and_retry_after(self) -> None:
         request = _request(_unanswered(Verdict.NOT_RUN, "shed-503"))
         reply = final_answer.not_served(request, route(), RefusalReason.TIMEOUT, random.Random(1))
         self.assertEqual((reply.status, reply.refusal), (503, RefusalReason.NO_TIME))
         low, high = final_answer.RETRY_AFTER_RANGE_S
         self.assertTrue(low <= reply.retry_after_s <= high)
 
-    def test_a_servers_failure_is_passed_on(self) -> None:
+    def test_a_servers_failure_is_forwarded(self) -> None:
         request = _request(_answered(500), _unanswered(Verdict.UNKNOWN, "reset"))
         reply = final_answer.not_served(request, route(), RefusalReason.FAILED, random.Random(1))
         self.assertEqual((reply.status, reply.refusal), (500, None))
 
-    def test_a_stop_promises_only_what_no_server_has_seen(self) -> None:
+    def test_a_stop_promises_no_run_only_before_a_server_got_the_request(self) -> None:
         request = _request()
         self.assertEqual(final_answer.stopped(request, random.Random(1)).status, 503)
         request.at_server = True
@@ -202,14 +210,14 @@
         memory.release(160)
         self.assertEqual(memory.room_bytes(30), 30)
 
-    def test_what_does_not_end_is_refused_with_its_reason(self) -> None:
+    def test_an_incomplete_body_is_refused_with_its_reason(self) -> None:
         self.assertIs(admit_body(10, 10, complete=True), BodyAdmission.ADMITTED)
         self.assertIs(admit_body(11, 10, complete=False), BodyAdmission.TOO_LARGE)
         self.assertIs(admit_body(5, 10, complete=False), BodyAdmission.NO_MEMORY)
 
 
 class ReadRequests(unittest.TestCase):
-    def test_the_first_of_two_headers_counts_and_own_ones_stay_here(self) -> None:
+    def test_the_first_of_two_headers_counts_and_own_ones_are_not_forwarded(self) -> None:
         headers = (
             (NAMES.deadline_ms, "soon"),
             (NAMES.deadline_ms, "2500"),
@@ -251,8 +259,8 @@
             for server, load in zip(ranking.servers, loads, strict=True):
                 server.estimate.record(load, server.in_flight, loop.time())
             ids = [server.backend.id for server in ranking.servers]
-            dark = [Attempt(i, Verdict.NOT_RUN, False, "unreachable") for i in ids[:tried]]
-            request = _request(*dark)
+            unreachable = [Attempt(i, Verdict.NOT_RUN, False, "unreachable") for i in ids[:tried]]
+            request = _request(*unreachable)
             request.key = "lane-1"
             path.outliers.sent_objects.record(ids[warm], request.key, loop.time())
             chosen = path.choice.selector.choose(
@@ -264,12 +272,12 @@
 
         return run_virtual(main)
 
-    def test_the_first_server_that_can_be_used(self) -> None:
+    def test_the_first_usable_server_is_selected(self) -> None:
         self.assertEqual(self._choose(0, 0), (0, SelectionReason.FIRST_CHOICE))
         self.assertEqual(self._choose(0, 0, tried=1), (1, SelectionReason.FIRST_USABLE))
         self.assertEqual(self._choose(0, tried=1), (-1, BlockedReason.NO_SERVER))
 
-    def test_the_next_server_helps(self) -> None:
+    def test_a_busy_server_spills_over_to_the_next_one(self) -> None:
         self.assertEqual(self._choose(8, 2), (0, SelectionReason.FIRST_CHOICE))
         self.assertEqual(self._choose(9, 2), (1, SelectionReason.SHARES_BUSY))
         self.assertEqual(self._choose(6, 2, warm=1), (1, SelectionReason.SHARES_BUSY))
@@ -277,7 +285,7 @@
         self.assertEqual(self._choose(12, 2), (1, SelectionReason.HELPS_FULL))
         self.assertEqual(self._choose(12, 3), (-1, BlockedReason.LOAD_LIMIT))
 
-    def test_a_server_of_another_region_helps_only_a_full_one(self) -> None:
+    def test_only_a_full_server_spills_over_to_another_region(self) -> None:
         halls = ("east-a", "west-a")
         self.assertEqual(self._choose(6, 0, halls=halls), (0, SelectionReason.FIRST_CHOICE))
         self.assertEqual(self._choose(12, 2, halls=halls), (1, SelectionReason.HELPS_FULL))
@@ -310,18 +318,18 @@
 
     def test_only_a_request_without_attempts_waits_for_room(self) -> None:
         self.assertAlmostEqual(room_wait_s(_request(), route(latency_target_s=1.0), 10.0), 0.1)
-        lost = _unanswered(Verdict.UNKNOWN, "reset")
-        self.assertEqual(room_wait_s(_request(lost), route(), 10.0), 0.0)
+        reset = _unanswered(Verdict.UNKNOWN, "reset")
+        self.assertEqual(room_wait_s(_request(reset), route(), 10.0), 0.0)
 
 
 class TimeLeft(unittest.TestCase):
-    def test_a_request_needs_the_least_time_of_its_service(self) -> None:
+    def test_a_request_needs_the_shortest_latency_of_its_service(self) -> None:
         self.assertTrue(has_time(10.0, 9.9, 0.0))
         self.assertTrue(has_time(10.0, 9.9, 0.05))
         self.assertFalse(has_time(10.0, 9.9, 0.2))
         self.assertFalse(has_time(10.0, 10.0, 0.0))
 
-    def test_one_without_it_is_refused_at_once_and_sent_nowhere(self) -> None:
+    def test_a_request_with_less_time_is_refused_at_once_and_not_sent(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=2)
             path.world.configure(route(repeatable=False))
@@ -338,7 +346,7 @@
 
         run_virtual(main)
 
-    def test_one_that_may_have_run_gets_no_promise_for_it(self) -> None:
+    def test_a_request_with_less_time_that_may_have_run_gets_no_promise(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=2)
             path.world.configure(route())
@@ -355,15 +363,15 @@
 
 
 class KeptConnections(unittest.TestCase):
-    def test_what_must_not_run_twice_needs_a_connection_that_has_just_answered(self) -> None:
-        lost = _unanswered(Verdict.UNKNOWN, "reset")
+    def test_a_non_repeatable_request_needs_a_recently_used_connection(self) -> None:
+        reset = _unanswered(Verdict.UNKNOWN, "reset")
         once = route(repeatable=False)
         self.assertEqual(most_rest_s(_request(), route()), float("inf"))
         self.assertEqual(most_rest_s(_request(), once), MAX_NON_REPEATABLE_IDLE_S)
-        self.assertEqual(most_rest_s(_request(lost), route()), 0.0)
-        self.assertEqual(most_rest_s(_request(lost), once), 0.0)
+        self.assertEqual(most_rest_s(_request(reset), route()), 0.0)
+        self.assertEqual(most_rest_s(_request(reset), once), 0.0)
 
-    def test_a_booking_takes_a_new_connection_after_a_rest(self) -> None:
+    def test_a_non_repeatable_request_opens_a_connection_after_idle_time(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             path.world.configure(route(repeatable=False))
@@ -393,7 +401,7 @@
         self.assertNotIn("requests_with_unreadable_deadline", before)
         self.assertIn("requests_with_unreadable_deadline 1\n", after)
 
-    def test_a_body_without_memory_is_refused_with_a_time_to_come_back(self) -> None:
+    def test_a_body_without_memory_is_refused_with_retry_after(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             vm = await VirtualGateway(loop).started()
             app = vm.gateway.requests.app
@@ -408,7 +416,7 @@
 
 class BlockedFields(unittest.TestCase):
     @given(st.floats(0, 1e9), st.floats(0, 1e9), st.floats(0, allow_infinity=True))
-    def test_the_fields_of_a_line_keep_their_names_and_have_numbers(self, limit, load, age) -> None:
+    def test_log_fields_have_fixed_names_and_finite_numbers(self, limit, load, age) -> None:
         blocked = Blocked("s0", BlockedReason.LOAD_LIMIT, 3, limit, load, age)
         fields = blocked.log_fields()
         self.assertEqual(list(fields), ["server_id", "in_flight", "window", "load", "told_s"])
--- a/tests/test_gateway_retry_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -17,21 +17,21 @@
 
 
 class Limit(unittest.TestCase):
-    def test_a_part_of_ratio_and_slack_is_spent_in_a_window(self) -> None:
+    def test_a_fraction_of_ratio_and_slack_is_available_in_a_window(self) -> None:
         budget = WindowRetryBudget(Bounds(retry_ratio=0.2, retry_window_s=10.0, retry_slack=60.0))
         for _ in range(100):
             budget.arrived(1.0)
         self.assertEqual(_taken(budget, 1.0, vm_count=4), int(0.75 * (0.2 * 100 + 60.0 / 4)))
         self.assertEqual(_taken(budget, 5.0, vm_count=4), 0)
 
-    def test_the_window_passes(self) -> None:
+    def test_the_budget_is_restored_after_the_window(self) -> None:
         budget = WindowRetryBudget(Bounds(retry_ratio=0.2, retry_window_s=10.0, retry_slack=60.0))
         self.assertEqual(_taken(budget, 1.0), 45)
         self.assertEqual(_taken(budget, 13.0), 45)
 
 
 class Reload(unittest.TestCase):
-    def test_a_reload_gives_no_second_budget(self) -> None:
+    def test_a_reload_grants_no_second_budget(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route())
@@ -46,7 +46,7 @@
 
         run_virtual(main)
 
-    def test_demand_is_not_forgotten(self) -> None:
+    def test_a_reload_keeps_the_request_counts(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route())
--- a/tests/test_gateway_return_times.py
+++ b/tests/test_gateway_return_times.py
@@ -25,7 +25,7 @@
 
 class ReturnsOfRefusedCallers(unittest.TestCase):
     @given(st.floats(0.01, 2.0), st.integers(1, 200))
-    def test_they_are_bounded_and_as_many_a_second_as_the_server_frees(
+    def test_retries_are_bounded_and_follow_the_rate_of_freed_slots(
         self, latency_s, callers
     ) -> None:
         async def main(loop: VirtualLoop) -> list[float]:
@@ -40,7 +40,7 @@
             back = sum(after_s < end for after_s in returns)
             self.assertLessEqual(back, room_per_s * end + 1)
 
-    def test_those_refused_first_return_about_first(self) -> None:
+    def test_callers_refused_first_retry_about_first(self) -> None:
         async def main(loop: VirtualLoop) -> list[float]:
             times = _times(loop, 0.6)
             return [times.retry_after_s("s0", 10.0) for _ in range(6)]
@@ -49,7 +49,7 @@
         for earlier, later in zip(returns, returns[2:], strict=False):
             self.assertLess(earlier, later)
 
-    def test_nothing_is_said_of_a_server_that_is_gone_or_never_answered(self) -> None:
+    def test_a_server_that_is_gone_or_never_answered_has_no_retry_after(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             times = ReturnTimes(path.world.registry, random.Random(1))
@@ -62,7 +62,7 @@
 
         run_virtual(main)
 
-    def test_a_refusal_for_lack_of_room_says_it(self) -> None:
+    def test_a_refusal_for_lack_of_room_has_this_retry_after(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             path.world.configure(route(latency_target_s=0.1))
--- a/tests/test_gateway_routes.py
+++ b/tests/test_gateway_routes.py
@@ -27,7 +27,7 @@
         oracle = max((p for p in listed if asked.startswith(p)), key=len, default=None)
         self.assertEqual(found.name if found else None, oracle)
 
-    def test_hosts_are_told_apart_without_case_or_port(self) -> None:
+    def test_hosts_are_compared_without_case_or_port(self) -> None:
         table = RouteTable(RouteConfiguration(1, (route(),), {}))
         self.assertIsNotNone(table.find("Quotes.Example:8080", "/rates/x"))
         self.assertIsNone(table.find("other.example", "/rates/x"))
--- a/tests/test_gateway_server_selection.py
+++ b/tests/test_gateway_server_selection.py
@@ -22,7 +22,7 @@
 
 
 class SilentServers(unittest.TestCase):
-    def test_a_server_that_answers_nobody_gets_no_more_requests(self) -> None:
+    def test_a_server_that_never_answers_gets_no_more_requests(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route())
@@ -38,7 +38,7 @@
 
         run_virtual(main)
 
-    def test_a_slow_server_that_goes_on_answering_is_not_silent(self) -> None:
+    def test_a_slow_server_that_keeps_answering_is_not_silent(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop)
             path.world.configure(route())
@@ -76,15 +76,15 @@
 
         return run_virtual(main)
 
-    def test_requests_beyond_the_first_servers_room_go_to_no_busy_server(self) -> None:
+    def test_a_full_server_does_not_spill_over_to_busy_ones(self) -> None:
         self.assertEqual(self._runs_after_a_push(busy=4)[1:], [0, 0])
 
-    def test_the_next_server_helps_while_it_is_nearly_idle_and_no_other_does(self) -> None:
+    def test_a_full_server_spills_over_only_to_the_next_one_while_that_is_idle(self) -> None:
         first, following, third = self._runs_after_a_push(busy=0)
         self.assertEqual((first, third), (6, 0))
         self.assertTrue(1 <= following <= 3, following)
 
-    def test_a_busy_server_shares_with_the_next_one_where_the_object_is_warm(
+    def test_a_busy_server_spills_over_where_the_object_is_warm(
         self,
     ) -> None:
         async def main(loop: VirtualLoop) -> None:
@@ -102,7 +102,7 @@
 
         run_virtual(main)
 
-    def test_a_server_of_another_region_helps_only_where_there_is_no_room_at_all(self) -> None:
+    def test_only_a_server_without_room_spills_over_to_another_region(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=2, halls=("east-a", "west-a"))
             path.world.configure(route())
@@ -120,7 +120,7 @@
         self.assertEqual(reply.status, 200)
         return [len(path.servers[server.backend.id].runs) for server in order]
 
-    def test_room_that_comes_soon_is_waited_for(self) -> None:
+    def test_a_request_waits_for_room_that_is_freed_soon(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             path.world.configure(route(latency_target_s=1.0))
@@ -134,7 +134,7 @@
 
         run_virtual(main)
 
-    def test_an_overloaded_server_gets_less_and_a_free_one_more_again(self) -> None:
+    def test_overload_lowers_the_concurrency_limit_and_free_slots_raise_it(self) -> None:
         server = BackendServer(BackendEntry("s0", "rates", "10.0.0.1:80", "east-a", 6))
         for number in range(20):
             server.record_load(6, 12, number * 0.25)
@@ -143,12 +143,12 @@
             server.record_load(3, 0, 10.0 + number * 0.1)
         self.assertEqual(server.concurrency_limit, 6.0)
 
-    def test_a_server_that_refuses_with_free_slots_is_not_taken_for_full(self) -> None:
+    def test_a_server_that_refuses_with_free_slots_is_not_treated_as_full(self) -> None:
         for load, limit in (("2,0,6", 6.0), ("6,3,6", 4.2), ("", 4.2)):
             with self.subTest(load=load):
                 self.assertAlmostEqual(run_virtual(lambda loop, x=load: self._shed(loop, x)), limit)
 
-    def test_a_server_that_states_no_load_gets_more_again_once_it_answers(self) -> None:
+    def test_answers_raise_the_limit_of_a_server_that_reports_no_load(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             path.world.configure(route())
@@ -176,7 +176,7 @@
         self.assertEqual(server.paused_until > loop.time(), load != "2,0,6")
         return server.limit.value
 
-    def test_beyond_all_room_requests_are_refused_early_as_not_run(self) -> None:
+    def test_requests_beyond_the_servers_room_are_refused_early_as_not_run(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=2)
             path.world.configure(route())
@@ -251,7 +251,7 @@
 
         run_virtual(main)
 
-    def test_a_caller_that_returns_goes_before_those_that_came_after_its_first_try(self) -> None:
+    def test_a_retrying_caller_goes_before_those_that_came_after_its_first_try(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             tasks = await self._six_run_and_six_wait(path)
@@ -286,16 +286,16 @@
 
         return run_virtual(main)
 
-    def test_nothing_is_queued_where_it_would_end_after_the_routes_time(self) -> None:
+    def test_requests_that_would_exceed_the_routes_timeout_are_not_queued(self) -> None:
         sent, statuses = self._runs(0.9, 1.0)
         self.assertEqual((sent, statuses), (0, {503}))
 
-    def test_short_work_is_queued(self) -> None:
+    def test_short_requests_are_queued(self) -> None:
         self.assertGreaterEqual(self._runs(0.1, 1.0)[0], 4)
 
 
 class OverloadedServers(unittest.TestCase):
-    def test_vms_that_sent_nothing_know_that_a_server_is_overloaded(self) -> None:
+    def test_vms_that_sent_no_request_learn_that_a_server_is_overloaded(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store = standin(loop)
             store.put("op/config", configuration(3))
@@ -318,7 +318,7 @@
         now = fleet.loop.time()
         return [round(m.registry.servers["s0"].load(now), 1) for m in fleet.vms[1:]]
 
-    def test_the_same_server_is_not_told_of_again_and_again(self) -> None:
+    def test_overload_of_a_server_is_not_reported_at_every_answer(self) -> None:
         world = World()
         world.say("servers/s0", BackendEntry("s0", "rates", "10.0.0.1:80", "east-a", 6))
         for number in range(40):
