--- a/sprucewinch/gateway/requests/app.py
+++ b/sprucewinch/gateway/requests/app.py
@@ -44,7 +44,7 @@
         self.request: Optional[ClientRequest] = None
 
     @property
-    def cut_short(self) -> bool:
+    def body_partly_read(self) -> bool:
         """Return whether the body was read only in part, so that the connection must close.
 
         The listener discards a body that nobody began to read as it arrives. To close the
@@ -130,7 +130,7 @@
             reply = await self._reply(exchange, task)
             self._serving.discard(task)
             self._record_reply(exchange, reply)
-            await write_reply(reply, send, close=self.stopping or exchange.cut_short)
+            await write_reply(reply, send, close=self.stopping or exchange.body_partly_read)
         except CallerLeftError:
             # Before the whole request is read, nothing has run and there is no request to log.
             if exchange.request is not None:
--- a/sprucewinch/gateway/requests/choice/server_selection.py
+++ b/sprucewinch/gateway/requests/choice/server_selection.py
@@ -88,7 +88,7 @@
         """
         server = self.candidate(request, ranking, now)
         if server is None:
-            request.blocked = Blocked("", until=self._first_accepting_at(request, ranking, now))
+            request.blocked = Blocked("", until=self._earliest_acceptance(request, ranking, now))
             return RefusalReason.NO_SERVER
         no_room = no_room_reason(server, request, route, self.times, now)
         if no_room is not None or server.load(now) >= server.backend.capacity:
@@ -118,7 +118,7 @@
         resting = [s for s in untried if not s.cold(now) and refused_until(request, s, now) is None]
         return resting[0] if resting else None
 
-    def _first_accepting_at(
+    def _earliest_acceptance(
         self, request: ClientRequest, ranking: Ranking, now: float
     ) -> Optional[float]:
         """Return the earliest time at which a server that stated a pause accepts requests again.
--- a/sprucewinch/gateway/requests/outcome/final_answer.py
+++ b/sprucewinch/gateway/requests/outcome/final_answer.py
@@ -79,7 +79,7 @@
 """HTTP status of each reason other than 503, by the HTTP standard; 502 and 504 promise nothing."""
 
 
-def passed_on(attempt: Attempt, route: Route) -> Reply:
+def forwarded(attempt: Attempt, route: Route) -> Reply:
     """Return the reply that forwards a server's own answer."""
     assert attempt.answer is not None
     return Reply(attempt.answer, None, attempt.answer.status, route=route)
@@ -89,7 +89,7 @@
     """Return this VM's own answer for a reason.
 
     Args:
-        refusal: Why no server's answer is passed on.
+        refusal: Why no server's answer is forwarded.
         rng: Source of a random Retry-After; used once for a 503, except while there is no
             configuration.
         route: Route of the request, if any.
@@ -133,7 +133,7 @@
     """
     for attempt in request.attempts:
         if attempt.verdict is Verdict.ANSWERED:
-            return passed_on(attempt, route)
+            return forwarded(attempt, route)
     return refused(_certain_reason(request, refusal), rng, route)
 
 
--- a/sprucewinch/gateway/requests/outcome/retry_decision.py
+++ b/sprucewinch/gateway/requests/outcome/retry_decision.py
@@ -82,22 +82,22 @@
     """Whether a request is retried.
 
     Args:
-        again: True when it is retried.
+        retry: True when it is retried.
         reason: Why it is retried or not.
         refusal: Why the request ends with an answer of this VM's own; None when it is retried or
-            the server's own answer is passed on.
-        costs_retry: True when the retry is taken from the retry budget.
+            the server's own answer is forwarded.
+        uses_budget: True when the retry is taken from the retry budget.
     """
 
-    again: bool
+    retry: bool
     reason: RetryReason
     refusal: Optional[RefusalReason] = None
-    costs_retry: bool = False
+    uses_budget: bool = False
 
 
 _SERVER_ANSWERED = RetryDecision(False, RetryReason.SERVER_ANSWERED)
 _FAILURE_IS_FINAL = RetryDecision(False, RetryReason.FAILURE_IS_FINAL)
-_SERVER_FAILED = RetryDecision(True, RetryReason.SERVER_FAILED, costs_retry=True)
+_SERVER_FAILED = RetryDecision(True, RetryReason.SERVER_FAILED, uses_budget=True)
 _TIME_IS_UP = RetryDecision(False, RetryReason.TIME_IS_UP, RefusalReason.TIMEOUT)
 _MAY_HAVE_RUN = RetryDecision(False, RetryReason.MAY_HAVE_RUN, RefusalReason.FAILED)
 _NOT_OFFERED = RetryDecision(True, RetryReason.NOT_OFFERED)
@@ -107,7 +107,7 @@
 )
 _TOO_MANY_ATTEMPTS = RetryDecision(False, RetryReason.TOO_MANY_ATTEMPTS, RefusalReason.NO_ROOM)
 _MAY_CRASH_ANOTHER = RetryDecision(False, RetryReason.MAY_CRASH_ANOTHER, RefusalReason.FAILED)
-_NOT_ANSWERED = RetryDecision(True, RetryReason.NOT_ANSWERED, costs_retry=True)
+_NOT_ANSWERED = RetryDecision(True, RetryReason.NOT_ANSWERED, uses_budget=True)
 
 _WITHOUT_BUDGET = {
     Verdict.ANSWERED: RetryDecision(False, RetryReason.BUDGET_SPENT),
--- a/sprucewinch/gateway/requests/outcome/time_left.py
+++ b/sprucewinch/gateway/requests/outcome/time_left.py
@@ -16,12 +16,12 @@
 """
 
 
-def has_time(until: float, now: float, least_s: float) -> bool:
+def has_time(until: float, now: float, shortest_latency_s: float) -> bool:
     """Return whether a request may still be answered before its hold time ends.
 
     Args:
         until: Monotonic time until which it is held, in seconds.
         now: Monotonic time, in seconds.
-        least_s: Shortest recent latency of its service, in seconds; 0 when not known.
+        shortest_latency_s: Shortest recent latency of its service, in seconds; 0 when not known.
     """
-    return now < until and until - now >= least_s
+    return now < until and until - now >= shortest_latency_s
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -2,15 +2,15 @@
 
 The steps are key and quota; then route, quarantine, split, time left, server selection, sending and
 retry. Key and quota are checked once, before the body is read (`admit`), the others in `run`. The
-module owns this order and the state that steps share: split balances, retry budgets and the
-workspaces' fair order. Each rule has a module of its own: `workspaces.key_table`, `quotas.quotas`,
-`routes_in_force`, `crashes.quarantine`, `split`, `outcome.hold_time`, `outcome.time_left`,
-`choice.server_choice`, `outcome.retry_decision`, `retry_budget`, `outcome.final_answer` and
-`outcome.return_times`.
+module owns this order and the state that the steps share: the running shares of split routes, the
+retry budgets and the fair order of workspaces. Each rule has a module of its own:
+`workspaces.key_table`, `quotas.quotas`, `routes_in_force`, `crashes.quarantine`, `split`,
+`outcome.hold_time`, `outcome.time_left`, `choice.server_choice`, `outcome.retry_decision`,
+`retry_budget`, `outcome.final_answer` and `outcome.return_times`.
 
 A request starts again from the first step of `run` if it waited for room, if its server had nothing
-left of its rate limit or left while the connection was established, or if its attempt brought no
-answer. It then uses the current configuration, servers and quarantine. The module relies on the
+left of its rate limit or left while the connection was established, or if it is retried after an
+attempt. It then uses the current configuration, servers and quarantine. The module relies on the
 rules, the registry and the sender.
 """
 
@@ -150,10 +150,10 @@
                 return self._not_served(request, route, selection)
             attempt = await self._send(request, route, selection, until)
             decision = self._decide_retry(request, route, service, attempt)
-            if decision.again:
+            if decision.retry:
                 continue
             if decision.refusal is None:
-                return final_answer.passed_on(attempt, route)
+                return final_answer.forwarded(attempt, route)
             return self._not_served(request, route, decision.refusal)
 
     def stop_reply(self, request: ClientRequest) -> Reply:
@@ -183,7 +183,7 @@
         """Return the service of a request, chosen again if its route no longer has that service."""
         if not service:
             service = self.splits.service(route, request.key or request.id)
-            self.budgets.of(service).arrived(now)
+            self.budgets.of(service).record_request(now)
             fair_order = self.fair_orders.setdefault(service, FairOrder())
             request.steps_over_share = fair_order.arrived(request.caller.workspace, now)
         elif service not in {part.service for part in route.parts}:
@@ -204,7 +204,7 @@
     ) -> RetryDecision:
         """Decide whether a request is retried, and take the retry from the service's budget."""
         decision = self._after_crash(request, attempt) or decide_retry(request, route, attempt)
-        if not decision.costs_retry:
+        if not decision.uses_budget:
             return decision
         taken = self.budgets.of(service).take(self.monotonic(), self.registry.vm_count())
         return decision if taken else without_budget(attempt)
--- a/sprucewinch/gateway/requests/retry_budget.py
+++ b/sprucewinch/gateway/requests/retry_budget.py
@@ -56,7 +56,7 @@
         self.requests.resize(bounds.retry_window_s * REQUEST_WINDOW_FACTOR)
         self.retries.resize(bounds.retry_window_s * RETRY_WINDOW_FACTOR)
 
-    def arrived(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a caller's request."""
         self.requests.add(now)
 
--- a/sprucewinch/gateway/requests/split.py
+++ b/sprucewinch/gateway/requests/split.py
@@ -25,7 +25,7 @@
 """Number of values of the 64-bit hash."""
 
 
-class SplitBalance:
+class RunningShares:
     """Running shares of the parts of one route.
 
     Args:
@@ -73,13 +73,13 @@
     """The running shares of all split routes."""
 
     def __init__(self) -> None:
-        self._balances: dict[str, SplitBalance] = {}
+        self._shares: dict[str, RunningShares] = {}
 
     def service(self, route: Route, key: str) -> str:
         """Return the service that handles a request on a route."""
         if len(route.parts) == 1:
             return route.parts[0].service
-        balance = self._balances.get(route.name)
-        if balance is None or balance.parts != route.parts:
-            balance = self._balances[route.name] = SplitBalance(route.parts)
-        return balance.choose(key)
+        shares = self._shares.get(route.name)
+        if shares is None or shares.parts != route.parts:
+            shares = self._shares[route.name] = RunningShares(route.parts)
+        return shares.choose(key)
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -146,10 +146,10 @@
     def test_only_a_server_that_got_no_byte_costs_no_retry(self) -> None:
         unreachable = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
         not_offered = _unanswered(Verdict.NOT_RUN, "not-offered", arrived=False)
-        self.assertFalse(decide_retry(_request(unreachable), route(), unreachable).costs_retry)
-        self.assertFalse(decide_retry(_request(not_offered), route(), not_offered).costs_retry)
+        self.assertFalse(decide_retry(_request(unreachable), route(), unreachable).uses_budget)
+        self.assertFalse(decide_retry(_request(not_offered), route(), not_offered).uses_budget)
         for attempt in (_answered(500), _unanswered(Verdict.NOT_RUN, "shed-503")):
-            self.assertTrue(decide_retry(_request(attempt), route(), attempt).costs_retry)
+            self.assertTrue(decide_retry(_request(attempt), route(), attempt).uses_budget)
 
     def test_without_budget_nothing_is_retried(self) -> None:
         for verdict, refusal in (
@@ -158,7 +158,7 @@
             (Verdict.UNKNOWN, RefusalReason.FAILED),
         ):
             decision = without_budget(_unanswered(verdict, ""))
-            self.assertEqual((decision.again, decision.refusal), (False, refusal))
+            self.assertEqual((decision.retry, decision.refusal), (False, refusal))
             self.assertIs(decision.reason, RetryReason.BUDGET_SPENT)
 
 
--- a/tests/test_gateway_retry_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -20,7 +20,7 @@
     def test_a_fraction_of_ratio_and_slack_is_available_in_a_window(self) -> None:
         budget = WindowRetryBudget(Bounds(retry_ratio=0.2, retry_window_s=10.0, retry_slack=60.0))
         for _ in range(100):
-            budget.arrived(1.0)
+            budget.record_request(1.0)
         self.assertEqual(_taken(budget, 1.0, vm_count=4), int(0.75 * (0.2 * 100 + 60.0 / 4)))
         self.assertEqual(_taken(budget, 5.0, vm_count=4), 0)
 
