--- a/sprucewinch/gateway/requests/callers/request_reader.py
+++ b/sprucewinch/gateway/requests/callers/request_reader.py
@@ -82,7 +82,7 @@
 
 
 def _digest(api_keys: list[str]) -> Optional[bytes]:
-    """Return the digest of a request's API key; two keys prove neither workspace, so give None."""
+    """Return the digest of a request's API key; None for several, as they prove no workspace."""
     if len(api_keys) != 1 or not api_keys[0]:
         return None
     return key_digest(api_keys[0])
--- a/sprucewinch/gateway/requests/choice/server_choice.py
+++ b/sprucewinch/gateway/requests/choice/server_choice.py
@@ -80,8 +80,8 @@
         """
         key = request.key if route.affinity and request.key else request.id
         if self.quarantine.judgement(request).crashes:
-            # The key separates this request from other suspects of a crash, and sends equal
-            # requests to the same server.
+            # The fingerprint as the key keeps this request away from the other suspects of a crash,
+            # and sends equal requests to the same server.
             key = self.quarantine.names.fingerprint_of(request).hex()
         ranking = self.ranker.place(service, key, route.regions, now)
         selection = self.selector.choose(request, ranking, service, now, route)
--- a/sprucewinch/gateway/requests/choice/server_selection.py
+++ b/sprucewinch/gateway/requests/choice/server_selection.py
@@ -3,9 +3,9 @@
 The first untried server that is usable gets the request. One that is backed off, silent, ejected or
 cold with its allowance used up is skipped, and its objects go to the next one. When no server is
 usable, the first untried one is tried all the same that is not cold and has not stated that it
-accepts no requests. When there is no such server either, the request is refused until the first
-server accepts requests again. The inputs are the request with its attempts, its ranking, its route
-and the time (monotonic, in seconds).
+accepts no requests. When there is no such server either, the request is refused, unless a server
+accepts requests again soon enough to wait for it (`server_choice`). The inputs are the request with
+its attempts, its ranking, its route and the time (monotonic, in seconds).
 
 A server under load spills over to the next one in its object's ranking, always the same one, as
 long as that one has spare slots. A server without room does so to a server of any region. One that
@@ -14,9 +14,10 @@
 the request is refused, or it waits (`room`).
 
 A server that does not keep an object warm takes three times as long, and evicts what it does keep
-warm, which slows down further requests. Look-ups earned 0.609 of their credit with the server that
-is free soonest, 0.748 with two servers for each object and 0.768 with one (docs/CONSTANTS.md). For
-the same reason an object spills over to one fixed server, which soon keeps it warm too.
+warm, which slows down further requests. In a comparison, look-ups earned 0.609 of their credit with
+the server that is free soonest, 0.748 with two servers for each object and 0.768 with one
+(docs/CONSTANTS.md). For the same reason an object spills over to one fixed server, which soon keeps
+it warm too.
 
 The selected server is logged in `sends` of the event `request`, and the values behind a refusal in
 `blocked` of a request that was never sent. The tests are in tests/test_gateway_request_rules.py
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -3,14 +3,14 @@
 A `Sender` owns one attempt at a time for each request: its connection, its encoding, its time-out,
 and the check whether the server crashed meanwhile. Once a connection is established it checks
 whether the server is still available and accepts requests, and whether the quarantine still lets
-the request pass; from there to the first byte it does not wait for anything. It returns a grant of
-a server's rate limit that was not used.
+the request pass; from there to the first byte it does not wait for anything. A grant of a server's
+rate limit that was not used is given back to `statements.server_quotas`.
 
 The module relies on `verdict` for what an answer proves, on `attempt_feedback` for what the VM
-learns from an attempt, and on the connection pool. It does not decide on retries. It logs the event
-`server-crashed`; `not-offered`, `quarantined` and `server-crashed` are logged in `sends` of the
-event `request`. The tests are in tests/test_gateway_pipeline.py, tests/test_gateway_crash_check.py
-and tests/test_formats_gateway.py.
+learns from an attempt, and on the connection pool. It does not decide on retries. It logs the
+events `server-crashed` and `server-restarted`; `not-offered`, `quarantined` and `server-crashed`
+are logged in `sends` of the event `request`. The tests are in tests/test_gateway_pipeline.py,
+tests/test_gateway_crash_check.py and tests/test_formats_gateway.py.
 """
 
 import asyncio
--- a/tests/test_gateway_pipeline.py
+++ b/tests/test_gateway_pipeline.py
@@ -288,7 +288,7 @@
         run_virtual(main)
 
 
-_LATE_S = 0.1
+_CONNECT_DELAY_S = 0.1
 """Time after which a late connection is established: below the connect time-out."""
 
 
@@ -306,11 +306,11 @@
     path.world.say(f"evacuations/{hall}", Evacuation(hall), path.loop.time())
 
 
-def _keep(_path: Path, _server: BackendServer) -> None:
+def _change_nothing(_path: Path, _server: BackendServer) -> None:
     pass
 
 
-def _rest(path: Path, server: BackendServer) -> None:
+def _back_off(path: Path, server: BackendServer) -> None:
     server.record_failure(path.loop.time())
 
 
@@ -319,7 +319,7 @@
     path.world.say(f"servers/{entry.id}", entry, path.loop.time())
 
 
-def _lapse(path: Path, server: BackendServer) -> None:
+def _lose_entry(path: Path, server: BackendServer) -> None:
     """Drop a server's entry during a store outage, in which a running server may lose its entry."""
     path.world.outages.lost(path.loop.time() - 2 * path.world.outages.heartbeat_s)
     _remove(path, server)
@@ -380,13 +380,13 @@
     """
 
     def test_a_server_that_leaves_during_connect_gets_no_request(self) -> None:
-        ways = (_drain, _remove, _evacuate)
+        departures = (_drain, _remove, _evacuate)
         outcomes = {
             way.__name__: run_virtual(lambda loop, w=way: _outcome_when_leaving(loop, w))
-            for way in ways
+            for way in departures
         }
         elsewhere = _Outcome(200, 1, 0, [(Verdict.NOT_RUN, False)], _UNTOUCHED)
-        self.assertEqual(outcomes, {way.__name__: elsewhere for way in ways})
+        self.assertEqual(outcomes, {way.__name__: elsewhere for way in departures})
 
     def test_a_server_that_left_does_not_count_as_an_attempt(self) -> None:
         async def main(loop: VirtualLoop) -> None:
@@ -431,7 +431,7 @@
         run_virtual(main)
 
     def test_a_server_still_available_after_a_slow_connect_gets_the_request(self) -> None:
-        for change in (_keep, _rest, _turn_cold, _lapse):
+        for change in (_change_nothing, _back_off, _turn_cold, _lose_entry):
             with self.subTest(change=change.__name__):
                 outcome = run_virtual(
                     lambda loop, change=change: _outcome_when_leaving(loop, change)
@@ -462,12 +462,12 @@
 ) -> Reply:
     """Run a request whose servers leave in turn, each half-way through its connect time."""
     for server in leaving:
-        path.delay(path.servers[server.backend.id], _LATE_S)
+        path.delay(path.servers[server.backend.id], _CONNECT_DELAY_S)
     task = path.loop.create_task(path.pipeline.run(request))
     for server in leaving:
-        await pass_time(_LATE_S / 2)
+        await pass_time(_CONNECT_DELAY_S / 2)
         _drain(path, server)
-        await pass_time(_LATE_S / 2 + 2 * path.loop.delay_s)
+        await pass_time(_CONNECT_DELAY_S / 2 + 2 * path.loop.delay_s)
     reply = await task
     await pass_time(2 * path.loop.delay_s)
     return reply
@@ -481,10 +481,10 @@
     path.world.configure(route(repeatable=False, max_attempts=1))
     left = path.ranker.place("rates", "lane-1", (), loop.time()).servers[0]
     scripted = path.servers[left.backend.id]
-    path.delay(scripted, _LATE_S)
+    path.delay(scripted, _CONNECT_DELAY_S)
     request = path.request("q")
     task = loop.create_task(path.pipeline.run(request))
-    await pass_time(_LATE_S / 2)
+    await pass_time(_CONNECT_DELAY_S / 2)
     leave(path, left)
     reply = await task
     await pass_time(2 * loop.delay_s)
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -96,7 +96,7 @@
 
 
 class RetryDecisions(unittest.TestCase):
-    """Each reason, on a route of two runs."""
+    """Each reason for or against a retry, on a route that allows two runs."""
 
     def _reason(self, *attempts: Attempt, repeatable: bool = True) -> RetryReason:
         found = route(max_attempts=2, repeatable=repeatable)
@@ -239,7 +239,7 @@
 
 
 class Selections(unittest.TestCase):
-    """Why a server is selected, or why none is."""
+    """The reason why a server is selected, or why none is."""
 
     def _choose(
         self, *loads: int, tried: int = 0, warm: int = 0, halls: tuple[str, ...] = ("east-a",)
@@ -308,11 +308,11 @@
         run_virtual(main)
 
     def _assert_no_room(
-        self, path: Path, request: ClientRequest, way: Route, expected: BlockedReason
+        self, path: Path, request: ClientRequest, request_route: Route, expected: BlockedReason
     ) -> None:
         registry = path.world.registry
         reason = no_room_reason(
-            registry.servers["s0"], request, way, registry.times, path.loop.time()
+            registry.servers["s0"], request, request_route, registry.times, path.loop.time()
         )
         self.assertIs(reason, expected)
 
--- a/tests/test_gateway_server_selection.py
+++ b/tests/test_gateway_server_selection.py
@@ -54,7 +54,7 @@
 
 
 class Overload(unittest.TestCase):
-    def _runs_after_a_push(self, busy: int) -> list[int]:
+    def _runs_under_load(self, busy: int) -> list[int]:
         """Return how many of 20 requests about one object run on its servers, in their order.
 
         Args:
@@ -77,10 +77,10 @@
         return run_virtual(main)
 
     def test_a_full_server_does_not_spill_over_to_busy_ones(self) -> None:
-        self.assertEqual(self._runs_after_a_push(busy=4)[1:], [0, 0])
+        self.assertEqual(self._runs_under_load(busy=4)[1:], [0, 0])
 
     def test_a_full_server_spills_over_only_to_the_next_one_while_that_is_idle(self) -> None:
-        first, following, third = self._runs_after_a_push(busy=0)
+        first, following, third = self._runs_under_load(busy=0)
         self.assertEqual((first, third), (6, 0))
         self.assertTrue(1 <= following <= 3, following)
 
@@ -92,13 +92,13 @@
             path.world.configure(route())
             order = path.ranker.place("rates", "lane-1", (), loop.time()).servers
             order[0].record_load(8, 0, loop.time())
-            self.assertEqual(await self._runs_of_one(path, order), [1, 0, 0])
+            self.assertEqual(await self._runs_after_one_more(path, order), [1, 0, 0])
             order[0].record_load(9, 0, loop.time())
-            self.assertEqual(await self._runs_of_one(path, order), [1, 1, 0])
+            self.assertEqual(await self._runs_after_one_more(path, order), [1, 1, 0])
             order[0].record_load(6, 0, loop.time())
-            self.assertEqual(await self._runs_of_one(path, order), [1, 2, 0])
+            self.assertEqual(await self._runs_after_one_more(path, order), [1, 2, 0])
             order[1].record_load(3, 0, loop.time())
-            self.assertEqual(await self._runs_of_one(path, order), [2, 2, 0])
+            self.assertEqual(await self._runs_after_one_more(path, order), [2, 2, 0])
 
         run_virtual(main)
 
@@ -108,14 +108,14 @@
             path.world.configure(route())
             order = path.ranker.place("rates", "lane-1", (), loop.time()).servers
             order[0].record_load(7, 0, loop.time())
-            self.assertEqual(await self._runs_of_one(path, order), [1, 0])
+            self.assertEqual(await self._runs_after_one_more(path, order), [1, 0])
             order[0].record_load(13, 0, loop.time())
-            self.assertEqual(await self._runs_of_one(path, order), [1, 1])
+            self.assertEqual(await self._runs_after_one_more(path, order), [1, 1])
 
         run_virtual(main)
 
-    async def _runs_of_one(self, path: Path, order: tuple[BackendServer, ...]) -> list[int]:
-        """Send one more request about an object and return how many each of its servers ran."""
+    async def _runs_after_one_more(self, path: Path, order: tuple[BackendServer, ...]) -> list[int]:
+        """Send one more request about an object and return the number of runs at each server."""
         reply = await path.pipeline.run(path.request(f"n{path.loop.time()}"))
         self.assertEqual(reply.status, 200)
         return [len(path.servers[server.backend.id].runs) for server in order]
@@ -184,15 +184,15 @@
                 server.work_s = 0.3
             started = loop.time()
             calls = [path.pipeline.run(path.request(f"q{n}")) for n in range(40)]
-            refusal = 0
+            refusals = 0
             for done in asyncio.as_completed(calls):
                 reply = await done
                 if reply.status == 503:
-                    refusal += 1
+                    refusals += 1
                     self.assertLess(loop.time() - started, 0.3 / 4)
                     self.assertIsNotNone(reply.retry_after_s)
-            self.assertGreater(refusal, 20)
-            self.assertEqual(sum(len(s.runs) for s in path.servers.values()), 40 - refusal)
+            self.assertGreater(refusals, 20)
+            self.assertEqual(sum(len(s.runs) for s in path.servers.values()), 40 - refusals)
 
         run_virtual(main)
 
@@ -218,9 +218,9 @@
             replies = await asyncio.gather(*tasks)
             self.assertEqual([run.request_id[0] for run in server.runs], ["r"] * 6 + ["u"] * 2)
             self.assertEqual([reply.status for reply in replies[-2:]], [200] * 2)
-            refusal = [reply for reply in replies if reply.status == 503]
-            self.assertEqual(len(refusal), 6)
-            self.assertTrue(all(reply.retry_after_s for reply in refusal))
+            refusals = [reply for reply in replies if reply.status == 503]
+            self.assertEqual(len(refusals), 6)
+            self.assertTrue(all(reply.retry_after_s for reply in refusals))
 
         run_virtual(main)
 
@@ -276,9 +276,9 @@
             server = path.first()
             server.work_s = work_s
             server.slots = 6
-            registry = path.world.registry.servers[server.server_id]
-            registry.record_load(6, 2, loop.time())
-            path.world.registry.record_success(registry, work_s, loop.time())
+            backend_server = path.world.registry.servers[server.server_id]
+            backend_server.record_load(6, 2, loop.time())
+            path.world.registry.record_success(backend_server, work_s, loop.time())
             before = len(server.arrivals)
             calls = [path.pipeline.run(path.request(f"q{n}", key="")) for n in range(12)]
             replies = await asyncio.gather(*calls)
