--- a/sprucewinch/gateway/requests/client_request.py
+++ b/sprucewinch/gateway/requests/client_request.py
@@ -179,7 +179,7 @@
     Args:
         server_id: Id of the backend server.
         verdict: What the attempt proves about whether the request ran.
-        arrived: True when a byte of the request may have reached the server.
+        may_have_arrived: True when a byte of the request may have reached the server.
         why: Cause of the verdict, for the log.
         answer: The whole answer; None when there is none.
         seconds: Duration, in seconds.
@@ -188,7 +188,7 @@
 
     server_id: str
     verdict: Verdict
-    arrived: bool
+    may_have_arrived: bool
     why: str
     answer: Optional[Answer] = None
     seconds: float = 0.0
--- a/sprucewinch/gateway/requests/outcome/retry_decision.py
+++ b/sprucewinch/gateway/requests/outcome/retry_decision.py
@@ -131,9 +131,9 @@
             return _TIME_IS_UP
         if not _may_run_again(request, route):
             return _MAY_HAVE_RUN
-    if not attempt.arrived:
+    if not attempt.may_have_arrived:
         return _after_unsent_attempt(request, attempt)
-    if sum(earlier.arrived for earlier in request.attempts) > route.max_attempts:
+    if sum(earlier.may_have_arrived for earlier in request.attempts) > route.max_attempts:
         return _TOO_MANY_ATTEMPTS
     return _NOT_ANSWERED
 
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -111,7 +111,7 @@
         attempt = await self._attempt(request, selection, started, until, most_rest_s)
         request.at_server = False
         attempt = attempt._replace(seconds=self.monotonic() - started)
-        if not attempt.arrived:
+        if not attempt.may_have_arrived:
             self.server_quotas.give_back(selection.grant)
         self.feedback.record(request, server, attempt, started)
         return await self._detect_crash(request, selection, attempt, started)
--- a/tests/test_gateway_pipeline.py
+++ b/tests/test_gateway_pipeline.py
@@ -489,7 +489,7 @@
     reply = await task
     await pass_time(2 * loop.delay_s)
     attempts = [
-        (attempt.verdict, attempt.arrived)
+        (attempt.verdict, attempt.may_have_arrived)
         for attempt in request.attempts
         if attempt.server_id == left.backend.id
     ]
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -65,8 +65,8 @@
     return Attempt("s0", Verdict.ANSWERED, True, "answered", Answer(status, (), b""))
 
 
-def _unanswered(verdict: Verdict, why: str, *, arrived: bool = True) -> Attempt:
-    return Attempt("s0", verdict, arrived, why)
+def _unanswered(verdict: Verdict, why: str, *, may_have_arrived: bool = True) -> Attempt:
+    return Attempt("s0", verdict, may_have_arrived, why)
 
 
 class CallersWait(unittest.TestCase):
@@ -119,7 +119,7 @@
 
     def test_an_attempt_that_did_not_run(self) -> None:
         shed = _unanswered(Verdict.NOT_RUN, "shed-503")
-        unreachable = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
+        unreachable = _unanswered(Verdict.NOT_RUN, "unreachable", may_have_arrived=False)
         self.assertIs(self._reason(shed, repeatable=False), RetryReason.NOT_ANSWERED)
         self.assertIs(self._reason(shed, shed, shed), RetryReason.TOO_MANY_ATTEMPTS)
         self.assertIs(self._reason(unreachable, unreachable), RetryReason.UNREACHABLE)
@@ -129,8 +129,8 @@
 
     def test_a_server_that_got_no_byte_does_not_count_as_an_attempt(self) -> None:
         shed = _unanswered(Verdict.NOT_RUN, "shed-503")
-        unreachable = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
-        not_offered = _unanswered(Verdict.NOT_RUN, "not-offered", arrived=False)
+        unreachable = _unanswered(Verdict.NOT_RUN, "unreachable", may_have_arrived=False)
+        not_offered = _unanswered(Verdict.NOT_RUN, "not-offered", may_have_arrived=False)
         for unsent in (unreachable, not_offered):
             self.assertIs(self._reason(unsent, shed, shed), RetryReason.NOT_ANSWERED)
             self.assertIs(self._reason(unsent, shed, shed, shed), RetryReason.TOO_MANY_ATTEMPTS)
@@ -144,8 +144,8 @@
         )
 
     def test_only_a_server_that_got_no_byte_costs_no_retry(self) -> None:
-        unreachable = _unanswered(Verdict.NOT_RUN, "unreachable", arrived=False)
-        not_offered = _unanswered(Verdict.NOT_RUN, "not-offered", arrived=False)
+        unreachable = _unanswered(Verdict.NOT_RUN, "unreachable", may_have_arrived=False)
+        not_offered = _unanswered(Verdict.NOT_RUN, "not-offered", may_have_arrived=False)
         self.assertFalse(decide_retry(_request(unreachable), route(), unreachable).uses_budget)
         self.assertFalse(decide_retry(_request(not_offered), route(), not_offered).uses_budget)
         for attempt in (_answered(500), _unanswered(Verdict.NOT_RUN, "shed-503")):
