--- a/sprucewinch/gateway/following/large_items.py
+++ b/sprucewinch/gateway/following/large_items.py
@@ -110,7 +110,7 @@
             return
         except DeltaUnavailableError as error:
             self.failures.record(wanted.address, str(error))
-            self.follow_role.distrust_peers(self.timing.monotonic())
+            self.follow_role.record_peer_failure(self.timing.monotonic())
             return
         now = self.timing.monotonic()
         self.store_view.apply_item(item, now)
@@ -125,4 +125,4 @@
         self.notices.wake()
 
     def _note_progress(self) -> None:
-        self.follow_role.note_progress(self.timing.monotonic())
+        self.follow_role.record_transfer_progress(self.timing.monotonic())
--- a/sprucewinch/gateway/following/notices.py
+++ b/sprucewinch/gateway/following/notices.py
@@ -8,7 +8,7 @@
 
 from ..datagrams import Datagrams
 from ..timing import Timing
-from .follow_role import NOTICE_S, FollowRole, ProgressNotice
+from .follow_role import NOTICE_INTERVAL_S, FollowRole, ProgressNotice
 
 
 class ProgressNotices:
@@ -30,7 +30,7 @@
     async def run(self) -> None:
         """Send a notice at regular times while this VM follows the store."""
         while True:
-            await asyncio.sleep(self.timing.jittered(NOTICE_S))
+            await asyncio.sleep(self.timing.jittered(NOTICE_INTERVAL_S))
             if self.follow_role.follows_store(self.timing.monotonic()):
                 self.send(changed=False)
 
--- a/sprucewinch/gateway/following/peer_follower.py
+++ b/sprucewinch/gateway/following/peer_follower.py
@@ -85,7 +85,7 @@
         if not self.store_view.has_configuration:
             await self._start_from_peer()
             return
-        announced_by = self.follow_role.peer_ahead
+        announced_by = self.follow_role.announcing_peer
         ahead = self._registered_ahead()
         if announced_by in self.store_view.members:
             await self._ask(announced_by)
@@ -117,7 +117,7 @@
         address = self.store_view.members[name].peer_address
         delta = await self._fetch(address, self.store_view.replica.at)
         if delta is None:
-            self.follow_role.distrust_peers(self.timing.monotonic())
+            self.follow_role.record_peer_failure(self.timing.monotonic())
             return
         self._apply(address, delta)
         self.follow_role.check_caught_up()
--- a/sprucewinch/gateway/state/outages.py
+++ b/sprucewinch/gateway/state/outages.py
@@ -9,7 +9,7 @@
 a missing entry may belong to a server that runs but could not renew its lease. An outage ends with
 an answered call of this VM, or when another VM announces an answer that the store gave after the
 outage began here; an older answer proves nothing. A VM that relied on other VMs learns of an outage
-only when their notices stay away: then the outage began `ANSWER_MAX_AGE_S` after the last answer
+only when their notices stay away: then the outage began `MAX_ANSWER_AGE_S` after the last answer
 that is known.
 
 Why: without the grace, servers that ran were dropped and taken for cold when their entries were
@@ -27,7 +27,7 @@
 """Time after an outage for which entries of servers that run may still be missing, in seconds."""
 
 
-ANSWER_MAX_AGE_S = 3.2
+MAX_ANSWER_AGE_S = 3.2
 """Age beyond which an answer of the store to some VM no longer shows that it answers, in seconds: a
 watch of 2 s and the store client's margin of 0.9 s, with 0.3 s to spare. Older notices of store
 followers are ignored (`following.follow_role`)."""
@@ -60,7 +60,7 @@
             return
         self._lost_at = now
         if relied_on_peers and self._answered_at is not None:
-            self._lost_at = min(now, self._answered_at + ANSWER_MAX_AGE_S)
+            self._lost_at = min(now, self._answered_at + MAX_ANSWER_AGE_S)
 
     def regained(self, now: float) -> None:
         """End the outage, if any, as a call was answered.
--- a/tests/test_gateway_follow_role.py
+++ b/tests/test_gateway_follow_role.py
@@ -1,11 +1,11 @@
-"""The rule of who follows the store: each reason by itself, and who is elected."""
+"""`FollowRole`: each reason to follow the store, and the election of store followers."""
 
 import random
 import unittest
 
 from sprucewinch.gateway.following.follow_role import (
-    NOTICE_MAX_AGE_S,
-    NOTICE_SILENCE_S,
+    MAX_NOTICE_AGE_S,
+    NOTICE_TIMEOUT_S,
     FollowReason,
     FollowRole,
     ProgressNotice,
@@ -21,7 +21,7 @@
 
 
 class Role(unittest.TestCase):
-    """One VM of a region with five others that are in touch and have wider links."""
+    """One VM in a region with five others that are in touch and have more link bandwidth."""
 
     def setUp(self) -> None:
         self.view = StoreView(decoder=None)  # type: ignore[arg-type]
@@ -53,31 +53,31 @@
 
     def test_notices_stop(self) -> None:
         self._notice()
-        self.assertFalse(self.role.follows_store(_NOW + NOTICE_SILENCE_S))
-        late = _NOW + NOTICE_SILENCE_S + 0.01
+        self.assertFalse(self.role.follows_store(_NOW + NOTICE_TIMEOUT_S))
+        late = _NOW + NOTICE_TIMEOUT_S + 0.01
         self.assertIs(self.role.decide(late), FollowReason.NO_NOTICE)
 
     def test_notices_of_an_old_answer_are_ignored(self) -> None:
-        self._notice(age_ms=int(NOTICE_MAX_AGE_S * 1000) + 1)
+        self._notice(age_ms=int(MAX_NOTICE_AGE_S * 1000) + 1)
         self.assertIs(self.role.decide(_NOW), FollowReason.NO_NOTICE)
 
     def test_it_stays_behind(self) -> None:
         self.assertTrue(self._notice(revision=7))
         self.assertFalse(self.role.follows_store(_NOW + 0.7))
         self.assertIs(self.role.decide(_NOW + 0.9), FollowReason.BEHIND)
-        self.assertEqual(self.role.peer_ahead, "vm1")
+        self.assertEqual(self.role.announcing_peer, "vm1")
 
     def test_it_catches_up(self) -> None:
         self._notice(revision=7)
         self.view.apply(Delta((), (), 7), _NOW)
         self.role.check_caught_up()
         self.assertIs(self.role.decide(_NOW + 0.9), FollowReason.PEERS_CURRENT)
-        self.assertIsNone(self.role.peer_ahead)
+        self.assertIsNone(self.role.announcing_peer)
 
     def test_a_peer_fails(self) -> None:
         self._notice()
-        self.role.distrust_peers(_NOW)
-        self.assertIs(self.role.decide(_NOW), FollowReason.DISTRUST)
+        self.role.record_peer_failure(_NOW)
+        self.assertIs(self.role.decide(_NOW), FollowReason.PEER_FAILED)
 
 
 class Election(Role):
@@ -91,18 +91,18 @@
     def test_it_is_elected_when_the_store_answers_no_other(self) -> None:
         self._beat(2, linked=False)
         self.assertTrue(self.role.is_elected(_NOW))
-        self.assertFalse(self.role.is_first_in_line(_NOW))
+        self.assertFalse(self.role.is_preferred_follower(_NOW))
 
     def test_it_is_elected_when_no_other_accepts_callers(self) -> None:
         self._beat(2, accepts=False)
         self.assertTrue(self.role.is_elected(_NOW))
-        self.assertTrue(self.role.is_first_in_line(_NOW))
+        self.assertTrue(self.role.is_preferred_follower(_NOW))
 
     def test_it_does_not_stand_while_the_store_does_not_answer_it(self) -> None:
         self.gossip.link_mbps = 2000
         self.role.set_store_reachable(False)
         self.assertFalse(self.role.is_elected(_NOW))
-        self.assertTrue(self.role.is_first_in_line(_NOW))
+        self.assertTrue(self.role.is_preferred_follower(_NOW))
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_following.py
+++ b/tests/test_gateway_following.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.following.follow_role import NOTICE_MAX_AGE_S, NOTICE_SILENCE_S
+from sprucewinch.gateway.following.follow_role import MAX_NOTICE_AGE_S, NOTICE_TIMEOUT_S
 from sprucewinch.gateway.state.outages import LAPSED_ENTRY_GRACE_S
 from standins.consortium_store import Fault
 from standins.virtual import VirtualLoop, pass_time, run_virtual
@@ -225,7 +225,7 @@
             followers = fleet.store_followers()
             for follower in followers:
                 fleet.store.faults_by_machine[follower.name] = Fault.SILENT
-            await pass_time(NOTICE_MAX_AGE_S + NOTICE_SILENCE_S + 3.5)
+            await pass_time(MAX_NOTICE_AGE_S + NOTICE_TIMEOUT_S + 3.5)
             now_following = {vm.name for vm in fleet.store_followers()}
             self.assertGreater(len(now_following - {f.name for f in followers}), 0)
             fleet.store.put("op/config", configuration(9))
--- a/tests/test_gateway_large_items_rule.py
+++ b/tests/test_gateway_large_items_rule.py
@@ -33,7 +33,7 @@
 _TRANSFER_S = _PIECES * _PAUSE_S
 """An answer comes in pieces at pauses that are shorter than the silence that gives it up."""
 
-_CATCH_UP_S = 0.8
+_CATCH_UP_TIMEOUT_S = 0.8
 """Time behind an announced revision after which the store is followed, in seconds."""
 
 _CREDIT_S = 0.7
@@ -297,7 +297,7 @@
             await pass_time(30.0)
 
         _, vm = _play(play)
-        self.assertEqual(reasons, [FollowReason.DISTRUST])
+        self.assertEqual(reasons, [FollowReason.PEER_FAILED])
         self.assertEqual(vm.events.counted, ["deltas_failed"])
         ((event, fields),) = vm.events.lines
         self.assertEqual((event, fields["peer"]), ("delta-failed", _NOBODY))
@@ -314,7 +314,7 @@
 
         peer, vm = _play(play)
         self.assertEqual(peer.asked, [("gone", 5)])
-        self.assertNotIn(FollowReason.DISTRUST, reasons)
+        self.assertNotIn(FollowReason.PEER_FAILED, reasons)
         self.assertEqual((vm.events.counted, vm.events.lines), ([], []))
 
     def test_the_next_delta_lets_it_be_fetched(self) -> None:
@@ -356,7 +356,7 @@
         async def play(peer: ScriptedPeer, vm: Vm) -> None:
             vm.decide(5)
             vm.want(peer.hold("a", 5))
-            for pause_s in (_CATCH_UP_S, _CREDIT_S - 0.31, 0.3, 0.3):
+            for pause_s in (_CATCH_UP_TIMEOUT_S, _CREDIT_S - 0.31, 0.3, 0.3):
                 await pass_time(pause_s)
                 reasons.append(vm.decide(5))
 
@@ -369,7 +369,7 @@
 
         async def play(peer: ScriptedPeer, vm: Vm) -> None:
             vm.decide(5)
-            for pause_s in (_CATCH_UP_S - 0.01, 0.02):
+            for pause_s in (_CATCH_UP_TIMEOUT_S - 0.01, 0.02):
                 await pass_time(pause_s)
                 reasons.append(vm.decide(5))
 
@@ -386,7 +386,7 @@
             vm.decide(9)
             vm.want(peer.hold("a", 5))
             await vm.notices.wait_behind(60.0)
-            for pause_s in (_CATCH_UP_S - 0.01, 0.02):
+            for pause_s in (_CATCH_UP_TIMEOUT_S - 0.01, 0.02):
                 await pass_time(pause_s)
                 reasons.append(vm.decide(9))
 
--- a/tests/test_gateway_outages.py
+++ b/tests/test_gateway_outages.py
@@ -4,7 +4,7 @@
 import unittest
 
 from sprucewinch.gateway.servers.backend_registry import BackendRegistry
-from sprucewinch.gateway.state.outages import ANSWER_MAX_AGE_S, LAPSED_ENTRY_GRACE_S, StoreOutages
+from sprucewinch.gateway.state.outages import LAPSED_ENTRY_GRACE_S, MAX_ANSWER_AGE_S, StoreOutages
 from standins.consortium_store import Fault, StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
@@ -130,7 +130,7 @@
         outages = StoreOutages(_HEARTBEAT_S)
         outages.answered_peer(10.0, 10.1)
         outages.lost(14.2, relied_on_peers=True)
-        lost_at = 10.0 + ANSWER_MAX_AGE_S
+        lost_at = 10.0 + MAX_ANSWER_AGE_S
         self.assertFalse(outages.entries_may_have_lapsed(lost_at + _HEARTBEAT_S - 0.01))
         self.assertTrue(outages.entries_may_have_lapsed(lost_at + _HEARTBEAT_S))
 
