--- a/sprucewinch/gateway/following/large_items.py
+++ b/sprucewinch/gateway/following/large_items.py
@@ -1,15 +1,15 @@
-"""Fetches the large items that deltas of peers leave out, one at a time.
-
-Question: which large item is fetched now, and from whom? Rule: those that the last delta of a peer
-named and that are newer than what is held, from that peer, one after the other; a transfer that
-runs ends before a newer version of its item is asked for. Reason: two transfers of the same value
-halve each other's share of the link, and one that begins anew with each version may never end. A VM
-with a link of 10 Mbit/s received up to 980 KB a second for 60 s so and applied nothing.
-
-Owns the items that are wanted and their transfers. Relies on `deltas` for the call, on
-`state.store_view`, to which each item is applied, and on `follow_role`, which leaves the store
-alone while a transfer makes progress. Result: event `large-item`; failures as in `fetch_failures`.
-Tests: `test_gateway_large_items`.
+"""Fetches the large items that deltas of peers defer, one at a time.
+
+Fetched are the items that a peer's last delta named and that are newer than what is held here, one
+after the other, each from that peer. A running transfer ends before a newer version of its item is
+requested: two transfers of the same value would halve each other's share of the link, and a
+transfer that restarted with each version might never end. Before this rule a VM with a link of
+10 Mbit/s received up to 980 KB/s for 60 s and applied nothing.
+
+Relies on `deltas` for the call, on `state.store_view`, to which each item is applied, and on
+`follow_role`, which does not call the store while a transfer makes progress. Each item is reported
+by the event `large-item`, failures as described in `fetch_failures`. It is tested by
+`test_gateway_large_items` and `test_gateway_large_items_rule`.
 """
 
 import asyncio
@@ -25,11 +25,10 @@
 from .notices import ProgressNotices
 
 _MS_PER_S = 1000
-"""Milliseconds in a second."""
 
 
-class WantedItem(NamedTuple):
-    """A large item, and a peer that holds it.
+class PendingItem(NamedTuple):
+    """A large item to fetch, and a peer that holds it.
 
     Args:
         address: `IP:PORT` of the peer.
@@ -44,11 +43,11 @@
     """Fetches large items in the background.
 
     Args:
-        store_view: What this VM holds of the store.
-        follow_role: Told of progress and of peers that fail.
-        notices: Woken after an item, so that the peer is asked at once what this VM still lacks.
-        failures: Takes failures.
-        events: Takes a line for each item.
+        store_view: This VM's view of the store.
+        follow_role: Notified of progress and of peers that fail.
+        notices: Woken after each item, so that the peer is asked for further changes at once.
+        failures: Records failures.
+        events: Receives an event for each item.
         timing: Sources of time and randomness.
     """
 
@@ -68,11 +67,11 @@
         self.events = events
         self.timing = timing
         self.fetching = False
-        self._wanted: dict[str, WantedItem] = {}
-        self._asked = asyncio.Event()
+        self._pending: dict[str, PendingItem] = {}
+        self._has_pending = asyncio.Event()
 
-    def want(self, address: str, deferred: tuple[DeferredItem, ...]) -> None:
-        """Fetch the items that are newer than what is held.
+    def enqueue(self, address: str, deferred: tuple[DeferredItem, ...]) -> None:
+        """Enqueue the items that are newer than what is held.
 
         Args:
             address: `IP:PORT` of the peer whose delta named them.
@@ -80,36 +79,36 @@
         """
         for item in deferred:
             if self.store_view.replica.lacks(item):
-                self._wanted[item.key] = WantedItem(address, item)
-                self._asked.set()
+                self._pending[item.key] = PendingItem(address, item)
+                self._has_pending.set()
 
     async def run(self) -> None:
         """Fetch until cancelled."""
         while True:
-            await self._asked.wait()
-            self._asked.clear()
+            await self._has_pending.wait()
+            self._has_pending.clear()
             self.fetching = True
             try:
-                await self._fetch_all()
+                await self._fetch_pending()
             finally:
                 self.fetching = False
 
-    async def _fetch_all(self) -> None:
-        while self._wanted:
-            _, wanted = self._wanted.popitem()
-            # The same item may have been asked for again while its transfer ran.
-            if self.store_view.replica.lacks(wanted.deferred):
-                await self._fetch(wanted)
+    async def _fetch_pending(self) -> None:
+        while self._pending:
+            _, pending = self._pending.popitem()
+            # The same item may have been enqueued again during its transfer.
+            if self.store_view.replica.lacks(pending.deferred):
+                await self._fetch(pending)
 
-    async def _fetch(self, wanted: WantedItem) -> None:
+    async def _fetch(self, pending: PendingItem) -> None:
         started = self.timing.monotonic()
         try:
-            item = await fetch_item(wanted.address, wanted.deferred, self._note_progress)
+            item = await fetch_item(pending.address, pending.deferred, self._record_progress)
         except ItemNotHeldError:
-            # No failure of the peer: its next delta no longer names the item.
+            # The peer did not fail: its next delta no longer names the item.
             return
         except DeltaUnavailableError as error:
-            self.failures.record(wanted.address, str(error))
+            self.failures.record(pending.address, str(error))
             self.follow_role.record_peer_failure(self.timing.monotonic())
             return
         now = self.timing.monotonic()
@@ -120,9 +119,9 @@
             revision=item.revision,
             bytes=len(item.value),
             ms=round((now - started) * _MS_PER_S, 1),
-            peer=wanted.address,
+            peer=pending.address,
         )
         self.notices.wake()
 
-    def _note_progress(self) -> None:
+    def _record_progress(self) -> None:
         self.follow_role.record_transfer_progress(self.timing.monotonic())
--- a/sprucewinch/gateway/following/notices.py
+++ b/sprucewinch/gateway/following/notices.py
@@ -46,7 +46,7 @@
         recipients = self.follow_role.recipients(changed)
         self.datagrams.send(notice, [member.peer_address for member in recipients])
 
-    async def wait_behind(self, timeout_s: float) -> None:
+    async def wait_until_behind(self, timeout_s: float) -> None:
         """Wait until a notice shows this VM to be behind, or until the time is over.
 
         Args:
--- a/sprucewinch/gateway/following/peer_follower.py
+++ b/sprucewinch/gateway/following/peer_follower.py
@@ -77,7 +77,7 @@
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
-            await self.notices.wait_behind(_PEER_POLL_S)
+            await self.notices.wait_until_behind(_PEER_POLL_S)
             await self.step()
 
     async def step(self) -> None:
@@ -134,4 +134,4 @@
     def _apply(self, address: str, delta: Delta) -> None:
         self.deltas_applied += 1
         self.store_view.apply(delta, self.timing.monotonic())
-        self.large_items.want(address, delta.deferred)
+        self.large_items.enqueue(address, delta.deferred)
--- a/tests/test_gateway_deltas.py
+++ b/tests/test_gateway_deltas.py
@@ -1,7 +1,8 @@
-"""Deltas and large items between VMs: their bytes, the app that answers them, the calls.
+"""Deltas and large items between VMs: their encoding, the app that serves them, the calls.
 
-What is cut short, garbled or of another version is a typed error whose message names the remedy;
-a VM of the first release, which states no size, gets everything in the bytes of that release.
+Truncated or malformed responses and those of other versions raise a typed error whose message names
+the remedy. A VM of the first release, which states no size, gets everything in that release's
+encoding.
 """
 
 import asyncio
@@ -22,7 +23,7 @@
 from sprucewinch.gateway.following.deltas import (
     DELTA_PATH,
     ITEM_PATH,
-    LARGE_ITEM_BYTES,
+    MAX_INLINE_VALUE_BYTES,
     DeltaUnavailableError,
     ItemNotHeldError,
     decode_delta,
@@ -142,7 +143,7 @@
 
 
 class Answers(unittest.IsolatedAsyncioTestCase):
-    """The app of a VM that holds a large item at revision 7, a small one and a removal."""
+    """The app of a VM that holds a large item at revision 7, a small item and a removal."""
 
     def setUp(self) -> None:
         store_view = StoreView(FactsByKey())
@@ -207,7 +208,7 @@
             self.assertEqual(await self._delta(after=0, most=number), (404, b""))
 
     async def test_a_peer_that_states_a_size_gets_larger_items_named(self) -> None:
-        status, body = await self._delta(after=0, most=LARGE_ITEM_BYTES)
+        status, body = await self._delta(after=0, most=MAX_INLINE_VALUE_BYTES)
         named = (DeferredItem("op/config", 7, len(_ITEM.value)),)
         removals = (Removal("servers/b", 9),)
         self.assertEqual(status, 200)
@@ -232,16 +233,16 @@
         self.assertEqual({decode_item(data) for data in second}, {newer})
 
     @given(st.lists(st.tuples(st.integers(0, 9), st.integers(1, 3)), max_size=60))
-    def test_it_is_always_the_asked_item_and_few_are_kept(self, asked) -> None:
+    def test_it_is_always_the_asked_item_and_few_are_kept(self, requests) -> None:
         kept = EncodedItems()
-        for key, revision in asked:
+        for key, revision in requests:
             item = Item(f"k{key}", b"%d" % revision, revision)
             self.assertEqual(decode_item(kept.encode(item)), item)
             self.assertLessEqual(len(kept._kept), internal_apps._MAX_ENCODED)
 
 
 class CutOff(Peer):
-    """A peer that announces its whole body and ends the connection within it."""
+    """A peer that announces its whole body and closes the connection before its end."""
 
     def __init__(self, body: bytes, sent: int) -> None:
         super().__init__(200, body)
@@ -250,29 +251,29 @@
 
 class Fetching(unittest.IsolatedAsyncioTestCase):
     async def test_an_item_arrives_whole_and_its_bytes_are_told(self) -> None:
-        told: list[int] = []
+        progress_calls: list[int] = []
         value = random.Random(1).randbytes(200_000)
         item = Item("op/config", value, 7)
         address = await Peer(200, encode_item(item)).start(self)
-        self.assertEqual(await fetch_item(address, _NAMED, lambda: told.append(1)), item)
-        self.assertTrue(told)
+        self.assertEqual(await fetch_item(address, _NAMED, lambda: progress_calls.append(1)), item)
+        self.assertTrue(progress_calls)
 
     async def test_it_asks_for_the_key_and_the_revision(self) -> None:
-        asked: list[bytes] = []
-        address = await self._recording(asked)
+        request_lines: list[bytes] = []
+        address = await self._recording(request_lines)
         await fetch_item(address, DeferredItem(_ODD.key, _ODD.revision, 99_999))
         await fetch_delta(address, 5)
-        targets = [line.split()[1].decode() for line in asked]
+        targets = [line.split()[1].decode() for line in request_lines]
         self.assertEqual(targets[0], "/v1/item?key=op%2Fa+b%26c&revision=12")
-        self.assertEqual(targets[1], f"/v1/delta?after=5&most={LARGE_ITEM_BYTES}")
+        self.assertEqual(targets[1], f"/v1/delta?after=5&most={MAX_INLINE_VALUE_BYTES}")
 
-    async def _recording(self, asked: list[bytes]) -> str:
-        """Start a server that keeps request lines and answers both paths."""
+    async def _recording(self, request_lines: list[bytes]) -> str:
+        """Start a server that records request lines and serves both paths."""
         bodies = {b"item": encode_item(_ODD), b"delta": encode_delta(Delta((), (), 1))}
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head = await reader.readuntil(b"\r\n\r\n")
-            asked.append(head.split(b"\r\n")[0])
+            request_lines.append(head.split(b"\r\n")[0])
             body = bodies[b"item" if ITEM_PATH.encode() in head else b"delta"]
             writer.write(b"HTTP/1.1 200 x\r\ncontent-length: %d\r\n\r\n" % len(body) + body)
             writer.close()
@@ -282,7 +283,7 @@
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     async def test_a_status_is_an_error_that_says_where_to_look(self) -> None:
-        await self._fails(Peer(503, b""), "status 503, not 200: read that VM's own lines")
+        await self._fails(Peer(503, b""), "status 503, expected 200: see the log of the peer VM")
 
     async def test_an_item_that_went_is_told_apart(self) -> None:
         address = await Peer(404, b"").start(self)
@@ -292,22 +293,27 @@
     async def test_an_item_that_was_not_asked_for_is_an_error(self) -> None:
         for other in (Item("op/other", b"", _NAMED.revision), Item(_NAMED.key, b"", 1)):
             with self.subTest(other=other):
-                await self._fails(Peer(200, encode_item(other)), "not what was asked for")
+                await self._fails(Peer(200, encode_item(other)), "which was not requested")
 
     async def test_garbage_is_an_error_that_says_what_to_check(self) -> None:
         of_delta = encode_delta(Delta((), (), 1))
         for body in (b"", b"\xc1", of_delta, zlib.compress(of_delta), encode_item(_ITEM)[:-1]):
             with self.subTest(body=body[:20]):
-                await self._fails(Peer(200, body), "not an item .*check which version that VM runs")
+                await self._fails(
+                    Peer(200, body), "not an item .*check which version the peer VM runs"
+                )
 
     async def test_a_body_that_is_cut_off_is_an_error_that_says_what_to_check(self) -> None:
         body = encode_item(_ITEM)
         for sent in (0, 1, len(body) - 1):
             with self.subTest(sent=sent):
-                await self._fails(CutOff(body, sent), "check that the VM runs and that TCP passes")
+                await self._fails(
+                    CutOff(body, sent),
+                    "check that the peer VM runs and that TCP connections to it work",
+                )
 
     async def test_a_peer_that_is_not_there_is_an_error_that_says_what_to_check(self) -> None:
-        with self.assertRaisesRegex(DeltaUnavailableError, "check that the VM runs"):
+        with self.assertRaisesRegex(DeltaUnavailableError, "check that the peer VM runs"):
             await fetch_item("127.0.0.1:9", _NAMED)
 
     async def _fails(self, peer: Peer, reason: str) -> None:
--- a/tests/test_gateway_large_items_rule.py
+++ b/tests/test_gateway_large_items_rule.py
@@ -1,7 +1,7 @@
-"""Which large item is fetched when, by itself on the virtual loop, with a peer that plays a script.
+"""`LargeItems` on the virtual loop, with a scripted peer.
 
-One transfer at a time; a newer version waits for the one that runs; a failure is left to the next
-delta; and the store is left alone for as long as bytes arrive.
+One transfer runs at a time; a newer version waits for it; a failed fetch is repeated only after the
+next delta; the store is not called while bytes arrive.
 """
 
 import asyncio
@@ -31,31 +31,31 @@
 _PIECES = 5
 _PAUSE_S = 0.4
 _TRANSFER_S = _PIECES * _PAUSE_S
-"""An answer comes in pieces at pauses that are shorter than the silence that gives it up."""
+"""Duration of a response in seconds; its pauses are shorter than the timeout between bytes."""
 
 _CATCH_UP_TIMEOUT_S = 0.8
-"""Time behind an announced revision after which the store is followed, in seconds."""
+"""Time behind an announced revision after which a VM follows the store, in seconds."""
 
-_CREDIT_S = 0.7
-"""Time behind for which bytes of a transfer hold that off, in seconds."""
+_MAX_TRANSFER_EXTENSION_S = 0.7
+"""Longest extension of that time while bytes of a transfer arrive, in seconds."""
 
-_NOBODY = "10.0.0.9:70"
-"""Address at which nobody listens."""
+_UNREACHABLE_ADDRESS = "10.0.0.9:70"
+"""No peer listens at this address."""
 
 
 class ScriptedPeer:
-    """A peer listener that sends its items slowly, and keeps what it was asked for.
+    """A peer listener that sends its items slowly and records the requests.
 
     Args:
         loop: The loop.
 
     Attributes:
-        items: What it holds, by key.
-        stops_after: Pieces after which it sends no more.
+        items: Its items, by key.
+        stops_after: Pieces after which it stops sending.
         pause_s: Pause before each piece, in seconds.
-        asked: Key and revision of each request.
-        running: Transfers that run now.
-        most_running: Most transfers that ran at once.
+        requested: Key and revision of each request.
+        running: Transfers in progress.
+        max_running: Most transfers in progress at once.
     """
 
     def __init__(self, loop: VirtualLoop) -> None:
@@ -63,22 +63,22 @@
         self.items: dict[str, Item] = {}
         self.stops_after = _PIECES
         self.pause_s = _PAUSE_S
-        self.asked: list[tuple[str, int]] = []
+        self.requested: list[tuple[str, int]] = []
         self.running = 0
-        self.most_running = 0
-        loop.listen(_ADDRESS, lambda: _Caller(self))
+        self.max_running = 0
+        loop.listen(_ADDRESS, lambda: _PeerProtocol(self))
 
-    def hold(self, key: str, revision: int) -> DeferredItem:
-        """Hold an item, and return how a delta names it."""
+    def add(self, key: str, revision: int) -> DeferredItem:
+        """Add an item, and return it as a delta names it."""
         item = self.items[key] = Item(key, b"%d" % revision * 20_000, revision)
         return DeferredItem(key, revision, len(item.value))
 
     async def answer(self, transport: MemoryTransport, target: str) -> None:
         """Answer a request piece by piece."""
         query = dict(parse_qsl(urlsplit(target).query))
-        self.asked.append((query["key"], int(query["revision"])))
+        self.requested.append((query["key"], int(query["revision"])))
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         await self._send(transport, self.items.get(query["key"]))
         self.running -= 1
 
@@ -94,7 +94,7 @@
             transport.write(body[number * size : (number + 1) * size])
 
 
-class _Caller(asyncio.Protocol):
+class _PeerProtocol(asyncio.Protocol):
     """The peer's end of one connection."""
 
     def __init__(self, peer: ScriptedPeer) -> None:
@@ -128,30 +128,30 @@
         )
         self.task = loop.create_task(self.large_items.run())
 
-    def want(self, *deferred: DeferredItem) -> None:
-        """Take what a delta of the peer names."""
-        self.large_items.want(_ADDRESS, deferred)
+    def enqueue(self, *deferred: DeferredItem) -> None:
+        """Enqueue items that a delta of the peer names."""
+        self.large_items.enqueue(_ADDRESS, deferred)
 
     def held(self) -> dict[str, int]:
-        """Return the revisions of the keys that are held."""
+        """Return the revisions of the held keys."""
         return {key: item.revision for key, item in self.view.replica.items.items()}
 
     def decide(self, announced: int) -> FollowReason:
-        """Take a fresh notice of a revision, and return whether the store is followed."""
+        """Receive a fresh notice of a revision, and return the decision."""
         now = self.loop.time()
         self.role.receive(ProgressNotice("vm1", announced, 0), now)
         return self.role.decide(now)
 
 
-Play = Callable[[ScriptedPeer, Vm], Coroutine[Any, Any, None]]
+Scenario = Callable[[ScriptedPeer, Vm], Coroutine[Any, Any, None]]
 
 
-def _play(play: Play) -> tuple[ScriptedPeer, Vm]:
-    """Run a play with a fresh peer and VM on the virtual loop, and return both."""
+def _run_scenario(scenario: Scenario) -> tuple[ScriptedPeer, Vm]:
+    """Run a scenario with a new peer and VM on the virtual loop, and return both."""
 
     async def main(loop: VirtualLoop) -> tuple[ScriptedPeer, Vm]:
         peer, vm = ScriptedPeer(loop), Vm(loop)
-        await play(peer, vm)
+        await scenario(peer, vm)
         return peer, vm
 
     return run_virtual(main)
@@ -159,191 +159,191 @@
 
 class Transfers(unittest.TestCase):
     def test_one_runs_at_a_time(self) -> None:
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            vm.want(*(peer.hold(key, number) for number, key in enumerate("abc", start=1)))
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            vm.enqueue(*(peer.add(key, number) for number, key in enumerate("abc", start=1)))
             await pass_time(4 * _TRANSFER_S)
 
-        peer, vm = _play(play)
+        peer, vm = _run_scenario(scenario)
         self.assertEqual(vm.held(), {"a": 1, "b": 2, "c": 3})
-        self.assertEqual(len(peer.asked), 3)
-        self.assertEqual(peer.most_running, 1)
+        self.assertEqual(len(peer.requested), 3)
+        self.assertEqual(peer.max_running, 1)
 
     def test_one_that_is_named_again_while_it_comes_is_fetched_once(self) -> None:
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            named = peer.hold("a", 5)
-            vm.want(named)
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            named = peer.add("a", 5)
+            vm.enqueue(named)
             await pass_time(_TRANSFER_S / 2)
-            vm.want(named)
+            vm.enqueue(named)
             await pass_time(3 * _TRANSFER_S)
 
-        peer, vm = _play(play)
-        self.assertEqual(peer.asked, [("a", 5)])
+        peer, vm = _run_scenario(scenario)
+        self.assertEqual(peer.requested, [("a", 5)])
         self.assertEqual(vm.held(), {"a": 5})
 
     def test_a_newer_version_is_fetched_after_the_transfer_that_runs(self) -> None:
         held_between: list[dict[str, int]] = []
 
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            vm.want(peer.hold("a", 5))
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            vm.enqueue(peer.add("a", 5))
             await pass_time(_TRANSFER_S / 2)
-            vm.want(peer.hold("a", 9))
+            vm.enqueue(peer.add("a", 9))
             await pass_time(_TRANSFER_S)
             held_between.append(vm.held())
             await pass_time(2 * _TRANSFER_S)
 
-        peer, vm = _play(play)
-        self.assertEqual(peer.asked, [("a", 5), ("a", 9)])
-        self.assertEqual(peer.most_running, 1)
+        peer, vm = _run_scenario(scenario)
+        self.assertEqual(peer.requested, [("a", 5), ("a", 9)])
+        self.assertEqual(peer.max_running, 1)
         self.assertEqual(held_between, [{"a": 5}])
         self.assertEqual(vm.held(), {"a": 9})
 
     def test_of_several_newer_versions_only_the_newest_is_fetched(self) -> None:
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            vm.want(peer.hold("a", 5))
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            vm.enqueue(peer.add("a", 5))
             await pass_time(_TRANSFER_S / 2)
-            vm.want(peer.hold("a", 9))
-            vm.want(peer.hold("a", 12))
+            vm.enqueue(peer.add("a", 9))
+            vm.enqueue(peer.add("a", 12))
             await pass_time(4 * _TRANSFER_S)
 
-        peer, vm = _play(play)
-        self.assertEqual(peer.asked, [("a", 5), ("a", 12)])
+        peer, vm = _run_scenario(scenario)
+        self.assertEqual(peer.requested, [("a", 5), ("a", 12)])
         self.assertEqual(vm.held(), {"a": 12})
 
     def test_one_that_came_otherwise_meanwhile_is_not_fetched(self) -> None:
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            vm.want(peer.hold("a", 5))
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            vm.enqueue(peer.add("a", 5))
             await pass_time(_TRANSFER_S / 2)
-            vm.want(peer.hold("b", 6))
+            vm.enqueue(peer.add("b", 6))
             vm.view.apply_item(peer.items["b"], vm.loop.time())
             await pass_time(3 * _TRANSFER_S)
 
-        peer, _ = _play(play)
-        self.assertEqual(peer.asked, [("a", 5)])
+        peer, _ = _run_scenario(scenario)
+        self.assertEqual(peer.requested, [("a", 5)])
 
     def test_one_that_was_removed_meanwhile_is_not_fetched(self) -> None:
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            vm.want(peer.hold("a", 5))
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            vm.enqueue(peer.add("a", 5))
             await pass_time(_TRANSFER_S / 2)
-            vm.want(peer.hold("b", 6))
+            vm.enqueue(peer.add("b", 6))
             vm.view.apply(Delta((), (Removal("b", 7),), 0), vm.loop.time())
             await pass_time(3 * _TRANSFER_S)
 
-        peer, vm = _play(play)
-        self.assertEqual(peer.asked, [("a", 5)])
+        peer, vm = _run_scenario(scenario)
+        self.assertEqual(peer.requested, [("a", 5)])
         self.assertEqual(vm.held(), {"a": 5})
 
     def test_one_that_is_removed_while_it_comes_stays_removed(self) -> None:
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            vm.want(peer.hold("a", 5))
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            vm.enqueue(peer.add("a", 5))
             await pass_time(_TRANSFER_S / 2)
             vm.view.apply(Delta((), (Removal("a", 7),), 7), vm.loop.time())
             await pass_time(2 * _TRANSFER_S)
 
-        _, vm = _play(play)
+        _, vm = _run_scenario(scenario)
         self.assertEqual(vm.held(), {})
 
     def test_one_that_is_held_is_not_wanted(self) -> None:
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            named = peer.hold("a", 5)
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            named = peer.add("a", 5)
             vm.view.apply_item(peer.items["a"], vm.loop.time())
-            vm.want(named)
+            vm.enqueue(named)
             await pass_time(_TRANSFER_S)
 
-        peer, _ = _play(play)
-        self.assertEqual(peer.asked, [])
+        peer, _ = _run_scenario(scenario)
+        self.assertEqual(peer.requested, [])
 
     def test_it_shows_that_a_transfer_runs(self) -> None:
         shown: list[bool] = []
 
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             shown.append(vm.large_items.fetching)
-            vm.want(peer.hold("a", 5))
+            vm.enqueue(peer.add("a", 5))
             await pass_time(_TRANSFER_S / 2)
             shown.append(vm.large_items.fetching)
             await pass_time(_TRANSFER_S)
             shown.append(vm.large_items.fetching)
 
-        _play(play)
+        _run_scenario(scenario)
         self.assertEqual(shown, [False, True, False])
 
     def test_each_has_a_line_and_lets_this_vm_look_what_it_lacks(self) -> None:
         waited_s: list[float] = []
 
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            vm.want(peer.hold("a", 5))
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            vm.enqueue(peer.add("a", 5))
             started = vm.loop.time()
-            await vm.notices.wait_behind(60.0)
+            await vm.notices.wait_until_behind(60.0)
             waited_s.append(vm.loop.time() - started)
 
-        peer, vm = _play(play)
+        peer, vm = _run_scenario(scenario)
         self.assertAlmostEqual(waited_s[0], _TRANSFER_S, delta=0.1)
         ((event, fields),) = vm.events.lines
-        took_ms = fields.pop("ms")
+        duration_ms = fields.pop("ms")
         size = len(peer.items["a"].value)
         self.assertEqual(event, "large-item")
         self.assertEqual(fields, {"key": "a", "revision": 5, "bytes": size, "peer": _ADDRESS})
-        self.assertAlmostEqual(took_ms, 1000 * _TRANSFER_S, delta=100)
+        self.assertAlmostEqual(duration_ms, 1000 * _TRANSFER_S, delta=100)
         self.assertEqual(vm.events.counted, [])
 
 
 class Failures(unittest.TestCase):
-    def test_one_is_counted_and_distrusts_peers_and_is_left_to_the_next_delta(self) -> None:
+    def test_one_is_counted_and_causes_the_fallback_and_waits_for_the_next_delta(self) -> None:
         reasons: list[FollowReason] = []
 
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            vm.large_items.want(_NOBODY, (DeferredItem("a", 5, 99_999),))
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            vm.large_items.enqueue(_UNREACHABLE_ADDRESS, (DeferredItem("a", 5, 99_999),))
             await pass_time(0.1)
             reasons.append(vm.role.decide(vm.loop.time()))
             await pass_time(30.0)
 
-        _, vm = _play(play)
+        _, vm = _run_scenario(scenario)
         self.assertEqual(reasons, [FollowReason.PEER_FAILED])
         self.assertEqual(vm.events.counted, ["deltas_failed"])
         ((event, fields),) = vm.events.lines
-        self.assertEqual((event, fields["peer"]), ("delta-failed", _NOBODY))
+        self.assertEqual((event, fields["peer"]), ("delta-failed", _UNREACHABLE_ADDRESS))
         self.assertIn("ConnectFailedError", fields["problem"])
 
     def test_an_item_that_went_before_it_was_fetched_is_none(self) -> None:
         reasons: list[FollowReason] = []
 
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            vm.want(DeferredItem("gone", 5, 99_999))
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            vm.enqueue(DeferredItem("gone", 5, 99_999))
             await pass_time(0.1)
             reasons.append(vm.role.decide(vm.loop.time()))
             await pass_time(30.0)
 
-        peer, vm = _play(play)
-        self.assertEqual(peer.asked, [("gone", 5)])
+        peer, vm = _run_scenario(scenario)
+        self.assertEqual(peer.requested, [("gone", 5)])
         self.assertNotIn(FollowReason.PEER_FAILED, reasons)
         self.assertEqual((vm.events.counted, vm.events.lines), ([], []))
 
     def test_the_next_delta_lets_it_be_fetched(self) -> None:
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
-            vm.want(DeferredItem("a", 5, 99_999))
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
+            vm.enqueue(DeferredItem("a", 5, 99_999))
             await pass_time(1.0)
-            vm.want(peer.hold("a", 5))
+            vm.enqueue(peer.add("a", 5))
             await pass_time(2 * _TRANSFER_S)
 
-        peer, vm = _play(play)
-        self.assertEqual(peer.asked, [("a", 5), ("a", 5)])
+        peer, vm = _run_scenario(scenario)
+        self.assertEqual(peer.requested, [("a", 5), ("a", 5)])
         self.assertEqual(vm.held(), {"a": 5})
 
     def test_a_failure_does_not_keep_others_from_being_fetched(self) -> None:
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             gone = DeferredItem("gone", 5, 99_999)
-            vm.want(peer.hold("a", 4), gone, peer.hold("b", 6))
+            vm.enqueue(peer.add("a", 4), gone, peer.add("b", 6))
             await pass_time(4 * _TRANSFER_S)
 
-        _, vm = _play(play)
+        _, vm = _run_scenario(scenario)
         self.assertEqual(vm.held(), {"a": 4, "b": 6})
 
     def test_a_peer_that_falls_silent_is_a_failure(self) -> None:
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             peer.stops_after = 2
-            vm.want(peer.hold("a", 5))
+            vm.enqueue(peer.add("a", 5))
             await pass_time(2 * _TRANSFER_S)
 
-        _, vm = _play(play)
+        _, vm = _run_scenario(scenario)
         self.assertEqual(vm.held(), {})
         self.assertEqual(vm.events.counted, ["deltas_failed"])
         self.assertFalse(vm.large_items.fetching)
@@ -353,44 +353,44 @@
     def test_while_bytes_come_being_behind_is_no_reason_to_ask_the_store(self) -> None:
         reasons: list[FollowReason] = []
 
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             vm.decide(5)
-            vm.want(peer.hold("a", 5))
-            for pause_s in (_CATCH_UP_TIMEOUT_S, _CREDIT_S - 0.31, 0.3, 0.3):
+            vm.enqueue(peer.add("a", 5))
+            for pause_s in (_CATCH_UP_TIMEOUT_S, _MAX_TRANSFER_EXTENSION_S - 0.31, 0.3, 0.3):
                 await pass_time(pause_s)
                 reasons.append(vm.decide(5))
 
-        _play(play)
+        _run_scenario(scenario)
         self.assertNotIn(FollowReason.BEHIND, reasons[:2])
         self.assertIs(reasons[3], FollowReason.BEHIND)
 
     def test_without_a_transfer_it_is(self) -> None:
         reasons: list[FollowReason] = []
 
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             vm.decide(5)
             for pause_s in (_CATCH_UP_TIMEOUT_S - 0.01, 0.02):
                 await pass_time(pause_s)
                 reasons.append(vm.decide(5))
 
-        _play(play)
+        _run_scenario(scenario)
         self.assertIsNot(reasons[0], FollowReason.BEHIND)
         self.assertIs(reasons[1], FollowReason.BEHIND)
 
     def test_it_is_again_some_time_after_the_last_byte(self) -> None:
-        """The item came at once and was not enough: the announced revision is still missing."""
+        """The item arrives at once, but the announced revision is still missing."""
         reasons: list[FollowReason] = []
 
-        async def play(peer: ScriptedPeer, vm: Vm) -> None:
+        async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             peer.pause_s = 0.1
             vm.decide(9)
-            vm.want(peer.hold("a", 5))
-            await vm.notices.wait_behind(60.0)
+            vm.enqueue(peer.add("a", 5))
+            await vm.notices.wait_until_behind(60.0)
             for pause_s in (_CATCH_UP_TIMEOUT_S - 0.01, 0.02):
                 await pass_time(pause_s)
                 reasons.append(vm.decide(9))
 
-        _, vm = _play(play)
+        _, vm = _run_scenario(scenario)
         self.assertEqual(vm.held(), {"a": 5})
         self.assertIsNot(reasons[0], FollowReason.BEHIND)
         self.assertIs(reasons[1], FollowReason.BEHIND)
--- a/tests/test_gateway_peer_follower.py
+++ b/tests/test_gateway_peer_follower.py
@@ -85,12 +85,12 @@
 
 class Unreachable(unittest.IsolatedAsyncioTestCase):
     async def test_a_peer_that_is_not_there_is_an_error_with_its_reason(self) -> None:
-        with self.assertRaisesRegex(DeltaUnavailableError, "check that the VM runs"):
+        with self.assertRaisesRegex(DeltaUnavailableError, "check that the peer VM runs"):
             await fetch_delta("127.0.0.1:9", 0)
 
     async def test_an_answer_without_a_delta_is_an_error_with_its_reason(self) -> None:
         for status, body, reason in (
-            (503, b"", "status 503, not 200"),
+            (503, b"", "status 503, expected 200"),
             (200, b"\xc1", "not a delta"),
             (200, b"", "not a delta"),
         ):
