--- a/sprucewinch/gateway/following/notices.py
+++ b/sprucewinch/gateway/following/notices.py
@@ -1,7 +1,8 @@
-"""Progress notices: what a store follower sends so that other VMs know which revision it holds.
+"""Sends and receives progress notices, by which other VMs know the revision of a store follower.
 
-Owns when notices are sent. Relies on `follow_role` for what a notice holds, who gets it and what a
-received one means. A received notice that shows this VM to be behind wakes the peer follower.
+Owns the times at which notices are sent. Relies on `follow_role` for their content, their
+recipients and the effect of a received one. A notice that shows this VM to be behind wakes the peer
+follower.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
     """Sends and receives progress notices.
 
     Args:
-        follow_role: This VM's part in following the store.
+        follow_role: Decides how this VM follows the store.
         datagrams: The endpoint between VMs.
         timing: Sources of time and randomness.
     """
@@ -28,14 +29,14 @@
         datagrams.register(ProgressNotice, self._receive)
 
     async def run(self) -> None:
-        """Send a notice at regular times while this VM follows the store."""
+        """Send a notice every `NOTICE_INTERVAL_S` while this VM follows the store."""
         while True:
             await asyncio.sleep(self.timing.jittered(NOTICE_INTERVAL_S))
             if self.follow_role.follows_store(self.timing.monotonic()):
                 self.send(changed=False)
 
     def send(self, *, changed: bool) -> None:
-        """Send a notice, unless the store's last answer is too old.
+        """Send a notice, unless the last answer of the store is too old.
 
         Args:
             changed: True when this VM has just received a change; then all VMs get the notice.
@@ -47,7 +48,7 @@
         self.datagrams.send(notice, [member.peer_address for member in recipients])
 
     async def wait_until_behind(self, timeout_s: float) -> None:
-        """Wait until a notice shows this VM to be behind, or until the time is over.
+        """Wait until a notice shows this VM to be behind, `wake` is called or the time is over.
 
         Args:
             timeout_s: Longest wait, in seconds.
@@ -56,12 +57,12 @@
             async with asyncio.timeout(timeout_s):
                 await self._behind.wait()
         except TimeoutError:
-            # No error: after the wait the caller looks at heartbeats, as it does after a notice.
+            # A time-out is no error: the caller checks heartbeats in either case.
             pass
         self._behind.clear()
 
     def wake(self) -> None:
-        """Let this VM look at once what it still lacks."""
+        """End the wait for a notice, so that this VM checks at once for missing changes."""
         self._behind.set()
 
     def _receive(self, notice: ProgressNotice, now: float) -> None:
--- a/sprucewinch/gateway/following/peer_follower.py
+++ b/sprucewinch/gateway/following/peer_follower.py
@@ -1,18 +1,18 @@
-"""Follows peers: fetches deltas from VMs that hold a newer revision than this one.
+"""Fetches deltas from peers that hold a newer revision than this VM.
 
-Owns which peer is asked, and when. Relies on `follow_role` and `gossip` for the revisions of other
-VMs, on `deltas` for the call, on `state.store_view`, to which each delta is applied, and on
-`large_items` for what a delta leaves out.
+Owns the choice of the peer and the time of each call. Relies on `follow_role` and `gossip` for the
+revisions of other VMs, on `deltas` for the call, on `state.store_view`, to which each delta is
+applied, and on `large_items` for items that a delta defers.
 
-Rule: a VM that announced a newer revision in a notice is asked at once. A newer revision in a
-heartbeat alone is followed at the second look, as a notice is probably on its way; then a random VM
-among those that hold more is asked. A VM without a configuration asks the sender of the last
-datagram once the store has had `_STORE_FIRST_S` to answer: a killed VM stays registered and gets
-heartbeats, so it starts during an outage of the store. A peer that fails makes this VM
-follow the store for a while.
+A VM that announced a newer revision in a notice is asked at once. When only heartbeats show a newer
+revision, this VM waits for one more check, as a notice is probably on its way; then it asks a
+random VM among those ahead of it. A VM without a configuration asks the sender of the last datagram
+once the store has had `_STORE_START_TIMEOUT_S` to answer. A killed VM can thus start again during
+an outage of the store, as it is still registered and receives heartbeats. After a peer failed, this
+VM follows the store for a while.
 
-Result: metric `neighbour_deltas`; failures as in `fetch_failures`. Tests: `test_gateway_following`,
-`test_gateway_peer_follower`.
+The metric `neighbour_deltas` counts applied deltas; failures are reported as described in
+`fetch_failures`. It is tested by `test_gateway_following` and `test_gateway_peer_follower`.
 """
 
 import asyncio
@@ -28,29 +28,28 @@
 from .large_items import LargeItems
 from .notices import ProgressNotices
 
-_PEER_POLL_S = 0.3
-"""Longest pause between two looks for a peer that holds more, in seconds: one notice interval."""
+_PEER_POLL_INTERVAL_S = 0.3
+"""Longest pause between two checks for a peer that is ahead, in seconds: one notice interval."""
 
-_STORE_FIRST_S = 0.5
-"""Time that the store has to answer a VM that starts before a peer is asked, in seconds. With a
-peer asked after it, a VM that starts in an outage holds a configuration within 2 s
-(`test_gateway_following.Outages`)."""
+_STORE_START_TIMEOUT_S = 0.5
+"""Time that a starting VM waits for the store before it asks a peer, in seconds. With it, a VM that
+starts during an outage holds a configuration within 2 s (`test_gateway_following.Outages`)."""
 
 _BATCH_PAUSE_S = 0.1
-"""Pause after a delta, in seconds, so that the next one brings several changes."""
+"""Pause after a delta, in seconds, so that the next one combines several changes."""
 
 
 class PeerFollower:
-    """Applies deltas of peers that hold a newer revision.
+    """Fetches and applies deltas of peers that hold a newer revision.
 
     Args:
-        store_view: What this VM holds of the store.
-        follow_role: This VM's part in following the store, with the heartbeats of others.
-        notices: Wake this VM when a store follower has a newer revision.
-        datagrams: Names the sender of the last datagram.
+        store_view: This VM's view of the store.
+        follow_role: Decides how this VM follows the store; holds the heartbeats of other VMs.
+        notices: Wakes this VM when a store follower holds a newer revision.
+        datagrams: Provides the sender of the last datagram.
         timing: Sources of time and randomness.
-        large_items: Fetches what a delta leaves out.
-        failures: Takes failures to fetch a delta.
+        large_items: Fetches the items that a delta defers.
+        failures: Records failures to fetch a delta.
     """
 
     def __init__(
@@ -71,38 +70,40 @@
         self.large_items = large_items
         self.failures = failures
         self.deltas_applied = 0
-        self._seen_behind = False
+        self._behind_at_last_check = False
         self._started_at = timing.monotonic()
 
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
-            await self.notices.wait_until_behind(_PEER_POLL_S)
+            await self.notices.wait_until_behind(_PEER_POLL_INTERVAL_S)
             await self.step()
 
     async def step(self) -> None:
-        """Ask one peer that holds more than this VM, if there is one."""
+        """Fetch and apply the delta of one peer that is ahead of this VM, if there is one."""
         if not self.store_view.has_configuration:
             await self._start_from_peer()
             return
-        announced_by = self.follow_role.announcing_peer
-        ahead = self._registered_ahead()
-        if announced_by in self.store_view.members:
-            await self._ask(announced_by)
-        elif not ahead:
-            self._seen_behind = False
-        elif not self._seen_behind:
-            self._seen_behind = True
+        announcing_peer = self.follow_role.announcing_peer
+        peers_ahead = self._registered_peers_ahead()
+        if announcing_peer in self.store_view.members:
+            await self._catch_up_from(announcing_peer)
+        elif not peers_ahead:
+            self._behind_at_last_check = False
+        elif not self._behind_at_last_check:
+            self._behind_at_last_check = True
         else:
-            await self._ask(self.timing.rng.choice(ahead))
+            await self._catch_up_from(self.timing.rng.choice(peers_ahead))
 
-    def _registered_ahead(self) -> list[str]:
+    def _registered_peers_ahead(self) -> list[str]:
         """Return the registered VMs whose heartbeats show a newer revision."""
-        ahead = self.follow_role.gossip.ahead(self.store_view.replica.at, self.timing.monotonic())
-        return [name for name in ahead if name in self.store_view.members]
+        peers_ahead = self.follow_role.gossip.peers_ahead(
+            self.store_view.replica.at, self.timing.monotonic()
+        )
+        return [name for name in peers_ahead if name in self.store_view.members]
 
     async def _start_from_peer(self) -> None:
-        """Fetch everything from the sender of the last datagram when the store is late."""
+        """Fetch everything from the sender of the last datagram if the store is late."""
         address = self.datagrams.last_sender
         if address is None or self.large_items.fetching or not self._store_is_late():
             return
@@ -111,9 +112,9 @@
             self._apply(address, delta)
 
     def _store_is_late(self) -> bool:
-        return self.timing.monotonic() - self._started_at >= _STORE_FIRST_S
+        return self.timing.monotonic() - self._started_at >= _STORE_START_TIMEOUT_S
 
-    async def _ask(self, name: str) -> None:
+    async def _catch_up_from(self, name: str) -> None:
         address = self.store_view.members[name].peer_address
         delta = await self._fetch(address, self.store_view.replica.at)
         if delta is None:
@@ -124,7 +125,7 @@
         await asyncio.sleep(_BATCH_PAUSE_S)
 
     async def _fetch(self, address: str, after: int) -> Optional[Delta]:
-        """Return a peer's delta; None after a failure, which is counted and logged here."""
+        """Return a peer's delta, or None after a failure, which is counted and logged here."""
         try:
             return await fetch_delta(address, after)
         except DeltaUnavailableError as error:
--- a/sprucewinch/gateway/membership/gossip.py
+++ b/sprucewinch/gateway/membership/gossip.py
@@ -209,7 +209,7 @@
         """
         return self.rng.sample(vms, min(count, len(vms)))
 
-    def ahead(self, revision: int, now: float) -> list[str]:
+    def peers_ahead(self, revision: int, now: float) -> list[str]:
         """Return the VMs in touch that hold a newer revision.
 
         Args:
--- a/tests/test_gateway_following.py
+++ b/tests/test_gateway_following.py
@@ -1,4 +1,4 @@
-"""A few VMs follow the store for all: what it costs, and how soon a change is in force."""
+"""A few VMs follow the store for the fleet: number of calls, time until a change is in force."""
 
 import json
 import unittest
@@ -30,8 +30,8 @@
     return fleet
 
 
-def _nothing(fleet: VirtualFleet, vm: FleetVm) -> None:
-    """Leave everything as it is."""
+def _cause_no_fault(fleet: VirtualFleet, vm: FleetVm) -> None:
+    """Cause no fault."""
 
 
 def _kill(fleet: VirtualFleet, vm: FleetVm) -> None:
@@ -42,11 +42,11 @@
     fleet.isolate(vm)
 
 
-def _turn_away(fault: Fault) -> Callable[[VirtualFleet, FleetVm], None]:
-    def turn_away(fleet: VirtualFleet, vm: FleetVm) -> None:
+def _refuse_by_store(fault: Fault) -> Callable[[VirtualFleet, FleetVm], None]:
+    def refuse(fleet: VirtualFleet, vm: FleetVm) -> None:
         fleet.store.faults_by_machine[vm.name] = fault
 
-    return turn_away
+    return refuse
 
 
 class Calm(unittest.TestCase):
@@ -83,13 +83,13 @@
 
 
 class InForce(unittest.TestCase):
-    """A change reaches every VM in time whatever has just become of the store followers."""
+    """A change reaches every VM in time whatever has just happened to the store followers."""
 
-    def _reaches_all(self, trouble: Callable, seed: int, everyone: bool = False) -> None:
+    def _reaches_all(self, cause_fault: Callable, seed: int, all_followers: bool = False) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop, 12, seed)
-            for vm in fleet.store_followers() if everyone else fleet.store_followers()[:1]:
-                trouble(fleet, vm)
+            for vm in fleet.store_followers() if all_followers else fleet.store_followers()[:1]:
+                cause_fault(fleet, vm)
             fleet.store.put("op/config", configuration(9))
             await pass_time(BOUND_S)
             late = {m.name for m in fleet.vms if m.version() != 9} - fleet.gone
@@ -98,7 +98,7 @@
         run_virtual(main)
 
     def test_nothing_happens(self) -> None:
-        self._reaches_all(_nothing, 1)
+        self._reaches_all(_cause_no_fault, 1)
 
     @settings(max_examples=10, deadline=None)
     @given(st.integers(0, 2**16))
@@ -108,7 +108,7 @@
     @settings(max_examples=10, deadline=None)
     @given(st.integers(0, 2**16))
     def test_all_store_followers_are_killed(self, seed: int) -> None:
-        self._reaches_all(_kill, seed, everyone=True)
+        self._reaches_all(_kill, seed, all_followers=True)
 
     @settings(max_examples=10, deadline=None)
     @given(st.integers(0, 2**16))
@@ -118,12 +118,12 @@
     @settings(max_examples=10, deadline=None)
     @given(st.integers(0, 2**16))
     def test_all_store_followers_are_cut_off_from_all_others(self, seed: int) -> None:
-        self._reaches_all(_isolate, seed, everyone=True)
+        self._reaches_all(_isolate, seed, all_followers=True)
 
     def test_a_store_follower_is_turned_away(self) -> None:
         for fault in (Fault.BUSY, Fault.MANY, Fault.RESET, Fault.SILENT):
             with self.subTest(fault=fault):
-                self._reaches_all(_turn_away(fault), 5)
+                self._reaches_all(_refuse_by_store(fault), 5)
 
     def test_peers_that_tell_of_a_change_and_never_give_it(self) -> None:
         async def main(loop: VirtualLoop) -> None:
@@ -136,7 +136,10 @@
         run_virtual(main)
 
     def test_a_vm_that_is_no_store_follower_is_cut_off_from_all_others(self) -> None:
-        """Several seeds: with some, heartbeats stop so early that it is elected in time."""
+        """Several seeds are needed, as with some the heartbeats of others stop early.
+
+        The VM is then elected in time even without the fallback.
+        """
         for seed in range(1, 7):
             with self.subTest(seed=seed):
                 self._cut_off_follower(seed)
@@ -195,15 +198,15 @@
     def test_a_server_that_leaves_while_one_vm_is_turned_away_is_gone_there_at_once(
         self,
     ) -> None:
-        """Seen in a hunt (cfqc-quotes, hunt-d694-11): it was held as if its entry had lapsed."""
+        """The VM once kept the server, as if its entry had lapsed in an outage."""
 
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop)
             fleet.store.put("servers/s0", _SERVER)
             await pass_time(2.0)
-            turned_away = fleet.store_followers()[0]
-            others = [m for m in fleet.vms if m is not turned_away]
-            fleet.store.faults_by_machine[turned_away.name] = Fault.BUSY
+            refused = fleet.store_followers()[0]
+            others = [m for m in fleet.vms if m is not refused]
+            fleet.store.faults_by_machine[refused.name] = Fault.BUSY
             self._silence(loop, others, True)
             for version in range(5, 15):
                 fleet.store.put("op/config", configuration(version))
@@ -211,7 +214,7 @@
             fleet.store.remove("servers/s0")
             self._silence(loop, others, False)
             await pass_time(BOUND_S)
-            self.assertEqual(turned_away.registry.usable("rates"), ())
+            self.assertEqual(refused.registry.usable("rates"), ())
 
         run_virtual(main)
 
@@ -235,7 +238,7 @@
         run_virtual(main)
 
     def test_each_vm_keeps_a_living_server_whose_entry_lapsed_in_an_outage_of_6_s(self) -> None:
-        """The entry is back 1 s after the store, within the grace; outages start at four phases."""
+        """The entry returns 1 s after the store, within the grace; outages start at 4 phases."""
 
         async def main(loop: VirtualLoop, calm_s: float) -> set[str]:
             fleet = await _fleet(loop)
@@ -257,7 +260,7 @@
         self.assertEqual(dropped, dict.fromkeys(dropped, []))
 
     async def _drops(self, fleet: VirtualFleet, seconds: float) -> set[str]:
-        """Return the VMs at which the server is not usable at some time of the next seconds."""
+        """Return the VMs at which the server is unusable at some time within the next seconds."""
         dropped = set()
         end = fleet.loop.time() + seconds
         while fleet.loop.time() < end:
@@ -288,7 +291,7 @@
         self.assertEqual(others, {})
 
     def test_a_vm_that_the_store_alone_refuses_writes_one_line_until_it_answers(self) -> None:
-        """It looks every 10 s, is refused again each time, and stands for no election meanwhile."""
+        """It probes every 10 s, is refused each time, and is not elected meanwhile."""
 
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop)
@@ -308,11 +311,11 @@
         run_virtual(main)
 
     def _store_lines(self, vm: FleetVm) -> list[bool]:
-        """Return `up` of each line of the event `store` that a VM wrote."""
+        """Return the field `up` of each event `store` that a VM logged."""
         return [row["up"] for row in self._rows(vm, "store")]
 
     def _rows(self, vm: FleetVm, event: str) -> list[dict]:
-        """Return the lines of an event that a VM wrote."""
+        """Return the fields of each event of one name that a VM logged."""
         rows = [json.loads(line) for line in vm.lines]
         return [row for row in rows if row["event"] == event]
 
--- a/tests/test_gateway_large_items.py
+++ b/tests/test_gateway_large_items.py
@@ -1,12 +1,11 @@
-"""A large configuration reaches VMs with narrow links in time, and holds up no other change.
-
-An operator added 1,400 routes three times, until the configuration neared a megabyte. After the
-last change 26 of 74 VMs, all with links of 10 Mbit/s, stayed at an older version for the 28 s that
-were left, and learned of no backend server that left; one had stayed behind since the second
-change. Each fetched the value over and over: that one received 400 to 980 KB a second and wrote
-`"event":"delta-failed","problem":"TimeoutError: ..."` for one peer after the other. A transfer had
-0.6 s whatever its size and began from nothing after each failure, and the store's answer with the
-same value came over the same link.
+"""A large configuration reaches VMs with narrow links in time and delays no other change.
+
+The tests guard against transfers that never end. 1,400 routes were added three times, up to a
+configuration of nearly 1 MB. After the last change 26 of 74 VMs, all with links of 10 Mbit/s, kept
+an older version for at least 28 s and learned of no backend server that left. A transfer had a
+timeout of 0.6 s whatever its size and restarted from the beginning after each failure, while the
+store's response with the same value came over the same link. One VM received 400 to 980 KB/s and
+logged `"event":"delta-failed","problem":"TimeoutError: ..."` for one peer after another.
 """
 
 import json
@@ -23,17 +22,17 @@
 """Time within which a change is in force at each VM, in seconds: the operators' bound."""
 
 _SMALL_S = 1.5
-"""Time within which a small change is known at each VM beside a large one, in seconds: half the
-time that a backend server which leaves still takes requests."""
+"""Time within which each VM knows of a small change beside a large one, in seconds: half the time
+for which a leaving backend server still accepts requests."""
 
 _MORE_ROUTES = 1400
 _SERVICES = ("rates", "bookings", "documents")
 _WIDE, _NARROW, _NARROWEST = 200, 10, 5
 _LINKS = (_WIDE, _WIDE, _WIDE, *[_NARROW] * 21)
-"""One VM of each region has a wide link, in Mbit/s."""
+"""Bandwidth of each VM's link, in Mbit/s; one VM of each region has a wide link."""
 
 _PHASES_S = (0.0, 0.5, 1.0, 1.5)
-"""Phases of a watch that waits 2 s, in seconds."""
+"""Times within a watch of 2 s at which a change is made, in seconds."""
 
 _SERVER = (
     '{"Service":"rates","Address":"10.1.0.%d:80","Zone":"east-a","Version":"v1",'
@@ -42,7 +41,10 @@
 
 
 def large_configuration(version: int, routes: int) -> bytes:
-    """Return a configuration of some 230 bytes a route; more routes leave the first as they are."""
+    """Return a configuration of about 230 bytes a route.
+
+    Its first routes are the same for any number of routes.
+    """
     rng = random.Random(7)
     hosts = [
         {"Hostname": f"{_word(rng)}.example", "Paths": [_route(rng) for _ in range(100)]}
@@ -73,7 +75,7 @@
 
 
 def _size(vm: FleetVm, key: str) -> int:
-    """Return the length of a value at a VM, in bytes; 0 where it is not held."""
+    """Return the length of a value at a VM, in bytes; 0 if it is not held."""
     item = vm.store_view.replica.items.get(key)
     return len(item.value) if item else 0
 
@@ -86,8 +88,8 @@
             store.put(f"servers/s{number}", (_SERVER % (number, "ready")).encode())
         return VirtualFleet(loop, store, len(links), seed=1, link_mbps=links)
 
-    def _grows(self, links: tuple[int, ...]) -> list[dict[str, int]]:
-        """Add routes three times; return the VMs that are late after each, with their versions."""
+    def _late_after_each_growth(self, links: tuple[int, ...]) -> list[dict[str, int]]:
+        """Add routes three times; return the VMs that are late each time, with their versions."""
 
         async def main(loop: VirtualLoop) -> list[dict[str, int]]:
             fleet = self._fleet(loop, links, 100)
@@ -103,11 +105,11 @@
         return {vm.name: vm.version() for vm in fleet.vms if vm.version() != version}
 
     def test_each_is_in_force_in_time_with_narrow_links(self) -> None:
-        self.assertEqual(self._grows(_LINKS), [{}, {}, {}])
+        self.assertEqual(self._late_after_each_growth(_LINKS), [{}, {}, {}])
 
     def test_each_is_in_force_in_time_with_the_narrowest_links(self) -> None:
         links = tuple(_NARROWEST if mbps == _NARROW else mbps for mbps in _LINKS)
-        self.assertEqual(self._grows(links), [{}, {}, {}])
+        self.assertEqual(self._late_after_each_growth(links), [{}, {}, {}])
 
     def test_servers_that_leave_beside_one_are_known_in_time(self) -> None:
         async def main(loop: VirtualLoop) -> dict[str, list[str]]:
@@ -123,19 +125,19 @@
         self.assertEqual(late, dict.fromkeys(late, []))
 
     async def _leave(self, fleet: VirtualFleet, number: int) -> list[str]:
-        """Let a server say that it leaves; return the VMs that do not know it in time."""
+        """Let a server announce its departure; return the VMs that do not know it in time."""
         fleet.store.put(f"servers/s{number}", (_SERVER % (number, "draining")).encode())
         await pass_time(_SMALL_S)
         return [vm.name for vm in fleet.vms if not vm.store_view.backends[f"s{number}"].draining]
 
     def test_vms_with_narrow_links_take_it_from_the_store_in_time(self) -> None:
-        """At the start, and without peers; the change comes at four phases of the watches."""
+        """At the start, and without peers; the change is made at four phases of the watches."""
         self.assertEqual(run_virtual(self._start), {1})
         late = {s: run_virtual(lambda loop, s=s: self._alone(loop, s)) for s in _PHASES_S}
         self.assertEqual(late, dict.fromkeys(late, {}))
 
     def test_a_vm_that_missed_many_versions_catches_up(self) -> None:
-        """A watch brings each of them: 12 take 30 s of its link, longer than any call may."""
+        """A watch delivers each of them: 12 take 30 s on its link, longer than any call may."""
 
         async def main(loop: VirtualLoop) -> set[int]:
             fleet = self._fleet(loop, (_NARROWEST,), _MORE_ROUTES)
--- a/tests/test_gateway_peer_follower.py
+++ b/tests/test_gateway_peer_follower.py
@@ -1,4 +1,4 @@
-"""Following a peer: a VM that the store turns away catches up, and deltas that cannot be had."""
+"""Following a peer: a VM that the store refuses catches up, and deltas that cannot be fetched."""
 
 import asyncio
 import json
@@ -49,7 +49,7 @@
 
 
 class Peer:
-    """A peer listener that gives every request the same answer."""
+    """A peer listener that answers every request with the same response."""
 
     def __init__(self, status: int, body: bytes) -> None:
         head = f"HTTP/1.1 {status} x\r\ncontent-length: {len(body)}\r\n\r\n"
@@ -70,7 +70,7 @@
 
 
 class Events(EventLog):
-    """Keeps lines and counts."""
+    """Records events and counts."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
