--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -158,7 +158,7 @@
         if age_s > MAX_NOTICE_AGE_S:
             return False
         self._notice_received_at = now
-        self.outages.answered_peer(now - age_s, now)
+        self.outages.record_peer_answer(now - age_s, now)
         self.announced_revision = max(self.announced_revision, notice.revision)
         if notice.revision > self.store_view.replica.at:
             self.announcing_peer = notice.sender
--- a/sprucewinch/gateway/following/store_follower.py
+++ b/sprucewinch/gateway/following/store_follower.py
@@ -149,8 +149,8 @@
         list_all = self._listing_due
         delta = await self._call(list_all)
         now = self.timing.monotonic()
-        self.outages.regained(now)
-        self.store_view.store_answered(now)
+        self.outages.record_answer(now)
+        self.store_view.record_store_answer(now)
         self.store_view.apply(delta, now)
         if list_all:
             await asyncio.sleep(_FIRST_BATCH_PAUSE_S)
--- a/sprucewinch/gateway/state/__init__.py
+++ b/sprucewinch/gateway/state/__init__.py
@@ -1,5 +1,5 @@
-"""The store's items as this VM holds them: replica, decoded resources, outages.
+"""This VM's copy of the store: the replica, the resources decoded from it, and outages.
 
-Owns the replica and the resources decoded from it. Relies on the adapter's decoder and on nothing
-else of the gateway but its types. Read `store_view` first, then `replica`.
+Relies on the adapter's decoder, and on no other part of the gateway but its types. Read
+`store_view` first, then `replica`.
 """
--- a/sprucewinch/gateway/state/outages.py
+++ b/sprucewinch/gateway/state/outages.py
@@ -1,44 +1,43 @@
-"""Rule: when a lapsed entry counts as gone.
+"""Tracks outages of the store, to decide whether a missing entry means that its server has left.
 
-Question: does an entry that is missing in the store now mean that its backend server has left?
+`StoreOutages` relies on the failed and answered calls to the store, those of this VM and those that
+other VMs announce, each with its monotonic time in seconds, and on the servers' heartbeat interval
+in seconds.
 
-Inputs: failed and answered calls to the store, of this VM and as other VMs announce them, each with
-its monotonic time in seconds, and the servers' heartbeat interval in seconds.
-
-Rule: during an outage of at least one heartbeat interval, and for `LAPSED_ENTRY_GRACE_S` after it,
-a missing entry may belong to a server that runs but could not renew its lease. An outage ends with
-an answered call of this VM, or when another VM announces an answer that the store gave after the
+During an outage of at least one heartbeat interval, and for `LAPSED_ENTRY_GRACE_S` after it, a
+missing entry may belong to a running server that could not renew its lease. An outage ends with an
+answered call of this VM, or when another VM announces an answer that the store gave after the
 outage began here; an older answer proves nothing. A VM that relied on other VMs learns of an outage
-only when their notices stay away: then the outage began `MAX_ANSWER_AGE_S` after the last answer
-that is known.
+only from the absence of their notices: then the outage is taken to have begun `MAX_ANSWER_AGE_S`
+after the last known answer.
 
-Why: without the grace, servers that ran were dropped and taken for cold when their entries were
-back, and half of the requests were late for 4 s after each return (docs/FINDINGS.md, journal
-a221209a). Without the announcements, a VM that alone was refused by the store sent a request to a
-server that had left 2,172 ms before (journal d694b71a; that the grace was the cause is inferred).
+Without the grace period, running servers were dropped and taken for cold when their entries
+returned, and half of the requests were late for 4 s after each outage (docs/FINDINGS.md). Without
+the announcements, a VM that the store alone refused sent a request to a server that had left
+2,172 ms before, probably because of the grace period.
 
-Result: `BackendRegistry` keeps or drops the server; it has no event of its own.
-Tests: `test_gateway_outages` (one VM without peers), `test_gateway_following.Outages`.
+`BackendRegistry` keeps or drops the server accordingly; there is no event. It is tested by
+`test_gateway_outages` (one VM without peers) and `test_gateway_following.Outages`.
 """
 
 from typing import Optional
 
 LAPSED_ENTRY_GRACE_S = 2.0
-"""Time after an outage for which entries of servers that run may still be missing, in seconds."""
+"""Time after an outage for which entries of running servers may still be missing, in seconds."""
 
 
 MAX_ANSWER_AGE_S = 3.2
-"""Age beyond which an answer of the store to some VM no longer shows that it answers, in seconds: a
-watch of 2 s and the store client's margin of 0.9 s, with 0.3 s to spare. Older notices of store
-followers are ignored (`following.follow_role`)."""
+"""Greatest age of an answer of the store, to any VM, that still proves the store reachable, in
+seconds: a watch of 2 s, the store client's margin of 0.9 s and 0.3 s to spare. Older notices of
+store followers are ignored (`following.follow_role`)."""
 
 
 class StoreOutages:
-    """Since when the store is out of reach, or until when its last outage matters.
+    """The current outage of the store, or the grace period after the last one.
 
     Args:
-        heartbeat_s: How often backend servers renew their entries, in seconds; in a shorter
-            outage none can run out.
+        heartbeat_s: Interval at which backend servers renew their entries, in seconds; no entry
+            can lapse in a shorter outage.
     """
 
     __slots__ = ("_answered_at", "_grace_until", "_lost_at", "heartbeat_s")
@@ -50,11 +49,11 @@
         self._grace_until = float("-inf")
 
     def lost(self, now: float, *, relied_on_peers: bool = False) -> None:
-        """Start an outage, unless one lasts, as a call failed.
+        """Start an outage after a failed call, unless one is in progress.
 
         Args:
             now: Monotonic time, in seconds.
-            relied_on_peers: True when this VM made no calls before, and so learns of it late.
+            relied_on_peers: True when this VM made no calls before, and so detects it late.
         """
         if self._lost_at is not None:
             return
@@ -62,8 +61,8 @@
         if relied_on_peers and self._answered_at is not None:
             self._lost_at = min(now, self._answered_at + MAX_ANSWER_AGE_S)
 
-    def regained(self, now: float) -> None:
-        """End the outage, if any, as a call was answered.
+    def record_answer(self, now: float) -> None:
+        """End the outage, if any, after an answered call.
 
         Args:
             now: Monotonic time, in seconds.
@@ -71,14 +70,14 @@
         self._answered_at = now
         self._end(now)
 
-    def answered_peer(self, at: float, now: float) -> None:
-        """End the outage when the store answered another VM after its start.
+    def record_peer_answer(self, at: float, now: float) -> None:
+        """End the outage if the store answered another VM after its start.
 
-        Then this VM alone does not reach the store: backend servers do, and a missing entry belongs
+        Then only this VM cannot reach the store: backend servers can, and a missing entry belongs
         to a server that has left.
 
         Args:
-            at: When the store answered it, as monotonic time here, in seconds.
+            at: Monotonic time of this VM at which the store answered the other, in seconds.
             now: Monotonic time, in seconds.
         """
         self._answered_at = at if self._answered_at is None else max(self._answered_at, at)
@@ -86,7 +85,7 @@
             self._end(now)
 
     def entries_may_have_lapsed(self, now: float) -> bool:
-        """Return whether an entry that is missing now may belong to a server that runs.
+        """Return whether an entry that is missing now may belong to a running server.
 
         Args:
             now: Monotonic time, in seconds.
--- a/sprucewinch/gateway/state/own_items.py
+++ b/sprucewinch/gateway/state/own_items.py
@@ -1,8 +1,9 @@
-"""The product's own keys in the store: entry VMs, policies with their services, quarantine.
+"""Encodes and decodes the product's own items in the store.
 
-Owns the prefixes of these keys and the encoding of their values, which VMs of other versions read.
-Relies on `resources` for the types. Values are JSON objects of named fields, so that a version may
-add a field; a value that cannot be read raises an error that names the field.
+These are registered entry VMs, policies, the policy in force for each service, and quarantined
+requests. Owns the prefixes of their keys and the encoding of their values, which VMs of other
+versions read too. Relies on `resources` for the types. Values are JSON objects, so that a later
+version may add a field; a value that does not decode raises an error that names the field.
 """
 
 import re
@@ -20,7 +21,7 @@
 CHOICE_PREFIX = OWN_PREFIX + "policy-of/"
 QUARANTINE_PREFIX = OWN_PREFIX + "quarantine/"
 
-_KINDS: dict[str, type] = {
+_TYPES_BY_PREFIX: dict[str, type] = {
     MEMBER_PREFIX: Member,
     POLICY_PREFIX: PolicyProgram,
     CHOICE_PREFIX: PolicyChoice,
@@ -28,15 +29,15 @@
 }
 
 _STORED_NAMES = {"hall": "zone"}
-"""Names of fields in stored values where they differ from the field's own; kept for older VMs."""
+"""Stored names of fields whose own names differ; VMs of older versions read the stored ones."""
 
-_INDEX = re.compile(r"\$\[(\d+)\]")
+_FIELD_INDEX = re.compile(r"\$\[(\d+)\]")
 
 T = TypeVar("T")
 
 
 class StoredItem(NamedTuple):
-    """A key and the value that it holds."""
+    """A key and its value."""
 
     key: str
     value: bytes
@@ -58,7 +59,7 @@
 
 
 def quarantine_item(request: QuarantinedRequest) -> StoredItem:
-    """Return the item that keeps a request from backend servers."""
+    """Return the item that quarantines a request."""
     return _stored(quarantine_key(request.fingerprint), request)
 
 
@@ -68,27 +69,27 @@
 
 
 def decode_own(item: Item) -> Optional[Resource]:
-    """Return the resource of an item under the product's own keys; None for other keys.
+    """Return the resource of an item under the product's own keys, or None for other keys.
 
     Raises:
-        MalformedItemError: When its value does not decode.
+        MalformedItemError: If its value does not decode.
     """
-    for prefix, kind in _KINDS.items():
+    for prefix, resource_type in _TYPES_BY_PREFIX.items():
         if item.key.startswith(prefix):
-            resource = _decode(item.value, kind)
+            resource = _decode(item.value, resource_type)
             if isinstance(resource, QuarantinedRequest):
-                _check_digits(resource)
+                _check_hexadecimal(resource)
             return resource
     return None
 
 
-def _check_digits(request: QuarantinedRequest) -> None:
-    """Raise an error when what names a request is not written in hexadecimal digits."""
+def _check_hexadecimal(request: QuarantinedRequest) -> None:
+    """Raise `MalformedItemError` unless the fingerprint and the target hash are hexadecimal."""
     try:
         bytes.fromhex(request.fingerprint)
         int(request.target_hash, 16)
     except ValueError as error:
-        raise MalformedItemError(f"no {type(request).__name__}: {error}") from None
+        raise MalformedItemError(f"not a valid {type(request).__name__}: {error}") from None
 
 
 def _stored(key: str, resource: Any) -> StoredItem:
@@ -100,11 +101,11 @@
     return _STORED_NAMES.get(field, field)
 
 
-def _decode(value: bytes, kind: type[T]) -> T:
-    names = tuple(map(_stored_name, kind._fields))  # type: ignore[attr-defined]
+def _decode(value: bytes, resource_type: type[T]) -> T:
+    names = tuple(map(_stored_name, resource_type._fields))  # type: ignore[attr-defined]
     try:
         fields = msgspec.json.decode(value, type=dict[str, object])
-        return msgspec.convert(list(map(fields.get, names)), kind)
+        return msgspec.convert(list(map(fields.get, names)), resource_type)
     except msgspec.MsgspecError as error:
-        problem = _INDEX.sub(lambda found: names[int(found[1])], str(error))
-        raise MalformedItemError(f"no {kind.__name__}: {problem}") from None
+        problem = _FIELD_INDEX.sub(lambda match: names[int(match[1])], str(error))
+        raise MalformedItemError(f"not a valid {resource_type.__name__}: {problem}") from None
--- a/sprucewinch/gateway/state/replica.py
+++ b/sprucewinch/gateway/state/replica.py
@@ -1,25 +1,23 @@
-"""Rule: which of two versions of a key is held, in a replica of the store's keys in memory.
+"""Keeps a replica of the store's keys in memory, and decides which version of a key it holds.
 
-Question: does an item or a removal that arrives change what is held?
+Deltas come from listings, watches and peers, in any order and more than once; each item and each
+removal carries the store's revision of its change.
 
-Inputs: deltas from listings, watches and peers, in any order and more than once; each item and each
-removal has the store's revision of its change.
+A key never returns to an older revision, and a removed key stays removed until a newer write. A
+delta may defer large items, that is, only name them: the other changes are applied at once, but
+`at` stays below the revision of the first missing item, so that this VM requests it again and no
+peer takes this replica for complete. A whole delta also removes the keys that it does not list,
+unless they are newer than the delta. Removals are kept as tombstones for `MAX_TOMBSTONES` keys; a
+peer behind a dropped one gets a whole delta.
 
-Rule: a key never goes back to an older revision, and a removed key stays removed until a newer
-write. A delta may leave large items out and only name them: what is newer is held at once, but `at`
-stays before the first item that is missing, so that this VM asks for it again and no peer takes
-what is held here for complete. A whole delta also removes the keys that it does not list, unless
-they are newer than it. Removals are held for `MAX_REMOVED` keys; a peer behind the oldest of them
-gets a whole delta.
-
-Why: with it the order of arrival does not matter, so that a VM may follow the store and several
-peers at once, and a small change does not wait for a large one. Tests: `test_gateway_replica`.
+The order of arrival thus does not matter: a VM may follow the store and several peers at once, and
+a small change does not wait for a large one. It is tested by `test_gateway_replica`.
 """
 
 from typing import NamedTuple, Optional
 
-MAX_REMOVED = 4096
-"""Removed keys held at the most; a peer that is behind a dropped one needs a whole delta."""
+MAX_TOMBSTONES = 4096
+"""Greatest number of tombstones; a peer that is behind a dropped one needs a whole delta."""
 
 
 class Item(NamedTuple):
@@ -37,7 +35,7 @@
 
 
 class Removal(NamedTuple):
-    """A key that was removed.
+    """The removal of a key.
 
     Args:
         key: The key.
@@ -49,7 +47,7 @@
 
 
 class DeferredItem(NamedTuple):
-    """An item that a delta names and leaves out for its size; it is fetched by itself.
+    """An item that a delta names but does not contain, for its size; it is fetched separately.
 
     Args:
         key: The key.
@@ -63,14 +61,14 @@
 
 
 class Delta(NamedTuple):
-    """What has changed after some revision.
+    """The changes after some revision.
 
     Args:
         items: Newer items; all items when `whole`.
         removals: Keys removed since.
-        at: Revision that this brings a replica to, once it holds the deferred items too.
+        at: Revision of a replica that has applied the delta and holds the deferred items too.
         whole: True when keys that are not listed were removed.
-        deferred: Newer items that are left out.
+        deferred: Newer items that the delta names but does not contain.
     """
 
     items: tuple[Item, ...]
@@ -83,15 +81,16 @@
 class Replica:
     """The newest received state of some prefixes of the store.
 
-    `at` is the revision up to which changes were received. `floor` is the newest revision of a
-    removal that may not be recorded here: a delta after an older revision has to be whole.
+    `at` is the revision up to which all changes were received. `tombstones` holds the revision of
+    each recorded removal by key. `min_delta_revision` is the newest revision of a removal that may
+    have no tombstone: a delta after an older revision has to be whole.
     """
 
     def __init__(self) -> None:
         self.items: dict[str, Item] = {}
-        self.removed: dict[str, int] = {}
+        self.tombstones: dict[str, int] = {}
         self.at = 0
-        self.floor = 0
+        self.min_delta_revision = 0
 
     def apply(self, delta: Delta) -> set[str]:
         """Apply the items and removals that are newer than what is held.
@@ -106,40 +105,43 @@
         changed |= {r.key for r in delta.removals if self._remove(r.key, r.revision)}
         if delta.whole:
             changed |= self._remove_missing(delta)
-            # What went before a listing is not recorded here: a peer behind it needs a whole delta,
-            # or it keeps a removed key for good (`test_gateway_replica.Listings`).
-            self.floor = max(self.floor, delta.at)
+            # Keys removed before a listing have no tombstone: without a whole delta a peer behind
+            # it would keep such a key for ever (`test_gateway_replica.Listings`).
+            self.min_delta_revision = max(self.min_delta_revision, delta.at)
         missing = [item.revision - 1 for item in delta.deferred if self.lacks(item)]
         self.at = max(self.at, min([delta.at, *missing]))
         return changed
 
     def lacks(self, deferred: DeferredItem) -> bool:
-        """Return whether an item that was left out is newer than what is held."""
+        """Return whether a deferred item is newer than what is held."""
         return deferred.revision > self._known_revision(deferred.key)
 
     def since(self, revision: int, *, most_bytes: Optional[int] = None) -> Delta:
-        """Return what has changed after a revision; whole when removals were dropped since.
+        """Return the changes after a revision, as a whole delta if tombstones were dropped since.
 
         Args:
             revision: The revision.
-            most_bytes: Length of a value beyond which its item is deferred; None for no limit.
+            most_bytes: Longest value that the delta contains, in bytes; items with longer ones are
+                deferred. None for no limit.
         """
-        if revision < self.floor:
-            return _deferring(Delta(tuple(self.items.values()), (), self.at, True), most_bytes)
+        if revision < self.min_delta_revision:
+            return _defer_large_items(
+                Delta(tuple(self.items.values()), (), self.at, True), most_bytes
+            )
         items = tuple(item for item in self.items.values() if item.revision > revision)
-        gone = tuple(Removal(k, r) for k, r in self.removed.items() if r > revision)
-        return _deferring(Delta(items, gone, self.at), most_bytes)
+        removals = tuple(Removal(k, r) for k, r in self.tombstones.items() if r > revision)
+        return _defer_large_items(Delta(items, removals, self.at), most_bytes)
 
     def _known_revision(self, key: str) -> int:
-        """Return the revision of a key's last change that is known here; 0 for none."""
+        """Return the revision of a key's last known change, or 0 if there is none."""
         held = self.items.get(key)
-        return held.revision if held else self.removed.get(key, 0)
+        return held.revision if held else self.tombstones.get(key, 0)
 
     def _put(self, item: Item) -> bool:
         held = self.items.get(item.key)
         if item.revision <= self._known_revision(item.key):
             return False
-        self.removed.pop(item.key, None)
+        self.tombstones.pop(item.key, None)
         self.items[item.key] = item
         return held is None or held.value != item.value
 
@@ -147,18 +149,18 @@
         held = self.items.get(key)
         if held is not None and held.revision > revision:
             return False
-        if held is None and self.removed.get(key, 0) >= revision:
+        if held is None and self.tombstones.get(key, 0) >= revision:
             return False
         self.items.pop(key, None)
-        self._record_removal(key, revision)
+        self._add_tombstone(key, revision)
         return held is not None
 
-    def _record_removal(self, key: str, revision: int) -> None:
-        self.removed.pop(key, None)
-        self.removed[key] = revision
-        if len(self.removed) > MAX_REMOVED:
-            oldest = next(iter(self.removed))
-            self.floor = max(self.floor, self.removed.pop(oldest))
+    def _add_tombstone(self, key: str, revision: int) -> None:
+        self.tombstones.pop(key, None)
+        self.tombstones[key] = revision
+        if len(self.tombstones) > MAX_TOMBSTONES:
+            oldest = next(iter(self.tombstones))
+            self.min_delta_revision = max(self.min_delta_revision, self.tombstones.pop(oldest))
 
     def _remove_missing(self, delta: Delta) -> set[str]:
         listed = {item.key for item in (*delta.items, *delta.deferred)}
@@ -166,8 +168,8 @@
         return {key for key in missing if self._remove(key, delta.at)}
 
 
-def _deferring(delta: Delta, most_bytes: Optional[int]) -> Delta:
-    """Return a delta whose items with longer values are named instead of sent."""
+def _defer_large_items(delta: Delta, most_bytes: Optional[int]) -> Delta:
+    """Return the delta with items of longer values deferred."""
     if most_bytes is None:
         return delta
     small = tuple(item for item in delta.items if len(item.value) <= most_bytes)
--- a/sprucewinch/gateway/state/store.py
+++ b/sprucewinch/gateway/state/store.py
@@ -1,7 +1,7 @@
-"""The interface of the platform's store as the routed path needs it.
+"""Interface of the platform's store, as far as the routed path needs it.
 
 Owns the interface and its errors; the platform's adapter implements it. Relies on `replica` for
-what a listing or a watch returns. A call that fails raises an error; the caller repeats it.
+the result of a listing or a watch. A failed call raises an error; the caller repeats it.
 """
 
 import abc
@@ -10,22 +10,22 @@
 
 
 class HistoryGoneError(Exception):
-    """The store no longer has the changes after the revision asked for; list everything."""
+    """The store no longer has the changes after the requested revision; list everything."""
 
 
 class StoreUnavailableError(Exception):
-    """The store did not answer, or refused the call: repeat it; a write may have taken effect."""
+    """The store did not answer or refused the call; repeat it. A write may have taken effect."""
 
 
 class AnswerCutShortError(StoreUnavailableError):
-    """A part of an answer came, and not the rest in time: what is asked for may be too much."""
+    """Only a part of an answer arrived in time; the requested data may be too large."""
 
 
 class Store(abc.ABC):
     """Values with revisions, listings and watches."""
 
     calls = 0
-    """Calls made so far; the store counts and limits them."""
+    """Number of calls made so far; the store counts and limits them."""
 
     @abc.abstractmethod
     def move(self, address: str) -> None:
@@ -40,7 +40,7 @@
         """Return all keys that the routed path reads, as a whole delta.
 
         Raises:
-            StoreUnavailableError: When the store did not answer.
+            StoreUnavailableError: If the store did not answer.
         """
 
     @abc.abstractmethod
@@ -52,37 +52,37 @@
             wait_s: Longest wait, in seconds.
 
         Raises:
-            HistoryGoneError: When that history is gone.
-            AnswerCutShortError: When a part of the answer came and not the rest: it holds each
-                version of a key since the revision, so that a listing may be shorter.
-            StoreUnavailableError: When the store did not answer.
+            HistoryGoneError: If the store no longer has these changes.
+            AnswerCutShortError: If only a part of the answer arrived. A listing may be shorter, as
+                a watch returns every version of a key since the revision.
+            StoreUnavailableError: If the store did not answer.
         """
 
     @abc.abstractmethod
     async def write(self, key: str, value: bytes) -> None:
-        """Write a value of this system's own without comparing it with the value before.
+        """Write a value under one of this system's own keys, unconditionally.
 
         Raises:
-            StoreUnavailableError: When the store did not answer.
+            StoreUnavailableError: If the store did not answer.
         """
 
     @abc.abstractmethod
     async def replace(self, item: Item, value: bytes) -> bool:
-        """Write a value of this system's own if its key is still at the item's revision.
+        """Write a value under one of this system's own keys if it is still at the item's revision.
 
-        A key that is not there is at revision 0.
+        A key that does not exist has revision 0.
 
         Returns:
-            False when another value stands there.
+            False if the key is at another revision.
 
         Raises:
-            StoreUnavailableError: When the store did not answer.
+            StoreUnavailableError: If the store did not answer.
         """
 
     @abc.abstractmethod
     async def remove(self, item: Item) -> None:
-        """Remove a key of this system's own if it is still at the item's revision.
+        """Remove one of this system's own keys if it is still at the item's revision.
 
         Raises:
-            StoreUnavailableError: When the store did not answer.
+            StoreUnavailableError: If the store did not answer.
         """
--- a/sprucewinch/gateway/state/store_view.py
+++ b/sprucewinch/gateway/state/store_view.py
@@ -1,10 +1,12 @@
-"""The store as this VM reads it: the replica's items, decoded into resources.
+"""This VM's view of the store: the replica's items, decoded into resources.
 
-Owns the replica, the resources by kind, and the listeners that get each change. Relies on a decoder
-of the platform's adapter. Only a newer version replaces a configuration; its removal is ignored.
-An item that cannot be decoded is reported to `on_unreadable`. It leaves the resource that is held,
-so that an operator's slip takes no route away; but an entry that cannot be read names no backend
-server, as another writer's bytes may stand where the server has long gone.
+Owns the replica, the resources by type, and the listeners that receive each change. Relies on a
+decoder of the platform's adapter. Only a newer version replaces a configuration, and the removal of
+a configuration is ignored.
+
+An item that cannot be decoded is reported to `on_unreadable`, and the resource decoded before is
+kept, so that an operator's mistake removes no route. A backend server whose entry cannot be decoded
+is removed, however, as another writer may have overwritten the entry long after the server left.
 """
 
 import abc
@@ -22,7 +24,7 @@
 
 
 class MalformedItemError(Exception):
-    """An item of the store cannot be read; the message says what is wrong with it."""
+    """An item of the store cannot be decoded; the message gives the reason."""
 
 
 class Decoder(abc.ABC):
@@ -30,23 +32,23 @@
 
     @abc.abstractmethod
     def decode(self, item: Item) -> Optional[Resource]:
-        """Return the resource of an item; None for a key that the routed path does not read.
+        """Return the resource of an item, or None for a key that the routed path does not read.
 
         Raises:
-            MalformedItemError: When its value does not decode.
+            MalformedItemError: If its value does not decode.
         """
 
 
 class Change(NamedTuple):
-    """One resource that is new, changed or removed.
+    """The addition, change or removal of one resource.
 
     Args:
         key: Key of its item.
-        before: The resource before; None when it is new.
-        after: The resource now; None when it was removed.
+        before: The resource before; None for an addition.
+        after: The resource now; None for a removal.
         revision: Revision of the item, or of its removal.
         at: Monotonic time at which this VM received it, in seconds.
-        spoilt: True when the resource went because its item cannot be decoded any more.
+        spoilt: True when the resource was removed because its item can no longer be decoded.
     """
 
     key: str
@@ -61,11 +63,11 @@
 
 
 class StoreView:
-    """Decoded resources; none goes back to an older revision.
+    """Decoded resources, none of which returns to an older revision.
 
     Args:
         decoder: Decodes items.
-        on_unreadable: Takes the key of an item that cannot be decoded, and the cause.
+        on_unreadable: Called with the key of an item that cannot be decoded, and the cause.
     """
 
     def __init__(
@@ -89,16 +91,16 @@
 
     @property
     def has_configuration(self) -> bool:
-        """Return whether a configuration is held."""
+        """Whether a configuration is held."""
         return self.configuration is not None
 
     @property
     def complete_revision(self) -> int:
-        """Return the newest revision of a resource up to which this VM holds everything."""
+        """Newest revision of a resource up to which this VM holds all changes."""
         return min(self.revision, self.replica.at)
 
     def apply(self, delta: Delta, now: float) -> None:
-        """Apply a delta of the store or of a peer, and report the changes to the listeners.
+        """Apply a delta of the store or of a peer, and notify the listeners of the changes.
 
         Args:
             delta: The delta.
@@ -110,7 +112,7 @@
         self._decode_changed(changed, now)
 
     def apply_item(self, item: Item, now: float) -> None:
-        """Apply an item that a delta had left out; it proves nothing of the others.
+        """Apply an item that a delta deferred; it does not confirm the revision of other items.
 
         Args:
             item: The item.
@@ -119,15 +121,15 @@
         self._decode_changed(self.replica.apply(Delta((item,), (), 0)), now)
 
     def confirm(self, at: float) -> None:
-        """Record that a store follower holds no more than this VM.
+        """Record that a store follower holds no newer revision than this VM.
 
         Args:
             at: Monotonic time of the store's answer to that follower, in seconds.
         """
         self.confirmed_at = max(self.confirmed_at, at)
 
-    def store_answered(self, now: float) -> None:
-        """Record that the store itself has answered this VM.
+    def record_store_answer(self, now: float) -> None:
+        """Record that the store has answered this VM itself.
 
         Args:
             now: Monotonic time, in seconds.
@@ -135,24 +137,24 @@
         self.store_answered_at = now
 
     def _decode_changed(self, keys: set[str], now: float) -> None:
-        changes = [change for key in sorted(keys) for change in self._decode(key, now)]
+        changes = [change for key in sorted(keys) for change in self._decode_key(key, now)]
         if changes:
-            self._report(changes)
+            self._notify_listeners(changes)
 
-    def _report(self, changes: list[Change]) -> None:
+    def _notify_listeners(self, changes: list[Change]) -> None:
         self.generation += 1
-        self.evacuated = frozenset(e.hall for e in self._of(Evacuation))
+        self.evacuated = frozenset(e.hall for e in self._resources_of(Evacuation))
         for change in changes:
             for listener in self.listeners:
                 listener(change)
 
-    def _of(self, kind: type) -> Iterable:
+    def _resources_of(self, kind: type) -> Iterable:
         return [held for held in self.resources.values() if isinstance(held, kind)]
 
-    def _decode(self, key: str, now: float) -> list[Change]:
+    def _decode_key(self, key: str, now: float) -> list[Change]:
         item = self.replica.items.get(key)
         before = self.resources.get(key)
-        revision = item.revision if item else self.replica.removed.get(key, self.replica.at)
+        revision = item.revision if item else self.replica.tombstones.get(key, self.replica.at)
         self.revision = max(self.revision, revision)
         if item is None:
             return self._remove(Change(key, before, None, revision, now))
--- a/tests/test_gateway_outages.py
+++ b/tests/test_gateway_outages.py
@@ -1,4 +1,4 @@
-"""Entries of living servers that run out while the store is away, and what becomes of them."""
+"""Entries of running servers that lapse during an outage of the store."""
 
 import json
 import unittest
@@ -21,7 +21,7 @@
 
 
 class _Followed:
-    """A store, a VM that follows it, and the VM's registry of servers."""
+    """A store, a VM that follows it, and the VM's registry of backend servers."""
 
     def __init__(self, loop: VirtualLoop, store: StoreStandIn, vm: FollowingVm) -> None:
         self.loop = loop
@@ -29,7 +29,7 @@
         self.registry = BackendRegistry(vm.store_view, BOUNDS, "vm0", REGIONS, vm.outages)
 
     async def pass_time(self, seconds: float) -> None:
-        """Let time pass for the registry as the daemon's ticks do."""
+        """Let time pass, and update the registry as the daemon's ticks do."""
         end = self.loop.time() + seconds
         while self.loop.time() < end:
             await pass_time(0.1)
@@ -37,14 +37,14 @@
             self.registry.drop_lapsed(self.loop.time())
 
     async def outage(self, seconds: float) -> None:
-        """Let the store be away while the entry of its server runs out."""
+        """Make the store unreachable for a time in which the server's entry lapses."""
         self.store.fault = Fault.RESET
         await self.pass_time(seconds)
         self.store.remove("servers/s0")
         self.store.fault = Fault.NONE
 
     def usable(self) -> list[str]:
-        """Return the servers that get requests."""
+        """Return the IDs of the servers that may get requests."""
         return [server.backend.id for server in self.registry.usable("rates")]
 
 
@@ -119,16 +119,16 @@
         outages.lost(11.0)
         self.assertFalse(outages.entries_may_have_lapsed(11.4))
         self.assertTrue(outages.entries_may_have_lapsed(11.5))
-        outages.regained(12.0)
+        outages.record_answer(12.0)
         self.assertTrue(outages.entries_may_have_lapsed(12.0 + LAPSED_ENTRY_GRACE_S - 0.01))
         self.assertFalse(outages.entries_may_have_lapsed(12.0 + LAPSED_ENTRY_GRACE_S))
         outages.lost(20.0)
-        outages.regained(20.5)
+        outages.record_answer(20.5)
         self.assertFalse(outages.entries_may_have_lapsed(20.6))
 
     def test_a_vm_that_relied_on_others_counts_from_the_last_answer_that_it_knows_of(self) -> None:
         outages = StoreOutages(_HEARTBEAT_S)
-        outages.answered_peer(10.0, 10.1)
+        outages.record_peer_answer(10.0, 10.1)
         outages.lost(14.2, relied_on_peers=True)
         lost_at = 10.0 + MAX_ANSWER_AGE_S
         self.assertFalse(outages.entries_may_have_lapsed(lost_at + _HEARTBEAT_S - 0.01))
@@ -137,8 +137,8 @@
     def test_an_answer_from_before_an_outage_does_not_end_it(self) -> None:
         outages = StoreOutages(_HEARTBEAT_S)
         outages.lost(10.0)
-        outages.answered_peer(9.9, 20.0)
+        outages.record_peer_answer(9.9, 20.0)
         self.assertTrue(outages.entries_may_have_lapsed(20.0 + 2 * LAPSED_ENTRY_GRACE_S))
-        outages.answered_peer(19.9, 20.0)
+        outages.record_peer_answer(19.9, 20.0)
         self.assertTrue(outages.entries_may_have_lapsed(20.0))
         self.assertFalse(outages.entries_may_have_lapsed(20.0 + LAPSED_ENTRY_GRACE_S))
--- a/tests/test_gateway_replica.py
+++ b/tests/test_gateway_replica.py
@@ -1,6 +1,7 @@
-"""The replica against a log of writes: any order, any repetition, never older.
+"""The replica against a log of writes applied in any order and repeatedly: no key becomes older.
 
-The same when deltas leave large items out, and for a third VM behind one that lacks some of them.
+The same is tested with deltas that defer large items, and for a third VM that takes deltas from one
+that lacks some of them.
 """
 
 import random
@@ -18,7 +19,7 @@
 
 
 def _log(choices: list[tuple[int, bool]]) -> list[Item | Removal]:
-    """Return a history of writes and removals with growing revisions."""
+    """Return a history of writes and removals with increasing revisions."""
     held: set[str] = set()
     log: list[Item | Removal] = []
     for revision, (number, removes) in enumerate(choices, start=1):
@@ -56,7 +57,7 @@
 
 class Listings(unittest.TestCase):
     def test_a_removal_that_a_listing_hid_reaches_a_peer_that_holds_the_key(self) -> None:
-        """A VM that lost the history lists, and has no record of what went meanwhile."""
+        """A VM whose history is gone lists the store, and has no tombstones of earlier removals."""
         listed, behind = Replica(), Replica()
         behind.apply(Delta((Item("servers/x", b"", 43),), (), 43))
         listed.apply(Delta((), (), 42))
@@ -91,12 +92,14 @@
                 newest[event.key] = held.revision
 
     @given(_HISTORIES, st.integers(0, 30), st.integers(0, 30))
-    def test_a_peers_delta_brings_a_replica_up_to_date(self, choices, mine, theirs) -> None:
+    def test_a_peers_delta_brings_a_replica_up_to_date(
+        self, choices, seen_here, seen_by_peer
+    ) -> None:
         log = _log(choices)
         behind, ahead = Replica(), Replica()
-        mine, theirs = sorted((min(mine, len(log)), min(theirs, len(log))))
-        behind.apply(_delta(log[:mine], mine))
-        ahead.apply(_delta(log[:theirs], theirs))
+        seen_here, seen_by_peer = sorted((min(seen_here, len(log)), min(seen_by_peer, len(log))))
+        behind.apply(_delta(log[:seen_here], seen_here))
+        ahead.apply(_delta(log[:seen_by_peer], seen_by_peer))
         behind.apply(decode_delta(encode_delta(ahead.since(behind.at))))
         self.assertEqual(_values(behind), _values(ahead))
 
@@ -122,23 +125,23 @@
 _SIZED = st.lists(
     st.tuples(st.integers(0, 3), st.booleans(), st.integers(0, 9)), min_size=1, max_size=25
 )
-"""A key's number, whether it is removed, and the length of its value in bytes."""
+"""A key's index, whether it is removed, and the length of its value in bytes."""
 
 
-_MANY = 300
-"""Histories of a test that draws them by seed."""
+_HISTORY_COUNT = 300
+"""Number of histories in a test that draws them by seed."""
 
 
 @st.composite
 def _cut_histories(draw: st.DrawFn) -> tuple[list[Item | Removal], tuple[int, int, int]]:
-    """Return a history and three places in it."""
+    """Return a history and three positions in it."""
     log = _sized_log(draw(_SIZED))
     place = st.integers(0, len(log))
     return log, (draw(place), draw(place), draw(place))
 
 
 def _drawn_history(rng: random.Random) -> tuple[list[Item | Removal], tuple[int, int, int]]:
-    """Return a history with many removals, and three places in it in order."""
+    """Return a history with many removals, and three positions in it in ascending order."""
     length = rng.randint(1, 25)
     choices = [(rng.randrange(4), rng.random() < 0.5, rng.randrange(10)) for _ in range(length)]
     first, second, third = sorted(rng.randint(0, length) for _ in range(3))
@@ -146,7 +149,7 @@
 
 
 def _sized_log(choices: list[tuple[int, bool, int]]) -> list[Item | Removal]:
-    """Return a history whose values have the given lengths, or the revision's if that is longer."""
+    """Return a history whose values are padded to the given lengths."""
     log = _log([(number, removes) for number, removes, _ in choices])
     sizes = [size for _, _, size in choices]
     return [
@@ -156,7 +159,7 @@
 
 
 def _replica_of(log: list[Item | Removal]) -> Replica:
-    """Return a replica that received a history in order, one change at a time."""
+    """Return a replica that has applied a history in order, one change at a time."""
     replica = Replica()
     for entry in log:
         replica.apply(_delta([entry], entry.revision))
@@ -168,21 +171,21 @@
     return decode_delta(encode_delta(ahead.since(after, most_bytes=most_bytes)))
 
 
-def _left_out(ahead: Replica, delta: Delta) -> list[Item]:
-    """Return the items that a delta of a replica names without sending them."""
+def _deferred_items(ahead: Replica, delta: Delta) -> list[Item]:
+    """Return the items that a delta of a replica defers."""
     return [ahead.items[item.key] for item in delta.deferred]
 
 
-def _missed(
+def _missing_changes(
     replica: Replica, known: list[Item | Removal], log: list[Item | Removal]
 ) -> list[Item | Removal]:
-    """Return the newest known changes of keys up to a replica's `at` that it does not hold."""
+    """Return the newest known changes up to a replica's `at` that it lacks, one for each key."""
     newest = {entry.key: entry for entry in known}
-    claimed = [entry for entry in newest.values() if entry.revision <= replica.at]
-    return [entry for entry in claimed if not _accounts_for(replica, entry, log)]
+    covered = [entry for entry in newest.values() if entry.revision <= replica.at]
+    return [entry for entry in covered if not _includes(replica, entry, log)]
 
 
-def _accounts_for(replica: Replica, entry: Item | Removal, log: list[Item | Removal]) -> bool:
+def _includes(replica: Replica, entry: Item | Removal, log: list[Item | Removal]) -> bool:
     held = replica.items.get(entry.key)
     if held is not None:
         return held.revision >= entry.revision
@@ -190,13 +193,13 @@
     return any(isinstance(e, Removal) for e in later)
 
 
-class Watched:
-    """A replica that is checked after each change that it takes.
+class CheckedReplica:
+    """A replica that is checked after each delta.
 
     Args:
-        case: The test.
+        case: The test case.
         log: The whole history.
-        seen: How many changes of it the replica starts with.
+        seen: Number of its changes that the replica starts with.
     """
 
     def __init__(self, case: unittest.TestCase, log: list[Item | Removal], seen: int) -> None:
@@ -206,11 +209,11 @@
         self.newest = self._revisions()
 
     def apply(self, delta: Delta, known: list[Item | Removal]) -> None:
-        """Apply a delta; no key and no `at` goes back, and `at` claims nothing that is missing.
+        """Apply a delta, and check that no revision decreases and that `at` covers no missing key.
 
         Args:
             delta: The delta.
-            known: The history up to what the VM held that was asked first.
+            known: The history up to the revision held by the first VM that sent a delta.
         """
         before = self.replica.at
         self.replica.apply(delta)
@@ -218,15 +221,15 @@
         for key, revision in self._revisions().items():
             self.case.assertGreaterEqual(revision, self.newest.get(key, 0), key)
             self.newest[key] = revision
-        self.case.assertEqual(_missed(self.replica, known, self.log), [])
+        self.case.assertEqual(_missing_changes(self.replica, known, self.log), [])
 
     def apply_entry(self, entry: Item | Removal) -> None:
-        """Apply one change that came by itself and proves nothing of the others."""
+        """Apply one change that arrived separately and does not confirm other changes."""
         self.apply(_delta([entry], 0), self.log)
 
     def _revisions(self) -> dict[str, int]:
         held = {key: item.revision for key, item in self.replica.items.items()}
-        return {**self.replica.removed, **held}
+        return {**self.replica.tombstones, **held}
 
 
 class Deferral(unittest.TestCase):
@@ -238,10 +241,10 @@
         seen, sent, _ = sorted(cuts)
         known = log[:sent]
         ahead = _replica_of(known)
-        behind = Watched(self, log, seen)
+        behind = CheckedReplica(self, log, seen)
         delta = _sent(ahead, behind.replica.at, most_bytes)
         behind.apply(delta, known)
-        later = [*_left_out(ahead, delta), *log[sent:]]
+        later = [*_deferred_items(ahead, delta), *log[sent:]]
         rng.shuffle(later)
         for entry in later:
             behind.apply_entry(entry)
@@ -253,11 +256,11 @@
     ) -> None:
         log = _sized_log(choices)
         ahead = _replica_of(log)
-        behind = Watched(self, log, min(seen, len(log)))
+        behind = CheckedReplica(self, log, min(seen, len(log)))
         delta = _sent(ahead, behind.replica.at, most_bytes)
         behind.apply(delta, log)
         self.assertEqual(behind.replica.at == ahead.at, not delta.deferred)
-        for item in _left_out(ahead, delta):
+        for item in _deferred_items(ahead, delta):
             behind.apply_entry(item)
         behind.apply(_sent(ahead, behind.replica.at, most_bytes), log)
         self.assertEqual(behind.replica.at, ahead.at)
@@ -280,11 +283,11 @@
         self._relay(*history, most_bytes, rng)
 
     def test_a_third_vm_ends_in_the_newest_state_when_removals_were_dropped(self) -> None:
-        """Few histories reach this, so they are many and drawn evenly, by seed."""
-        for seed in range(_MANY):
+        """Few histories have this effect, so many are drawn, by seed."""
+        for seed in range(_HISTORY_COUNT):
             rng = random.Random(seed)
             log, cuts = _drawn_history(rng)
-            with patch.object(replica_module, "MAX_REMOVED", rng.randrange(3)):
+            with patch.object(replica_module, "MAX_TOMBSTONES", rng.randrange(3)):
                 self._relay(log, cuts, rng.randrange(10), rng)
 
     def _relay(
@@ -294,23 +297,23 @@
         most_bytes: int,
         rng: random.Random,
     ) -> None:
-        """Let a VM take some of what one ahead holds, and a third take deltas from both."""
-        half_seen, third_seen, sent = cuts
-        known = log[: max(sent, half_seen)]
+        """Let a VM receive a part of another's items, and a third VM receive deltas of both."""
+        partial_seen, third_seen, sent = cuts
+        known = log[: max(sent, partial_seen)]
         ahead = _replica_of(known)
-        half = Watched(self, log, half_seen)
-        third = Watched(self, log, third_seen)
-        delta = _sent(ahead, half.replica.at, most_bytes)
-        half.apply(delta, known)
-        for item in _left_out(ahead, delta):
+        partial = CheckedReplica(self, log, partial_seen)
+        third = CheckedReplica(self, log, third_seen)
+        delta = _sent(ahead, partial.replica.at, most_bytes)
+        partial.apply(delta, known)
+        for item in _deferred_items(ahead, delta):
             if rng.random() < 0.5:
-                half.apply_entry(item)
-        third.apply(half.replica.since(third.replica.at), known)
+                partial.apply_entry(item)
+        third.apply(partial.replica.since(third.replica.at), known)
         third.apply(_replica_of(log).since(third.replica.at), log)
         self.assertEqual(_values(third.replica), _state(log))
 
     def test_a_vm_that_took_a_listing_passes_on_what_was_removed_before_it(self) -> None:
-        """A VM that starts knows no removal before its listing; one that is behind holds such."""
+        """A VM that starts has no tombstones from before its listing; a peer may hold such keys."""
         gone, kept = Item("servers/a", b"a", 1), Item("servers/b", b"b", 2)
         behind = _replica_of([gone, kept])
         started = Replica()
@@ -320,7 +323,7 @@
 
     def test_a_whole_delta_leaves_out_longer_values_too(self) -> None:
         small, large = Item("servers/a", b"a", 1), Item("op/config", b"long", 2)
-        with patch.object(replica_module, "MAX_REMOVED", 0):
+        with patch.object(replica_module, "MAX_TOMBSTONES", 0):
             ahead = _replica_of([small, large, Removal("servers/b", 3)])
         delta = _sent(ahead, 0, 3)
         self.assertEqual(delta, Delta((small,), (), 3, True, (DeferredItem("op/config", 2, 4),)))
