--- a/sprucewinch/gateway/membership/__init__.py
+++ b/sprucewinch/gateway/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Which entry VMs run: heartbeats by gossip, registration in the store, the directory for callers.
+"""Tracks which entry VMs run: heartbeats by gossip, registration in the store, and look-ups.
 
-Owns heartbeats and this VM's registration. Relies on `state` for registered VMs. Read `gossip`
-first, then `registration`.
+Owns heartbeats, this VM's registration and the directory for callers. Relies on `state` for
+registered VMs. Read `gossip` first, then `registration`.
 """
--- a/sprucewinch/gateway/membership/directory.py
+++ b/sprucewinch/gateway/membership/directory.py
@@ -1,18 +1,16 @@
-"""Rule: which entry VMs callers of a region use, and for how long they keep the answer.
+"""Answers look-ups: which entry VMs callers of a region use, and how long they keep the answer.
 
-Question: which addresses answer a look-up?
+The answer depends on the callers' region, the registered VMs (`StoreView`), the VMs that accept
+callers (`Gossip`) and the time (monotonic, in seconds).
 
-Inputs: the callers' region, registered VMs (`StoreView`), VMs that accept callers (`Gossip`), the
-time (monotonic, in seconds).
+It contains all VMs of the callers' region that are in touch and accept callers, or those of all
+regions if that region has none: at most `MAX_ADDRESSES`, in the order of their addresses. Callers
+keep it for the shorter of the configured time and `LOOKUP_TTL_S`.
 
-Rule: all VMs of the callers' region that are in touch and accept callers; those of all regions when
-the region has none. At most `MAX_ADDRESSES`, in the order of their addresses, kept for the shorter
-of the settings' time and `LOOKUP_TTL_S`.
+Look-ups are answered from memory, without a call, so that they work during an outage of the store.
+A VM in another region only adds latency, while an empty answer makes the caller fail.
 
-Why: a look-up is answered from memory, without a call, so that it works in an outage of the
-store. A far VM costs time alone, while an empty answer fails the caller.
-
-Tests: `test_gateway_gossip`, `test_process_gateway`.
+It is tested by `test_gateway_gossip` and `test_process_gateway`.
 """
 
 from typing import NamedTuple
@@ -21,11 +19,11 @@
 from .gossip import Gossip
 
 MAX_ADDRESSES = 64
-"""Addresses of one answer at the most: the bound that the platform sets."""
+"""Greatest number of addresses in one answer: the platform's limit."""
 
 LOOKUP_TTL_S = 1.0
-"""Longest time for which callers keep an answer, in seconds: short, so that they soon leave a VM
-that stops."""
+"""Longest time for which callers keep an answer, in seconds; it is short, so that they soon stop
+using a VM that stops."""
 
 
 class DirectoryAnswer(NamedTuple):
@@ -41,12 +39,12 @@
 
 
 class Directory:
-    """Answers look-ups from what this VM holds, without a call.
+    """Answers look-ups from memory.
 
     Args:
         store_view: Registered VMs.
-        gossip: VMs in touch.
-        ttl_s: Longest time that an answer may be kept, in seconds.
+        gossip: Heartbeats of the VMs.
+        ttl_s: Longest time for which callers may keep an answer, in seconds.
     """
 
     def __init__(self, store_view: StoreView, gossip: Gossip, ttl_s: float) -> None:
@@ -55,11 +53,15 @@
         self.limit(ttl_s)
 
     def limit(self, ttl_s: float) -> None:
-        """Change the longest time that an answer may be kept, in seconds."""
+        """Change the longest time for which callers may keep an answer.
+
+        Args:
+            ttl_s: The time, in seconds; `LOOKUP_TTL_S` bounds it.
+        """
         self.ttl_s = min(ttl_s, LOOKUP_TTL_S)
 
     def find(self, region: str, now: float) -> DirectoryAnswer:
-        """Return the entry VMs for callers of a region: its own, else all others.
+        """Return the entry VMs for callers of a region: those of the region, else all.
 
         Args:
             region: The callers' region.
@@ -70,6 +72,6 @@
             for member in self.store_view.members.values()
             if self.gossip.accepts_callers(member.name, now)
         ]
-        near = [member for member in members if member.region == region]
-        chosen = sorted(member.caller_address for member in near or members)
+        own_region = [member for member in members if member.region == region]
+        chosen = sorted(member.caller_address for member in own_region or members)
         return DirectoryAnswer(tuple(chosen[:MAX_ADDRESSES]), self.ttl_s)
--- a/sprucewinch/gateway/membership/heartbeats.py
+++ b/sprucewinch/gateway/membership/heartbeats.py
@@ -1,8 +1,8 @@
 """Sends this VM's heartbeats, which also spread the newest heartbeats of other VMs.
 
-Owns when heartbeats are sent and to whom. Relies on `gossip` for what they hold and how many VMs
-get one, and on the store's view for the addresses and regions of registered VMs; heartbeats that
-arrive go to `gossip` directly.
+Owns the times and the recipients of heartbeats. Relies on `gossip` for their content and the number
+of recipients, and on the store view for the addresses and regions of registered VMs. Received
+heartbeats go to `gossip` directly.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from ..datagrams import Datagrams
 from ..state.store_view import StoreView
 from ..timing import Timing
-from .gossip import HEARTBEAT_S, Gossip, Heartbeat, far_fanout
+from .gossip import HEARTBEAT_INTERVAL_S, Gossip, Heartbeat, cross_region_fanout
 
 
 class Heartbeats:
@@ -19,7 +19,7 @@
 
     Args:
         region: This VM's region.
-        gossip: Which VMs are there.
+        gossip: Heartbeats of the VMs.
         store_view: Registered VMs.
         datagrams: The endpoint between VMs.
         timing: Sources of time and randomness.
@@ -45,34 +45,39 @@
         datagrams.register(Heartbeat, gossip.receive)
 
     async def run(self) -> None:
-        """Send to a few others at regular times."""
+        """Send a heartbeat to a few other VMs every `HEARTBEAT_INTERVAL_S`."""
         while True:
-            self._beat()
-            await asyncio.sleep(self.timing.jittered(HEARTBEAT_S))
+            self._send_heartbeats()
+            await asyncio.sleep(self.timing.jittered(HEARTBEAT_INTERVAL_S))
 
     def announce(self) -> None:
-        """Tell all VMs at once whether this one accepts callers, and nothing of others.
+        """Send all VMs a heartbeat with only this VM's row, to announce whether it accepts callers.
 
-        At a stop every VM does this. With the rows of all others it sends 195 times 7 kB, which
-        takes a link of 20 Mbit/s for 0.6 s, beside the answers that callers wait for.
+        Each VM does so when it stops. With the rows of all others it would send 7 kB to each of 195
+        VMs, which occupies a link of 20 Mbit/s for 0.6 s while callers wait for responses.
         """
         members = self.store_view.members
-        self._send(self._next(()), (name for name in members if name != self.gossip.name))
+        self._send(self._next_heartbeat(()), (name for name in members if name != self.gossip.name))
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         members = self.store_view.members.values()
-        near = [member.name for member in members if member.region == self.region]
-        far = [member.name for member in members if member.region != self.region]
-        beat = self._next(frozenset(near))
-        self._send(beat, self.gossip.partners(near))
-        self._send(beat, self.gossip.partners(far, far_fanout(len(near), len(far))))
+        own_region = [member.name for member in members if member.region == self.region]
+        other_regions = [member.name for member in members if member.region != self.region]
+        heartbeat = self._next_heartbeat(frozenset(own_region))
+        self._send(heartbeat, self.gossip.partners(own_region))
+        self._send(
+            heartbeat,
+            self.gossip.partners(
+                other_regions, cross_region_fanout(len(own_region), len(other_regions))
+            ),
+        )
 
-    def _next(self, names: Collection[str]) -> Heartbeat:
-        """Return the next heartbeat, with the rows of some other VMs."""
+    def _next_heartbeat(self, names: Collection[str]) -> Heartbeat:
+        """Return the next heartbeat, with the rows of the named VMs."""
         self.gossip.set_accepting(self.ready())
         revision = self.store_view.complete_revision
         return self.gossip.tick(self.timing.monotonic(), revision, names)
 
-    def _send(self, beat: Heartbeat, names: Iterable[str]) -> None:
+    def _send(self, heartbeat: Heartbeat, names: Iterable[str]) -> None:
         members = map(self.store_view.members.get, names)
-        self.datagrams.send(beat, [member.peer_address for member in members if member])
+        self.datagrams.send(heartbeat, [member.peer_address for member in members if member])
--- a/sprucewinch/gateway/membership/registrar.py
+++ b/sprucewinch/gateway/membership/registrar.py
@@ -1,9 +1,9 @@
-"""Writes this VM's registration to the store and removes those of VMs that are gone.
+"""Writes this VM's registration to the store and removes those of VMs long out of touch.
 
-Owns the loop, its pauses and the calls. Relies on `registration` for which write is due. A failed
-call is repeated after a random pause that doubles with each failure up to a bound. Until a
-registration succeeds other VMs do not know this one. The store follower reports the outage only
-where this VM follows the store; where it follows peers, a failed write shows nowhere here.
+Owns the loop, its pauses and the calls. Relies on `registration` for the write that is due. A
+failed call is repeated with bounded, random exponential back-off. Until a registration succeeds,
+other VMs do not know this VM. The store follower reports the outage only while this VM follows the
+store; while it follows peers, a failed write is not reported.
 """
 
 import asyncio
@@ -17,26 +17,26 @@
 from .gossip import Gossip
 from .registration import Register, RegistrationRule, Remove
 
-_REGISTER_S = 2.0
-"""Pause between two looks for a write that is due, in seconds."""
+_POLL_INTERVAL_S = 2.0
+"""Pause between two checks for a write that is due, in seconds."""
 
-_MIN_BACKOFF_S = 0.1
-"""Part of the pause after a failed call that is not random, in seconds."""
+_FIXED_BACKOFF_S = 0.1
+"""Fixed part of the pause after a failed call, in seconds."""
 
-_BACKOFF_BASE_S = 0.2
+_BASE_RANDOM_BACKOFF_S = 0.2
 """Longest random pause after the first failed call, in seconds."""
 
-_MAX_BACKOFF_S = 1.0
+_MAX_RANDOM_BACKOFF_S = 1.0
 """Longest random pause after a failed call, in seconds."""
 
 
 class Registrar:
-    """Makes the writes that the rule of registration asks for.
+    """Makes the writes that `RegistrationRule` determines.
 
     Args:
-        own: This VM.
-        store_view: What this VM holds of the store.
-        gossip: VMs in touch.
+        own: This VM's registration.
+        store_view: This VM's view of the store.
+        gossip: Heartbeats of the VMs.
         store: The store.
         timing: Sources of time and randomness.
     """
@@ -60,10 +60,10 @@
             try:
                 await self._step()
                 failures = 0
-                await asyncio.sleep(_REGISTER_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
             except StoreUnavailableError:
-                # Silent: the write is repeated. A VM that follows the store itself writes the event
-                # `store` as well; one that follows peers has no line of it.
+                # The failure is not logged, as the write is repeated. If this VM follows the store
+                # itself, the store follower logs the event `store`.
                 failures += 1
                 await asyncio.sleep(self._backoff_s(failures))
 
@@ -75,8 +75,8 @@
             await self.store.remove(write.item)
 
     def _backoff_s(self, failures: int) -> float:
-        """Return the pause after some failures in a row, in seconds."""
+        """Return the pause after a number of consecutive failures, in seconds."""
         random_s = backoff_s(
-            failures, self.timing.rng, base_s=_BACKOFF_BASE_S, most_s=_MAX_BACKOFF_S
+            failures, self.timing.rng, base_s=_BASE_RANDOM_BACKOFF_S, most_s=_MAX_RANDOM_BACKOFF_S
         )
-        return _MIN_BACKOFF_S + random_s
+        return _FIXED_BACKOFF_S + random_s
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -1,4 +1,4 @@
-"""Membership: who is named to callers after kills, cuts, pauses and restarts."""
+"""Membership: which VMs callers are sent to after kills, partitions, pauses and restarts."""
 
 import random
 import unittest
@@ -8,11 +8,11 @@
 
 from sprucewinch.gateway.membership.directory import LOOKUP_TTL_S, MAX_ADDRESSES, Directory
 from sprucewinch.gateway.membership.gossip import (
-    HEARTBEAT_S,
+    HEARTBEAT_INTERVAL_S,
     SILENCE_S,
     Gossip,
     Heartbeat,
-    far_fanout,
+    cross_region_fanout,
 )
 from sprucewinch.gateway.resources import Member
 from sprucewinch.gateway.state.store_view import StoreView
@@ -22,7 +22,7 @@
 
 
 class Fleet:
-    """VMs that gossip on a clock of their own."""
+    """VMs that gossip on a simulated clock."""
 
     def __init__(self, count: int, seed: int = 1, *, regions: int = 1, loss: float = 0.0) -> None:
         self.now = 0.0
@@ -30,39 +30,42 @@
         self.loss = loss
         self.rng = random.Random(seed)
         self.sent: Counter[str] = Counter()
-        self.crossed = 0
+        self.cross_region_bytes = 0
         self.vms = {f"vm{n}": Gossip(f"vm{n}", 1, random.Random(seed + n)) for n in range(count)}
-        self.dead: set[str] = set()
-        self.cut: set[str] = set()
+        self.stopped: set[str] = set()
+        self.partition: set[str] = set()
         for vm in self.vms.values():
             vm.accepting = True
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end:
-            self.now += HEARTBEAT_S
+            self.now += HEARTBEAT_INTERVAL_S
             for name, vm in self.vms.items():
-                if name not in self.dead:
-                    self._beat(name, vm)
-
-    def _beat(self, name: str, vm: Gossip) -> None:
-        near = [other for other in self.vms if self.region(other) == self.region(name)]
-        far = [other for other in self.vms if self.region(other) != self.region(name)]
-        beat = vm.tick(self.now, 0, near)
-        for partner in (*vm.partners(near), *vm.partners(far, far_fanout(len(near), len(far)))):
-            self._deliver(beat, name, partner)
-
-    def _deliver(self, beat: Heartbeat, sender: str, receiver: str) -> None:
-        size = len(msgspec.msgpack.encode(beat)) + _HEADER_BYTES
+                if name not in self.stopped:
+                    self._send_heartbeats(name, vm)
+
+    def _send_heartbeats(self, name: str, vm: Gossip) -> None:
+        own_region = [other for other in self.vms if self.region(other) == self.region(name)]
+        other_regions = [other for other in self.vms if self.region(other) != self.region(name)]
+        heartbeat = vm.tick(self.now, 0, own_region)
+        for partner in (
+            *vm.partners(own_region),
+            *vm.partners(other_regions, cross_region_fanout(len(own_region), len(other_regions))),
+        ):
+            self._deliver(heartbeat, name, partner)
+
+    def _deliver(self, heartbeat: Heartbeat, sender: str, receiver: str) -> None:
+        size = len(msgspec.msgpack.encode(heartbeat)) + _HEADER_BYTES
         self.sent[sender] += size
         if self.region(sender) != self.region(receiver):
-            self.crossed += size
-        lost = self.rng.random() < self.loss or receiver in self.dead
-        if not lost and (receiver in self.cut) == (sender in self.cut):
-            self.vms[receiver].receive(beat, self.now)
+            self.cross_region_bytes += size
+        lost = self.rng.random() < self.loss or receiver in self.stopped
+        if not lost and (receiver in self.partition) == (sender in self.partition):
+            self.vms[receiver].receive(heartbeat, self.now)
 
     def region(self, name: str) -> int:
-        """Return the region of a VM: all regions are alike."""
+        """Return the region of a VM; all regions have equal numbers of VMs."""
         return int(name[2:]) % self.regions
 
     def named(self, asked: str) -> set[str]:
@@ -84,16 +87,16 @@
             fleet = Fleet(count)
             fleet.run(5.0)
             for _ in range(60):
-                fleet.run(HEARTBEAT_S)
+                fleet.run(HEARTBEAT_INTERVAL_S)
                 for name in ("vm0", "vm5"):
                     self.assertEqual(len(fleet.named(name)), count)
 
     def test_a_killed_vm_is_named_no_more(self) -> None:
         fleet = Fleet(12)
         fleet.run(5.0)
-        fleet.dead.add("vm3")
+        fleet.stopped.add("vm3")
         fleet.run(SILENCE_S + 2.0)
-        for name in fleet.vms.keys() - fleet.dead:
+        for name in fleet.vms.keys() - fleet.stopped:
             self.assertNotIn("vm3", fleet.named(name))
 
     def test_a_leaving_vm_is_named_no_more_at_once(self) -> None:
@@ -101,17 +104,17 @@
         fleet.run(5.0)
         leaving = fleet.vms["vm3"]
         leaving.accepting = False
-        beat = leaving.tick(fleet.now, 0, ())
+        heartbeat = leaving.tick(fleet.now, 0, ())
         for vm in fleet.vms.values():
-            vm.receive(beat, fleet.now)
+            vm.receive(heartbeat, fleet.now)
         self.assertFalse(any("vm3" in fleet.named(name) for name in fleet.vms))
 
     def test_a_vm_that_stood_still_does_not_take_others_for_dead(self) -> None:
         fleet = Fleet(12)
         fleet.run(5.0)
-        fleet.dead.add("vm0")
+        fleet.stopped.add("vm0")
         fleet.run(8.0)
-        fleet.dead.clear()
+        fleet.stopped.clear()
         fleet.vms["vm0"].tick(fleet.now, 0, fleet.vms)
         self.assertEqual(len(fleet.named("vm0")), 12)
 
@@ -135,61 +138,61 @@
     def test_halves_that_are_cut_apart_name_their_own(self) -> None:
         fleet = Fleet(12)
         fleet.run(5.0)
-        fleet.cut = {f"vm{n}" for n in range(6)}
+        fleet.partition = {f"vm{n}" for n in range(6)}
         fleet.run(SILENCE_S + 1.5)
-        self.assertEqual(fleet.named("vm0"), fleet.cut)
-        fleet.cut = set()
+        self.assertEqual(fleet.named("vm0"), fleet.partition)
+        fleet.partition = set()
         fleet.run(3.0)
         self.assertEqual(len(fleet.named("vm0")), 12)
 
 
 class Regions(unittest.TestCase):
-    """Heartbeats of 60 VMs in three regions, which name far VMs only by their own messages."""
+    """Heartbeats of 60 VMs in three regions; rows reach other regions only from their own."""
 
     def setUp(self) -> None:
         self.fleet = Fleet(60, regions=3)
         self.fleet.run(5.0)
 
     def test_all_know_all_soon_after_the_start(self) -> None:
-        self.assertGreater(self._known_part(), 0.99)
+        self.assertGreater(self._known_fraction(), 0.99)
 
     def test_nobody_of_the_own_region_is_dropped_in_calm_times_nor_with_loss(self) -> None:
         self.fleet.loss = 0.03
         for _ in range(40):
-            self.fleet.run(HEARTBEAT_S)
+            self.fleet.run(HEARTBEAT_INTERVAL_S)
             for name in ("vm0", "vm50"):
-                self.assertEqual(len(self._near(name)), 20)
+                self.assertEqual(len(self._known_in_own_region(name)), 20)
 
     def test_other_regions_are_known_nearly_always(self) -> None:
-        parts = []
+        fractions = []
         for _ in range(20):
-            self.fleet.run(HEARTBEAT_S)
-            parts.append(self._known_part())
-        self.assertGreater(sum(parts) / len(parts), 0.97)
+            self.fleet.run(HEARTBEAT_INTERVAL_S)
+            fractions.append(self._known_fraction())
+        self.assertGreater(sum(fractions) / len(fractions), 0.97)
 
     def test_a_killed_vm_is_named_no_more_in_any_region(self) -> None:
-        self.fleet.dead.add("vm3")
+        self.fleet.stopped.add("vm3")
         self.fleet.run(2 * SILENCE_S)
         naming = [name for name in self.fleet.vms if "vm3" in self.fleet.named(name)]
         self.assertEqual(naming, ["vm3"])
 
     def test_a_region_that_is_cut_off_goes_on_with_its_own(self) -> None:
-        self.fleet.cut = {name for name in self.fleet.vms if self.fleet.region(name) == 0}
+        self.fleet.partition = {name for name in self.fleet.vms if self.fleet.region(name) == 0}
         self.fleet.run(SILENCE_S + 1.5)
-        self.assertEqual(self.fleet.named("vm0"), self.fleet.cut)
+        self.assertEqual(self.fleet.named("vm0"), self.fleet.partition)
 
-    def _near(self, asked: str) -> set[str]:
+    def _known_in_own_region(self, asked: str) -> set[str]:
         named = self.fleet.named(asked)
         return {name for name in named if self.fleet.region(name) == self.fleet.region(asked)}
 
-    def _known_part(self) -> float:
-        """Return which part of the VMs a VM names, on the mean."""
+    def _known_fraction(self) -> float:
+        """Return the mean fraction of the VMs that a VM knows to accept callers."""
         named = sum(len(self.fleet.named(name)) for name in self.fleet.vms)
         return named / len(self.fleet.vms) ** 2
 
 
 class Bytes(unittest.TestCase):
-    """What heartbeats cost; names as in service, some 17 characters, cost more a row."""
+    """Traffic of heartbeats; names of some 17 characters, as in production, make rows longer."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -199,22 +202,22 @@
             fleet.run(5.0)
 
     def test_between_regions_a_third_of_what_one_table_for_all_costs(self) -> None:
-        crossed_by_one_table = sum(self.whole.sent.values()) * 130 / 194
-        self.assertLess(self.split.crossed, 0.4 * crossed_by_one_table)
+        single_table_bytes = sum(self.whole.sent.values()) * 130 / 194
+        self.assertLess(self.split.cross_region_bytes, 0.4 * single_table_bytes)
 
     def test_all_send_two_thirds_of_what_one_table_for_all_costs(self) -> None:
         self.assertLess(sum(self.split.sent.values()), 0.67 * sum(self.whole.sent.values()))
 
 
-class FarFanout(unittest.TestCase):
+class CrossRegionFanout(unittest.TestCase):
     def test_a_region_of_few_beside_a_large_one_is_not_spent_on_heartbeats(self) -> None:
-        self.assertEqual(far_fanout(2, 1_000), 4)
-        self.assertEqual(far_fanout(65, 130), 2)
-        self.assertEqual(far_fanout(4, 0), 0)
+        self.assertEqual(cross_region_fanout(2, 1_000), 4)
+        self.assertEqual(cross_region_fanout(65, 130), 2)
+        self.assertEqual(cross_region_fanout(4, 0), 0)
 
 
 class Answers(unittest.TestCase):
-    """Look-ups at one VM of a fleet whose VMs take turns in two regions."""
+    """Look-ups at one VM of a fleet whose VMs alternate between two regions."""
 
     def setUp(self) -> None:
         self.fleet = Fleet(12)
@@ -243,7 +246,7 @@
         self.assertEqual(self._found("north"), self._addresses(range(12)))
 
     def test_a_region_whose_vms_are_out_of_touch_gets_the_others(self) -> None:
-        self.fleet.dead = {f"vm{number}" for number in range(1, 12, 2)}
+        self.fleet.stopped = {f"vm{number}" for number in range(1, 12, 2)}
         self.fleet.run(SILENCE_S + 2.0)
         self.assertEqual(self._found("west"), self._addresses(range(0, 12, 2)))
 
--- a/tests/test_gateway_heartbeats.py
+++ b/tests/test_gateway_heartbeats.py
@@ -1,7 +1,7 @@
-"""What heartbeats carry and to whom they go, in a fleet on a virtual clock.
+"""Content and recipients of heartbeats, in a fleet on a virtual clock.
 
-At 195 VMs each heartbeat carried the rows of all VMs to all regions, and a VM that stopped sent the
-same rows to every other one at once: 1.4 MB on a link of 20 Mbit/s, beside its callers' answers.
+The tests guard against heartbeats that carry the rows of all VMs to all regions. At 195 VMs a VM
+that stopped then sent 1.4 MB at once on a link of 20 Mbit/s, beside its callers' responses.
 """
 
 import unittest
@@ -17,11 +17,11 @@
 
 _VMS = 12
 _SETTLED_S = 6.0
-_MOST_STOP_BYTES = 100
+_MAX_STOP_BYTES = 100
 
 
-class Sent(NamedTuple):
-    """A heartbeat on its way."""
+class SentHeartbeat(NamedTuple):
+    """A heartbeat in transit."""
 
     sender: FleetVm
     receiver: FleetVm
@@ -29,14 +29,14 @@
     size: int
 
 
-class Watched:
-    """A fleet whose heartbeats are kept."""
+class RecordedFleet:
+    """A fleet whose heartbeats are recorded."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         store = StoreStandIn(loop)
         store.put("op/config", configuration(3))
         self.fleet = VirtualFleet(loop, store, _VMS)
-        self.sent: list[Sent] = []
+        self.sent: list[SentHeartbeat] = []
         self._deliver = self.fleet.deliver
         self.fleet.deliver = self._record  # type: ignore[method-assign]
 
@@ -45,7 +45,7 @@
         receiver = next(vm for vm in self.fleet.vms if vm.peer() == address)
         if tag == "beat":
             names = tuple(row[0] for row in fields[2])
-            self.sent.append(Sent(sender, receiver, names, len(data)))
+            self.sent.append(SentHeartbeat(sender, receiver, names, len(data)))
         self._deliver(sender, data, address)
 
     def region(self, name: str) -> str:
@@ -56,27 +56,31 @@
 class Rows(unittest.TestCase):
     def test_a_heartbeat_carries_the_rows_of_its_senders_region(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            watched = Watched(loop)
+            recorded = RecordedFleet(loop)
             await pass_time(_SETTLED_S)
-            for beat in watched.sent:
-                regions = {watched.region(name) for name in beat.names}
-                self.assertEqual(regions, {beat.sender.region})
+            for heartbeat in recorded.sent:
+                regions = {recorded.region(name) for name in heartbeat.names}
+                self.assertEqual(regions, {heartbeat.sender.region})
 
         run_virtual(main)
 
     def test_heartbeats_reach_the_own_region_and_the_others(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            watched = Watched(loop)
+            recorded = RecordedFleet(loop)
             await pass_time(_SETTLED_S)
-            for vm in watched.fleet.vms:
-                reached = {beat.receiver.region for beat in watched.sent if beat.sender is vm}
-                self.assertEqual(reached, {each.region for each in watched.fleet.vms})
+            for vm in recorded.fleet.vms:
+                reached = {
+                    heartbeat.receiver.region
+                    for heartbeat in recorded.sent
+                    if heartbeat.sender is vm
+                }
+                self.assertEqual(reached, {each.region for each in recorded.fleet.vms})
 
         run_virtual(main)
 
     def test_every_vm_is_in_touch_with_every_other(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = Watched(loop).fleet
+            fleet = RecordedFleet(loop).fleet
             await pass_time(_SETTLED_S)
             now = loop.time()
             silent = [
@@ -93,15 +97,17 @@
 class Stops(unittest.TestCase):
     def test_a_stop_is_announced_to_all_in_few_bytes_and_known_at_once(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            watched = Watched(loop)
+            recorded = RecordedFleet(loop)
             await pass_time(_SETTLED_S)
-            stopping, *others = watched.fleet.vms
-            watched.sent.clear()
+            stopping, *others = recorded.fleet.vms
+            recorded.sent.clear()
             stopping.heartbeats.ready = lambda: False
             stopping.heartbeats.announce()
-            announced = [beat for beat in watched.sent if beat.sender is stopping]
-            self.assertEqual({beat.receiver.name for beat in announced}, {v.name for v in others})
-            self.assertLess(max(beat.size for beat in announced), _MOST_STOP_BYTES)
+            announced = [heartbeat for heartbeat in recorded.sent if heartbeat.sender is stopping]
+            self.assertEqual(
+                {heartbeat.receiver.name for heartbeat in announced}, {v.name for v in others}
+            )
+            self.assertLess(max(heartbeat.size for heartbeat in announced), _MAX_STOP_BYTES)
             await pass_time(0.1)
             naming = [v for v in others if v.gossip.accepts_callers(stopping.name, loop.time())]
             self.assertEqual(naming, [])
--- a/tests/test_gateway_registration.py
+++ b/tests/test_gateway_registration.py
@@ -1,4 +1,4 @@
-"""The rule of registration: which write is due, and which VM removes those that are gone."""
+"""`RegistrationRule`: which write is due, and which VM removes those long out of touch."""
 
 import random
 import unittest
@@ -20,7 +20,7 @@
 
 
 class NamesOnly(Decoder):
-    """Takes an item's key for the registration of the VM that it names."""
+    """Decodes an item from its key alone, to the registration of the VM that it names."""
 
     def decode(self, item: Item) -> Optional[Member]:
         return _member(item.key.removeprefix(MEMBER_PREFIX))
@@ -43,7 +43,7 @@
     def _pass(
         self, rule: RegistrationRule, seconds: float, in_touch: tuple[str, ...]
     ) -> Optional[Union[Register, Remove]]:
-        """Let time pass with heartbeats of some VMs, and return the write due at its end."""
+        """Let time pass with heartbeats of some VMs, and return the write due at the end."""
         end = self.now + seconds
         write = None
         while self.now < end:
