--- a/sprucewinch/gateway/following/deltas.py
+++ b/sprucewinch/gateway/following/deltas.py
@@ -32,7 +32,7 @@
 _DELTA_TIMEOUT = Patience(first_s=0.6, silence_s=0.6, most_s=10.0)
 """Timeouts of a call for a delta, in seconds. Those for the first byte and between bytes are short,
 so that a change is in force within 2 s although peers fail (`test_gateway_following`). The total
-allows for a full delta from a VM of an older version, 1 MB at 1 Mbit/s."""
+allows for a whole delta from a VM of an older version, 1 MB at 1 Mbit/s."""
 
 _ITEM_TIMEOUT = Patience(first_s=2.0, silence_s=2.0, most_s=60.0)
 """Timeouts of a call for a large item, in seconds. They are longer than those of a delta, as all
@@ -149,8 +149,8 @@
 def encode_delta(delta: Delta) -> bytes:
     """Return a delta encoded for a peer.
 
-    The field for deferred items is left out when there are none, as VMs of older versions do not
-    know it.
+    The field for deferred items is omitted when there are none, as VMs of older versions do not
+    know it. Items are deferred only for a peer that states the longest value that it accepts.
     """
     fields = tuple(delta) if delta.deferred else tuple(delta)[:-1]
     return msgspec.msgpack.encode(fields)
@@ -180,7 +180,7 @@
     """Return the item that a peer sent.
 
     Raises:
-        zlib.error: If the bytes are no complete compressed data, or too long once decompressed.
+        zlib.error: If the bytes are not complete compressed data, or too long when decompressed.
         msgspec.MsgspecError: If they are not an item.
     """
     decompressor = zlib.decompressobj()
--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -17,10 +17,11 @@
 1,302 to 308 at 12 VMs. Fewer, longer watches delivered changes late. A lease for the follower would
 cost one more call and would not help when its holder is paused. The fallback keeps changes timely
 whatever the outcome of the election: two VMs that elect differently only cost more calls. While a
-large item arrives from a peer, a call to the store would bring the same bytes over the same link.
+large item arrives from a peer, a call to the store would send the same bytes over the same link.
 
-The decision is a `FollowReason`; the event `follows` shows it as `source`, `store` or `neighbours`.
-It is tested by `test_gateway_follow_role`, `test_gateway_following` and `test_platform_store`.
+The decision is a `FollowReason`; the event `follows` shows it by its field `source`, which is
+`store` or `neighbours`. It is tested by `test_gateway_follow_role`, `test_gateway_following` and
+`test_platform_store`.
 """
 
 import enum
--- a/sprucewinch/gateway/following/large_items.py
+++ b/sprucewinch/gateway/following/large_items.py
@@ -1,10 +1,10 @@
 """Fetches the large items that deltas of peers defer, one at a time.
 
-Fetched are the items that a peer's last delta named and that are newer than what is held here, one
-after the other, each from that peer. A running transfer ends before a newer version of its item is
-requested: two transfers of the same value would halve each other's share of the link, and a
-transfer that restarted with each version might never end. Before this rule a VM with a link of
-10 Mbit/s received up to 980 KB/s for 60 s and applied nothing.
+An item is fetched if a peer's last delta named it and it is newer than what is held here; items are
+fetched one after another, each from that peer. A running transfer ends before a newer version of
+its item is requested: two transfers of the same value would halve each other's share of the link,
+and a transfer that restarted with each version might never end. Without this rule a VM with a link
+of 10 Mbit/s received up to 980 KB/s for 60 s and applied nothing.
 
 Relies on `deltas` for the call, on `state.store_view`, to which each item is applied, and on
 `follow_role`, which does not call the store while a transfer makes progress. Each item is reported
--- a/sprucewinch/gateway/following/store_follower.py
+++ b/sprucewinch/gateway/following/store_follower.py
@@ -35,8 +35,8 @@
 BATCH_PAUSE_S = 0.3
 """Pause after a change, in seconds, so that the next watch delivers several changes in one call."""
 
-_FIRST_BATCH_PAUSE_S = 0.5
-"""Pause after the first listing, in seconds, as all VMs register when a fleet starts."""
+_LISTING_PAUSE_S = 0.5
+"""Pause after a listing, in seconds, as all VMs register when a fleet starts."""
 
 _ROLE_POLL_INTERVAL_S = 0.1
 """Pause between two checks of the role while peers keep this VM up to date, in seconds."""
@@ -153,7 +153,7 @@
         self.store_view.record_store_answer(now)
         self.store_view.apply(delta, now)
         if list_all:
-            await asyncio.sleep(_FIRST_BATCH_PAUSE_S)
+            await asyncio.sleep(_LISTING_PAUSE_S)
         elif delta.items or delta.removals:
             self.notices.send(changed=True)
             await asyncio.sleep(BATCH_PAUSE_S)
--- a/sprucewinch/gateway/state/outages.py
+++ b/sprucewinch/gateway/state/outages.py
@@ -11,7 +11,7 @@
 only from the absence of their notices: then the outage is taken to have begun `MAX_ANSWER_AGE_S`
 after the last known answer.
 
-Without the grace period, running servers were dropped and taken for cold when their entries
+Without the grace period, running servers were dropped and treated as cold when their entries
 returned, and half of the requests were late for 4 s after each outage (docs/FINDINGS.md). Without
 the announcements, a VM that the store alone refused sent a request to a server that had left
 2,172 ms before, probably because of the grace period.
--- a/sprucewinch/gateway/state/replica.py
+++ b/sprucewinch/gateway/state/replica.py
@@ -6,7 +6,7 @@
 A key never returns to an older revision, and a removed key stays removed until a newer write. A
 delta may defer large items, that is, only name them: the other changes are applied at once, but
 `at` stays below the revision of the first missing item, so that this VM requests it again and no
-peer takes this replica for complete. A whole delta also removes the keys that it does not list,
+peer treats this replica as complete. A whole delta also removes the keys that it does not list,
 unless they are newer than the delta. Removals are kept as tombstones for `MAX_TOMBSTONES` keys; a
 peer behind a dropped one gets a whole delta.
 
--- a/tests/test_gateway_deltas.py
+++ b/tests/test_gateway_deltas.py
@@ -61,7 +61,7 @@
 
 class ItemsOnTheWire(unittest.TestCase):
     @given(_ITEMS)
-    def test_an_item_comes_back_as_it_was(self, item) -> None:
+    def test_an_item_survives_encoding(self, item) -> None:
         self.assertEqual(decode_item(encode_item(item)), item)
 
     def test_it_is_compressed(self) -> None:
@@ -69,7 +69,7 @@
         self.assertEqual(msgspec.msgpack.decode(zlib.decompress(encode_item(_ITEM))), [*_ITEM])
 
     @given(_ITEMS, st.data())
-    def test_one_that_is_cut_short_is_an_error(self, item, data) -> None:
+    def test_a_truncated_item_is_an_error(self, item, data) -> None:
         whole = encode_item(item)
         cut = data.draw(st.integers(0, len(whole) - 1))
         with self.assertRaises(zlib.error):
@@ -109,15 +109,15 @@
 
 class DeltasOnTheWire(unittest.TestCase):
     @given(_DELTAS)
-    def test_a_delta_comes_back_as_it_was(self, delta) -> None:
+    def test_a_delta_survives_encoding(self, delta) -> None:
         self.assertEqual(decode_delta(encode_delta(delta)), delta)
 
     @given(_DELTAS)
-    def test_it_has_a_fifth_field_only_when_items_are_left_out(self, delta) -> None:
+    def test_it_has_a_fifth_field_only_when_items_are_deferred(self, delta) -> None:
         fields = msgspec.msgpack.decode(encode_delta(delta))
         self.assertEqual(len(fields), 5 if delta.deferred else 4)
 
-    def test_the_bytes_with_items_left_out(self) -> None:
+    def test_the_bytes_with_deferred_items(self) -> None:
         delta = Delta((Item("a", b"v", 3),), (Removal("b", 4),), 9, False, (_NAMED,))
         data = (
             b"\x95\x91\x93\xa1a\xc4\x01v\x03\x91\x92\xa1b\x04\x09\xc2"
@@ -126,7 +126,7 @@
         self.assertEqual(encode_delta(delta), data)
         self.assertEqual(decode_delta(data), delta)
 
-    def test_the_bytes_without_are_those_of_the_first_release(self) -> None:
+    def test_the_bytes_without_deferred_items_are_those_of_the_first_release(self) -> None:
         delta = Delta((Item("a", b"v", 3),), (Removal("b", 4),), 9)
         data = b"\x94\x91\x93\xa1a\xc4\x01v\x03\x91\x92\xa1b\x04\x09\xc2"
         self.assertEqual(encode_delta(delta), data)
@@ -233,7 +233,7 @@
         self.assertEqual({decode_item(data) for data in second}, {newer})
 
     @given(st.lists(st.tuples(st.integers(0, 9), st.integers(1, 3)), max_size=60))
-    def test_it_is_always_the_asked_item_and_few_are_kept(self, requests) -> None:
+    def test_the_requested_item_is_returned_and_few_are_cached(self, requests) -> None:
         kept = EncodedItems()
         for key, revision in requests:
             item = Item(f"k{key}", b"%d" % revision, revision)
@@ -250,7 +250,7 @@
 
 
 class Fetching(unittest.IsolatedAsyncioTestCase):
-    async def test_an_item_arrives_whole_and_its_bytes_are_told(self) -> None:
+    async def test_an_item_arrives_whole_and_its_progress_is_reported(self) -> None:
         progress_calls: list[int] = []
         value = random.Random(1).randbytes(200_000)
         item = Item("op/config", value, 7)
@@ -282,20 +282,20 @@
         self.addCleanup(server.close)
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
-    async def test_a_status_is_an_error_that_says_where_to_look(self) -> None:
+    async def test_an_error_status_is_an_error_with_a_remedy(self) -> None:
         await self._fails(Peer(503, b""), "status 503, expected 200: see the log of the peer VM")
 
-    async def test_an_item_that_went_is_told_apart(self) -> None:
+    async def test_an_item_that_was_removed_is_an_error_of_its_own(self) -> None:
         address = await Peer(404, b"").start(self)
         with self.assertRaises(ItemNotHeldError):
             await fetch_item(address, _NAMED)
 
-    async def test_an_item_that_was_not_asked_for_is_an_error(self) -> None:
+    async def test_an_item_that_was_not_requested_is_an_error(self) -> None:
         for other in (Item("op/other", b"", _NAMED.revision), Item(_NAMED.key, b"", 1)):
             with self.subTest(other=other):
                 await self._fails(Peer(200, encode_item(other)), "which was not requested")
 
-    async def test_garbage_is_an_error_that_says_what_to_check(self) -> None:
+    async def test_garbage_is_an_error_with_a_remedy(self) -> None:
         of_delta = encode_delta(Delta((), (), 1))
         for body in (b"", b"\xc1", of_delta, zlib.compress(of_delta), encode_item(_ITEM)[:-1]):
             with self.subTest(body=body[:20]):
@@ -303,7 +303,7 @@
                     Peer(200, body), "not an item .*check which version the peer VM runs"
                 )
 
-    async def test_a_body_that_is_cut_off_is_an_error_that_says_what_to_check(self) -> None:
+    async def test_a_truncated_body_is_an_error_with_a_remedy(self) -> None:
         body = encode_item(_ITEM)
         for sent in (0, 1, len(body) - 1):
             with self.subTest(sent=sent):
@@ -312,7 +312,7 @@
                     "check that the peer VM runs and that TCP connections to it work",
                 )
 
-    async def test_a_peer_that_is_not_there_is_an_error_that_says_what_to_check(self) -> None:
+    async def test_an_unreachable_peer_is_an_error_with_a_remedy(self) -> None:
         with self.assertRaisesRegex(DeltaUnavailableError, "check that the peer VM runs"):
             await fetch_item("127.0.0.1:9", _NAMED)
 
--- a/tests/test_gateway_follow_role.py
+++ b/tests/test_gateway_follow_role.py
@@ -81,7 +81,7 @@
 
 
 class Election(Role):
-    def test_the_widest_links_are_elected(self) -> None:
+    def test_the_vms_with_most_bandwidth_are_elected(self) -> None:
         self.assertFalse(self.role.is_elected(_NOW))
         self.gossip.link_mbps = 2000
         self.assertTrue(self.role.is_elected(_NOW))
@@ -98,7 +98,7 @@
         self.assertTrue(self.role.is_elected(_NOW))
         self.assertTrue(self.role.is_preferred_follower(_NOW))
 
-    def test_it_does_not_stand_while_the_store_does_not_answer_it(self) -> None:
+    def test_it_is_not_elected_while_the_store_does_not_answer_it(self) -> None:
         self.gossip.link_mbps = 2000
         self.role.set_store_reachable(False)
         self.assertFalse(self.role.is_elected(_NOW))
--- a/tests/test_gateway_following.py
+++ b/tests/test_gateway_following.py
@@ -49,7 +49,7 @@
     return refuse
 
 
-class Calm(unittest.TestCase):
+class WithoutFaults(unittest.TestCase):
     def test_one_vm_of_each_region_follows_the_store(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop)
@@ -97,7 +97,7 @@
 
         run_virtual(main)
 
-    def test_nothing_happens(self) -> None:
+    def test_no_fault_occurs(self) -> None:
         self._reaches_all(_cause_no_fault, 1)
 
     @settings(max_examples=10, deadline=None)
@@ -120,7 +120,7 @@
     def test_all_store_followers_are_cut_off_from_all_others(self, seed: int) -> None:
         self._reaches_all(_isolate, seed, all_followers=True)
 
-    def test_a_store_follower_is_turned_away(self) -> None:
+    def test_the_store_refuses_a_store_follower(self) -> None:
         for fault in (Fault.BUSY, Fault.MANY, Fault.RESET, Fault.SILENT):
             with self.subTest(fault=fault):
                 self._reaches_all(_refuse_by_store(fault), 5)
@@ -195,7 +195,7 @@
         await pass_time(4.0)
         self.assertEqual(fleet.versions(), {9})
 
-    def test_a_server_that_leaves_while_one_vm_is_turned_away_is_gone_there_at_once(
+    def test_a_server_that_leaves_while_the_store_refuses_one_vm_is_dropped_there_in_time(
         self,
     ) -> None:
         """The VM once kept the server, as if its entry had lapsed in an outage."""
@@ -222,7 +222,9 @@
         for vm in vms:
             loop.listeners[vm.address].silent = silent
 
-    def test_notices_of_a_follower_that_lost_the_store_keep_no_other_from_it(self) -> None:
+    def test_notices_of_a_follower_that_lost_the_store_stop_no_other_from_following_it(
+        self,
+    ) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _fleet(loop)
             followers = fleet.store_followers()
@@ -237,13 +239,13 @@
 
         run_virtual(main)
 
-    def test_each_vm_keeps_a_living_server_whose_entry_lapsed_in_an_outage_of_6_s(self) -> None:
+    def test_each_vm_keeps_a_running_server_whose_entry_lapsed_in_an_outage_of_6_s(self) -> None:
         """The entry returns 1 s after the store, within the grace; outages start at 4 phases."""
 
-        async def main(loop: VirtualLoop, calm_s: float) -> set[str]:
+        async def main(loop: VirtualLoop, delay_s: float) -> set[str]:
             fleet = await _fleet(loop)
             fleet.store.put("servers/s0", _SERVER)
-            await pass_time(calm_s)
+            await pass_time(delay_s)
             fleet.store.fault = Fault.BUSY
             await pass_time(4.5)
             fleet.store.remove("servers/s0")
@@ -255,8 +257,8 @@
             return dropped | await self._drops(fleet, LAPSED_ENTRY_GRACE_S)
 
         dropped = {}
-        for calm_s in (2.0, 2.5, 3.0, 3.5):
-            dropped[calm_s] = sorted(run_virtual(lambda loop, s=calm_s: main(loop, s)))
+        for delay_s in (2.0, 2.5, 3.0, 3.5):
+            dropped[delay_s] = sorted(run_virtual(lambda loop, s=delay_s: main(loop, s)))
         self.assertEqual(dropped, dict.fromkeys(dropped, []))
 
     async def _drops(self, fleet: VirtualFleet, seconds: float) -> set[str]:
@@ -271,7 +273,7 @@
     def _without_server(self, fleet: VirtualFleet) -> set[str]:
         return {vm.name for vm in fleet.vms if not vm.registry.usable("rates")}
 
-    def test_each_vm_writes_that_the_store_is_lost_and_regained_at_each_of_two_outages(
+    def test_each_vm_logs_that_the_store_is_lost_and_regained_at_each_of_two_outages(
         self,
     ) -> None:
         async def main(loop: VirtualLoop, fault: Fault) -> dict[str, list[bool]]:
@@ -290,7 +292,7 @@
             others |= {(fault.name, name): ups for name, ups in lines.items() if ups != expected}
         self.assertEqual(others, {})
 
-    def test_a_vm_that_the_store_alone_refuses_writes_one_line_until_it_answers(self) -> None:
+    def test_a_single_vm_that_the_store_refuses_logs_one_event_until_it_answers(self) -> None:
         """It probes every 10 s, is refused each time, and is not elected meanwhile."""
 
         async def main(loop: VirtualLoop) -> None:
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -82,7 +82,7 @@
                 least = min(len(fleet.named(name)) for name in fleet.vms)
                 self.assertEqual(least, count)
 
-    def test_nobody_alive_is_dropped_in_calm_times(self) -> None:
+    def test_no_running_vm_is_dropped_without_faults(self) -> None:
         for count in (12, 90):
             fleet = Fleet(count)
             fleet.run(5.0)
@@ -91,7 +91,7 @@
                 for name in ("vm0", "vm5"):
                     self.assertEqual(len(fleet.named(name)), count)
 
-    def test_a_killed_vm_is_named_no_more(self) -> None:
+    def test_callers_are_no_longer_sent_to_a_killed_vm(self) -> None:
         fleet = Fleet(12)
         fleet.run(5.0)
         fleet.stopped.add("vm3")
@@ -99,7 +99,7 @@
         for name in fleet.vms.keys() - fleet.stopped:
             self.assertNotIn("vm3", fleet.named(name))
 
-    def test_a_leaving_vm_is_named_no_more_at_once(self) -> None:
+    def test_callers_are_at_once_no_longer_sent_to_a_leaving_vm(self) -> None:
         fleet = Fleet(12)
         fleet.run(5.0)
         leaving = fleet.vms["vm3"]
@@ -109,7 +109,7 @@
             vm.receive(heartbeat, fleet.now)
         self.assertFalse(any("vm3" in fleet.named(name) for name in fleet.vms))
 
-    def test_a_vm_that_stood_still_does_not_take_others_for_dead(self) -> None:
+    def test_a_vm_that_was_paused_keeps_others_in_touch(self) -> None:
         fleet = Fleet(12)
         fleet.run(5.0)
         fleet.stopped.add("vm0")
@@ -118,7 +118,7 @@
         fleet.vms["vm0"].tick(fleet.now, 0, fleet.vms)
         self.assertEqual(len(fleet.named("vm0")), 12)
 
-    def test_a_restarted_vm_is_named_again(self) -> None:
+    def test_callers_are_sent_to_a_restarted_vm_again(self) -> None:
         fleet = Fleet(12)
         fleet.run(5.0)
         fleet.vms["vm3"] = Gossip("vm3", 2, random.Random(9))
@@ -126,7 +126,7 @@
         fleet.run(3.0)
         self.assertIn("vm3", fleet.named("vm0"))
 
-    def test_a_vm_that_restarts_with_its_clock_set_back_is_named_again(self) -> None:
+    def test_callers_are_sent_again_to_a_vm_that_restarts_with_its_clock_set_back(self) -> None:
         fleet = Fleet(12)
         fleet.vms["vm3"].incarnation = 9_000
         fleet.run(5.0)
@@ -135,7 +135,7 @@
         fleet.run(SILENCE_S + 1.0)
         self.assertTrue(all("vm3" in fleet.named(name) for name in fleet.vms))
 
-    def test_halves_that_are_cut_apart_name_their_own(self) -> None:
+    def test_halves_of_a_partition_name_their_own_vms(self) -> None:
         fleet = Fleet(12)
         fleet.run(5.0)
         fleet.partition = {f"vm{n}" for n in range(6)}
@@ -156,7 +156,7 @@
     def test_all_know_all_soon_after_the_start(self) -> None:
         self.assertGreater(self._known_fraction(), 0.99)
 
-    def test_nobody_of_the_own_region_is_dropped_in_calm_times_nor_with_loss(self) -> None:
+    def test_no_vm_of_the_own_region_is_dropped_with_packet_loss(self) -> None:
         self.fleet.loss = 0.03
         for _ in range(40):
             self.fleet.run(HEARTBEAT_INTERVAL_S)
@@ -170,13 +170,13 @@
             fractions.append(self._known_fraction())
         self.assertGreater(sum(fractions) / len(fractions), 0.97)
 
-    def test_a_killed_vm_is_named_no_more_in_any_region(self) -> None:
+    def test_no_region_sends_callers_to_a_killed_vm(self) -> None:
         self.fleet.stopped.add("vm3")
         self.fleet.run(2 * SILENCE_S)
         naming = [name for name in self.fleet.vms if "vm3" in self.fleet.named(name)]
         self.assertEqual(naming, ["vm3"])
 
-    def test_a_region_that_is_cut_off_goes_on_with_its_own(self) -> None:
+    def test_a_region_that_is_cut_off_names_its_own_vms(self) -> None:
         self.fleet.partition = {name for name in self.fleet.vms if self.fleet.region(name) == 0}
         self.fleet.run(SILENCE_S + 1.5)
         self.assertEqual(self.fleet.named("vm0"), self.fleet.partition)
@@ -210,7 +210,7 @@
 
 
 class CrossRegionFanout(unittest.TestCase):
-    def test_a_region_of_few_beside_a_large_one_is_not_spent_on_heartbeats(self) -> None:
+    def test_the_fanout_of_a_small_region_beside_a_large_one_is_bounded(self) -> None:
         self.assertEqual(cross_region_fanout(2, 1_000), 4)
         self.assertEqual(cross_region_fanout(65, 130), 2)
         self.assertEqual(cross_region_fanout(4, 0), 0)
@@ -250,7 +250,7 @@
         self.fleet.run(SILENCE_S + 2.0)
         self.assertEqual(self._found("west"), self._addresses(range(0, 12, 2)))
 
-    def test_vms_that_are_not_registered_are_not_named(self) -> None:
+    def test_vms_that_are_not_registered_are_not_returned(self) -> None:
         del self.view.members["vm2"]
         self.assertNotIn(self._address("vm2"), self._found("east"))
 
--- a/tests/test_gateway_large_items_rule.py
+++ b/tests/test_gateway_large_items_rule.py
@@ -168,7 +168,7 @@
         self.assertEqual(len(peer.requested), 3)
         self.assertEqual(peer.max_running, 1)
 
-    def test_one_that_is_named_again_while_it_comes_is_fetched_once(self) -> None:
+    def test_an_item_that_is_named_again_during_its_transfer_is_fetched_once(self) -> None:
         async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             named = peer.add("a", 5)
             vm.enqueue(named)
@@ -209,7 +209,7 @@
         self.assertEqual(peer.requested, [("a", 5), ("a", 12)])
         self.assertEqual(vm.held(), {"a": 12})
 
-    def test_one_that_came_otherwise_meanwhile_is_not_fetched(self) -> None:
+    def test_an_item_that_arrived_otherwise_meanwhile_is_not_fetched(self) -> None:
         async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             vm.enqueue(peer.add("a", 5))
             await pass_time(_TRANSFER_S / 2)
@@ -220,7 +220,7 @@
         peer, _ = _run_scenario(scenario)
         self.assertEqual(peer.requested, [("a", 5)])
 
-    def test_one_that_was_removed_meanwhile_is_not_fetched(self) -> None:
+    def test_an_item_that_was_removed_meanwhile_is_not_fetched(self) -> None:
         async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             vm.enqueue(peer.add("a", 5))
             await pass_time(_TRANSFER_S / 2)
@@ -232,7 +232,7 @@
         self.assertEqual(peer.requested, [("a", 5)])
         self.assertEqual(vm.held(), {"a": 5})
 
-    def test_one_that_is_removed_while_it_comes_stays_removed(self) -> None:
+    def test_an_item_that_is_removed_during_its_transfer_stays_removed(self) -> None:
         async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             vm.enqueue(peer.add("a", 5))
             await pass_time(_TRANSFER_S / 2)
@@ -242,7 +242,7 @@
         _, vm = _run_scenario(scenario)
         self.assertEqual(vm.held(), {})
 
-    def test_one_that_is_held_is_not_wanted(self) -> None:
+    def test_an_item_that_is_held_is_not_fetched(self) -> None:
         async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             named = peer.add("a", 5)
             vm.view.apply_item(peer.items["a"], vm.loop.time())
@@ -252,7 +252,7 @@
         peer, _ = _run_scenario(scenario)
         self.assertEqual(peer.requested, [])
 
-    def test_it_shows_that_a_transfer_runs(self) -> None:
+    def test_fetching_is_true_during_a_transfer(self) -> None:
         shown: list[bool] = []
 
         async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
@@ -266,7 +266,7 @@
         _run_scenario(scenario)
         self.assertEqual(shown, [False, True, False])
 
-    def test_each_has_a_line_and_lets_this_vm_look_what_it_lacks(self) -> None:
+    def test_each_item_is_logged_and_wakes_the_peer_follower(self) -> None:
         waited_s: list[float] = []
 
         async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
@@ -303,7 +303,7 @@
         self.assertEqual((event, fields["peer"]), ("delta-failed", _UNREACHABLE_ADDRESS))
         self.assertIn("ConnectFailedError", fields["problem"])
 
-    def test_an_item_that_went_before_it_was_fetched_is_none(self) -> None:
+    def test_an_item_that_was_removed_before_it_was_fetched_is_no_failure(self) -> None:
         reasons: list[FollowReason] = []
 
         async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
@@ -317,7 +317,7 @@
         self.assertNotIn(FollowReason.PEER_FAILED, reasons)
         self.assertEqual((vm.events.counted, vm.events.lines), ([], []))
 
-    def test_the_next_delta_lets_it_be_fetched(self) -> None:
+    def test_an_item_is_fetched_after_the_next_delta(self) -> None:
         async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
             vm.enqueue(DeferredItem("a", 5, 99_999))
             await pass_time(1.0)
@@ -349,8 +349,8 @@
         self.assertFalse(vm.large_items.fetching)
 
 
-class StoreLeftAlone(unittest.TestCase):
-    def test_while_bytes_come_being_behind_is_no_reason_to_ask_the_store(self) -> None:
+class StoreCallsDuringTransfers(unittest.TestCase):
+    def test_while_bytes_arrive_a_vm_that_is_behind_does_not_ask_the_store(self) -> None:
         reasons: list[FollowReason] = []
 
         async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
@@ -364,7 +364,7 @@
         self.assertNotIn(FollowReason.BEHIND, reasons[:2])
         self.assertIs(reasons[3], FollowReason.BEHIND)
 
-    def test_without_a_transfer_it_is(self) -> None:
+    def test_without_a_transfer_a_vm_that_is_behind_asks_the_store(self) -> None:
         reasons: list[FollowReason] = []
 
         async def scenario(peer: ScriptedPeer, vm: Vm) -> None:
@@ -377,7 +377,7 @@
         self.assertIsNot(reasons[0], FollowReason.BEHIND)
         self.assertIs(reasons[1], FollowReason.BEHIND)
 
-    def test_it_is_again_some_time_after_the_last_byte(self) -> None:
+    def test_a_vm_that_is_still_behind_asks_the_store_some_time_after_the_last_byte(self) -> None:
         """The item arrives at once, but the announced revision is still missing."""
         reasons: list[FollowReason] = []
 
--- a/tests/test_gateway_outages.py
+++ b/tests/test_gateway_outages.py
@@ -57,7 +57,7 @@
 
 
 class Lapses(unittest.TestCase):
-    def test_a_living_server_stays_in_use_and_warm_until_its_entry_is_back(self) -> None:
+    def test_a_running_server_stays_in_use_and_warm_until_its_entry_returns(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             followed = await _followed(loop)
             await followed.outage(6.0)
@@ -70,7 +70,7 @@
 
         run_virtual(main)
 
-    def test_a_server_whose_entry_does_not_come_back_is_taken_as_gone(self) -> None:
+    def test_a_server_whose_entry_does_not_return_is_dropped(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             followed = await _followed(loop)
             await followed.outage(6.0)
@@ -79,7 +79,7 @@
 
         run_virtual(main)
 
-    def test_a_server_that_had_said_that_it_leaves_is_gone_at_once(self) -> None:
+    def test_a_server_that_had_announced_its_departure_is_dropped_at_once(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             followed = await _followed(loop)
             followed.store.put("servers/s0", _entry("draining"))
@@ -90,7 +90,7 @@
 
         run_virtual(main)
 
-    def test_without_an_outage_as_long_as_a_heartbeat_an_entry_that_goes_is_dropped(self) -> None:
+    def test_without_an_outage_of_a_heartbeat_interval_a_missing_entry_is_dropped(self) -> None:
         for outage_s in (0.0, 0.4):
             with self.subTest(outage_s=outage_s):
                 run_virtual(lambda loop, s=outage_s: self._lapse(loop, s))
@@ -101,7 +101,7 @@
         await followed.pass_time(1.2)
         self.assertEqual(followed.usable(), [])
 
-    def test_servers_first_seen_after_an_outage_are_asked_whether_they_are_cold(self) -> None:
+    def test_servers_first_seen_after_an_outage_are_probed(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             followed = await _followed(loop)
             await followed.outage(6.0)
@@ -126,7 +126,9 @@
         outages.record_answer(20.5)
         self.assertFalse(outages.entries_may_have_lapsed(20.6))
 
-    def test_a_vm_that_relied_on_others_counts_from_the_last_answer_that_it_knows_of(self) -> None:
+    def test_for_a_vm_that_relied_on_peers_an_outage_begins_after_the_last_known_answer(
+        self,
+    ) -> None:
         outages = StoreOutages(_HEARTBEAT_S)
         outages.record_peer_answer(10.0, 10.1)
         outages.lost(14.2, relied_on_peers=True)
--- a/tests/test_gateway_peer_follower.py
+++ b/tests/test_gateway_peer_follower.py
@@ -24,10 +24,10 @@
 from .gateway_process import CONFIGURATION, GatewayCase
 
 
-class TurnedAway(GatewayCase):
+class RefusedByStore(GatewayCase):
     vm_count = 2
 
-    async def test_a_vm_that_the_store_turns_away_learns_from_its_peer(self) -> None:
+    async def test_a_vm_that_the_store_refuses_learns_from_its_peer(self) -> None:
         first, second = self.vms
         await self.until(lambda: self._knows_all(first), "the VMs to know each other")
         self.store.faults_by_machine[second.name] = Fault.BUSY
@@ -84,7 +84,7 @@
 
 
 class Unreachable(unittest.IsolatedAsyncioTestCase):
-    async def test_a_peer_that_is_not_there_is_an_error_with_its_reason(self) -> None:
+    async def test_an_unreachable_peer_is_an_error_with_a_reason(self) -> None:
         with self.assertRaisesRegex(DeltaUnavailableError, "check that the peer VM runs"):
             await fetch_delta("127.0.0.1:9", 0)
 
@@ -106,7 +106,7 @@
 
 
 class FailedDeltas(unittest.IsolatedAsyncioTestCase):
-    async def test_each_is_counted_and_a_line_now_and_then_has_the_reason(self) -> None:
+    async def test_each_is_counted_and_some_are_logged_with_the_reason(self) -> None:
         self.now = 100.0
         events = Events()
         follower = self._follower(events)
--- a/tests/test_gateway_registration.py
+++ b/tests/test_gateway_registration.py
@@ -54,11 +54,11 @@
             write = rule.next_write(self.now)
         return write
 
-    def test_one_that_is_missing_registers(self) -> None:
+    def test_a_vm_whose_registration_is_missing_registers(self) -> None:
         self._register(("vm2",))
         self.assertEqual(self._rule("vm1").next_write(self.now), Register(_member("vm1")))
 
-    def test_one_whose_address_changed_registers(self) -> None:
+    def test_a_vm_whose_address_changed_registers(self) -> None:
         self._register(_NAMES)
         moved = _member("vm1")._replace(caller_address="elsewhere:80")
         gossip = Gossip("vm1", 1, random.Random(1))
@@ -69,27 +69,27 @@
         self._register(_NAMES)
         self.assertIsNone(self._pass(self._rule("vm1"), 60.0, ("vm2", "vm3")))
 
-    def test_the_first_in_touch_removes_one_that_is_long_gone(self) -> None:
+    def test_the_first_in_touch_removes_a_vm_long_out_of_touch(self) -> None:
         self._register(_NAMES)
         rule = self._rule("vm1")
         self.assertIsNone(self._pass(rule, 30.0, ("vm2",)))
         write = self._pass(rule, _LONG_S, ("vm2",))
         self.assertEqual(write, Remove(Item(MEMBER_PREFIX + "vm3", b"", 3)))
 
-    def test_the_second_in_touch_removes_nobody(self) -> None:
+    def test_the_second_in_touch_removes_none(self) -> None:
         self._register(_NAMES)
         self.assertIsNone(self._pass(self._rule("vm2"), 3 * _LONG_S, ("vm1",)))
 
-    def test_one_that_is_cut_off_from_all_others_removes_nobody(self) -> None:
+    def test_a_vm_that_is_cut_off_from_all_others_removes_none(self) -> None:
         self._register(_NAMES)
         self.assertIsNone(self._pass(self._rule("vm1"), 3 * _LONG_S, ()))
 
-    def test_vms_of_other_regions_are_left_to_their_own(self) -> None:
+    def test_vms_of_other_regions_are_not_removed(self) -> None:
         self._register(_NAMES)
         self.view.members["vm3"] = _member("vm3")._replace(region="west")
         self.assertIsNone(self._pass(self._rule("vm1"), 3 * _LONG_S, ("vm2",)))
 
-    def test_one_that_comes_back_in_time_stays(self) -> None:
+    def test_a_vm_that_returns_in_time_is_not_removed(self) -> None:
         self._register(_NAMES)
         rule = self._rule("vm1")
         for _ in range(3):
--- a/tests/test_gateway_replica.py
+++ b/tests/test_gateway_replica.py
@@ -56,7 +56,7 @@
 
 
 class Listings(unittest.TestCase):
-    def test_a_removal_that_a_listing_hid_reaches_a_peer_that_holds_the_key(self) -> None:
+    def test_a_removal_before_a_listing_reaches_a_peer_that_holds_the_key(self) -> None:
         """A VM whose history is gone lists the store, and has no tombstones of earlier removals."""
         listed, behind = Replica(), Replica()
         behind.apply(Delta((Item("servers/x", b"", 43),), (), 43))
@@ -79,7 +79,7 @@
         self.assertEqual(_values(replica), _state(log))
 
     @given(_HISTORIES, st.data())
-    def test_no_key_ever_goes_back(self, choices, data) -> None:
+    def test_no_key_returns_to_an_older_revision(self, choices, data) -> None:
         log = _log(choices)
         replica = Replica()
         newest: dict[str, int] = {}
@@ -104,7 +104,7 @@
         self.assertEqual(_values(behind), _values(ahead))
 
     @given(_HISTORIES, st.integers(0, 30))
-    def test_a_listing_after_lost_history_removes_what_is_gone(self, choices, seen) -> None:
+    def test_a_listing_after_lost_history_removes_missing_keys(self, choices, seen) -> None:
         log = _log(choices)
         replica = Replica()
         seen = min(seen, len(log))
@@ -114,7 +114,7 @@
         replica.apply(_delta(held, len(log), whole=True))
         self.assertEqual(_values(replica), _state(log))
 
-    def test_a_delta_beyond_the_remembered_removals_is_whole(self) -> None:
+    def test_a_delta_after_a_dropped_tombstone_is_whole(self) -> None:
         replica = Replica()
         for revision in range(1, 6000):
             replica.apply(Delta((), (Removal(f"k{revision}", revision),), revision))
@@ -251,7 +251,7 @@
         self.assertEqual(_values(behind.replica), _state(log))
 
     @given(_SIZED, st.integers(0, 25), st.integers(0, 9))
-    def test_at_comes_up_to_the_peers_once_nothing_is_missing(
+    def test_at_reaches_that_of_the_peer_once_nothing_is_missing(
         self, choices, seen, most_bytes
     ) -> None:
         log = _sized_log(choices)
@@ -266,7 +266,7 @@
         self.assertEqual(behind.replica.at, ahead.at)
 
     @given(_SIZED, st.integers(0, 9))
-    def test_only_longer_values_are_left_out(self, choices, most_bytes) -> None:
+    def test_only_longer_values_are_deferred(self, choices, most_bytes) -> None:
         ahead = _replica_of(_sized_log(choices))
         delta = ahead.since(0, most_bytes=most_bytes)
         self.assertTrue(all(len(item.value) <= most_bytes for item in delta.items))
@@ -282,7 +282,7 @@
     ) -> None:
         self._relay(*history, most_bytes, rng)
 
-    def test_a_third_vm_ends_in_the_newest_state_when_removals_were_dropped(self) -> None:
+    def test_a_third_vm_ends_in_the_newest_state_when_tombstones_were_dropped(self) -> None:
         """Few histories have this effect, so many are drawn, by seed."""
         for seed in range(_HISTORY_COUNT):
             rng = random.Random(seed)
@@ -312,7 +312,7 @@
         third.apply(_replica_of(log).since(third.replica.at), log)
         self.assertEqual(_values(third.replica), _state(log))
 
-    def test_a_vm_that_took_a_listing_passes_on_what_was_removed_before_it(self) -> None:
+    def test_a_vm_that_listed_the_store_passes_on_earlier_removals(self) -> None:
         """A VM that starts has no tombstones from before its listing; a peer may hold such keys."""
         gone, kept = Item("servers/a", b"a", 1), Item("servers/b", b"b", 2)
         behind = _replica_of([gone, kept])
@@ -321,14 +321,14 @@
         behind.apply(started.since(behind.at))
         self.assertEqual(_values(behind), {"servers/b": b"b"})
 
-    def test_a_whole_delta_leaves_out_longer_values_too(self) -> None:
+    def test_a_whole_delta_defers_longer_values_too(self) -> None:
         small, large = Item("servers/a", b"a", 1), Item("op/config", b"long", 2)
         with patch.object(replica_module, "MAX_TOMBSTONES", 0):
             ahead = _replica_of([small, large, Removal("servers/b", 3)])
         delta = _sent(ahead, 0, 3)
         self.assertEqual(delta, Delta((small,), (), 3, True, (DeferredItem("op/config", 2, 4),)))
 
-    def test_a_whole_delta_keeps_what_it_only_names(self) -> None:
+    def test_a_whole_delta_does_not_remove_deferred_items(self) -> None:
         held = Replica()
         held.apply(Delta((Item("op/config", b"old", 1),), (), 1))
         named = DeferredItem("op/config", 5, 99_999)
