--- a/tests/test_gateway_peer_follower.py
+++ b/tests/test_gateway_peer_follower.py
@@ -1,4 +1,4 @@
-"""Following a peer: a VM that the store turns away catches up, and deltas that cannot be had."""
+"""Following a peer: a VM that the store refuses catches up, and deltas that cannot be fetched."""
 
 import asyncio
 import json
@@ -24,10 +24,10 @@
 from .gateway_process import CONFIGURATION, GatewayCase
 
 
-class TurnedAway(GatewayCase):
+class RefusedByStore(GatewayCase):
     vm_count = 2
 
-    async def test_a_vm_that_the_store_turns_away_learns_from_its_peer(self) -> None:
+    async def test_a_vm_that_the_store_refuses_learns_from_its_peer(self) -> None:
         first, second = self.vms
         await self.until(lambda: self._knows_all(first), "the VMs to know each other")
         self.store.faults_by_machine[second.name] = Fault.BUSY
@@ -49,7 +49,7 @@
 
 
 class Peer:
-    """A peer listener that gives every request the same answer."""
+    """A peer listener that answers every request with the same response."""
 
     def __init__(self, status: int, body: bytes) -> None:
         head = f"HTTP/1.1 {status} x\r\ncontent-length: {len(body)}\r\n\r\n"
@@ -70,7 +70,7 @@
 
 
 class Events(EventLog):
-    """Keeps lines and counts."""
+    """Records events and counts."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
@@ -84,13 +84,13 @@
 
 
 class Unreachable(unittest.IsolatedAsyncioTestCase):
-    async def test_a_peer_that_is_not_there_is_an_error_with_its_reason(self) -> None:
-        with self.assertRaisesRegex(DeltaUnavailableError, "check that the VM runs"):
+    async def test_an_unreachable_peer_is_an_error_with_a_reason(self) -> None:
+        with self.assertRaisesRegex(DeltaUnavailableError, "check that the peer VM runs"):
             await fetch_delta("127.0.0.1:9", 0)
 
     async def test_an_answer_without_a_delta_is_an_error_with_its_reason(self) -> None:
         for status, body, reason in (
-            (503, b"", "status 503, not 200"),
+            (503, b"", "status 503, expected 200"),
             (200, b"\xc1", "not a delta"),
             (200, b"", "not a delta"),
         ):
@@ -106,7 +106,7 @@
 
 
 class FailedDeltas(unittest.IsolatedAsyncioTestCase):
-    async def test_each_is_counted_and_a_line_now_and_then_has_the_reason(self) -> None:
+    async def test_each_is_counted_and_some_are_logged_with_the_reason(self) -> None:
         self.now = 100.0
         events = Events()
         follower = self._follower(events)
