--- a/sprucewinch/gateway/servers/backend_registry.py
+++ b/sprucewinch/gateway/servers/backend_registry.py
@@ -20,7 +20,7 @@
 from .lapsed_entries import LapsedEntries
 from .load_reports import LoadReports
 from .peer_reports import NoReports, ReportSender
-from .usability import unlisted_reason
+from .usability import not_offered_reason
 
 _SPOILT_KEPT_S = 60.0
 """Time for which what is known of a server is kept while its entry cannot be read, in seconds. The
@@ -243,6 +243,6 @@
     for server in servers:
         group = groups.setdefault(server.backend.service, [])
         leaving = server.stated.leaving_since is not None
-        if unlisted_reason(server.backend, evacuated, leaving=leaving) is None:
+        if not_offered_reason(server.backend, evacuated, leaving=leaving) is None:
             group.append(server)
     return {service: tuple(group) for service, group in groups.items()}
--- a/sprucewinch/gateway/servers/backend_server.py
+++ b/sprucewinch/gateway/servers/backend_server.py
@@ -10,11 +10,11 @@
 from ..._hash import hash64
 from ..resources import BackendEntry
 from ..statements.process_statements import ProcessStatements
+from .backoff import Backoff, is_silent
 from .capacity.load import ConcurrencyLimit, LoadEstimate
 from .capacity.room_queue import Place, RoomQueue
 from .capacity.service_times import OVERLOAD_QUEUE_RATIO, is_overloaded
 from .cold_limit import ColdSends
-from .rest import Rest, is_silent
 
 _LATENCY_WEIGHT = 0.2
 """Weight of the last answer in the mean of a server's answer times."""
@@ -62,7 +62,7 @@
         self.cold_sends = ColdSends()
         self.estimate = LoadEstimate()
         self.limit = ConcurrencyLimit(backend.capacity)
-        self.rest = Rest()
+        self.rest = Backoff()
         self.room = RoomQueue()
 
     @property
--- a/sprucewinch/gateway/servers/usability.py
+++ b/sprucewinch/gateway/servers/usability.py
@@ -1,25 +1,25 @@
-"""Which backend servers may get new requests.
+"""Decides which backend servers may get new requests.
 
-Question: why may a server not get a request now? Inputs: its entry, the evacuated data halls, its
-rest and silence, whether it is ejected, its sends while cold and what it may get then; times are
-monotonic, in seconds.
+There are two checks, because their inputs change at different rates. The first runs when an item
+of the store changes or a server states that it is leaving: a server that is draining or leaving, or
+whose data hall is evacuated, is not offered to any request. The second runs for each request: an
+offered server is skipped if it has itself asked for no requests (a pause or a rate limit), is in
+back-off after failures, is silent, is ejected as an outlier, or is cold and has used up this VM's
+allowance. In both checks the first reason that holds is returned. Times are monotonic, in seconds.
 
-Rule, in two steps. When the store's items change, or a server says that it leaves: a server that
-drains or leaves, or whose data hall is evacuated, is not offered at all. For each request: a server
-that takes nothing by its own word, rests, is silent, is ejected, or is cold and has had its
-allowance, is skipped. The first reason that holds is the answer. Two steps, as the first changes
-rarely and the second with each request. The first, and what a server says itself, is asked again
-before a request's first byte (`requests.sender`); the others are not, as the request itself counts
-there, and a server that is skipped may have been tried all the same. Room is a question of its own,
-as a request may wait for room but not for a server to come back. When every server of a request is
-skipped, `server_selection` tries the first all the same that is not cold and takes requests by its
-own word.
+The first check and the server's own statements are evaluated again before the first byte of a
+request is sent (`requests.sender`). The other conditions are not: the request itself counts
+towards them by then, and a skipped server may have been tried on purpose. When every server of a
+request is skipped, `server_selection` still tries the first one that is not cold and has not
+asked for no requests. Room is checked elsewhere, as a request may wait for room but not for a
+server to recover.
 
-Constants: none here; those of `rest`, `outliers` and `cold_limit`. Shows in: the outcome
-`no-server` and `not-offered` in `sends` of the event `request`, `paused` and `cold` of a VM's
-state. Tests: `test_gateway_usability`, `test_gateway_cold_limit.WhatIsCold`,
-`test_gateway_server_selection.SilentServers`, `test_gateway_pipeline.Departures`. Owns nothing;
-relies on what `BackendServer` holds and on two functions that it is given.
+The module has no limits and no state of its own. It relies on the fields of `BackendServer`, on
+the limits of `backoff`, `outliers` and `cold_limit`, and on two functions that the caller passes.
+Results show in the outcome `no-server`, in `not-offered` among the `sends` of the event `request`,
+and in `paused` and `cold` of a VM's state. Tests: `test_gateway_usability`,
+`test_gateway_cold_limit.WhatIsCold`, `test_gateway_server_selection.SilentServers`,
+`test_gateway_pipeline.Departures`.
 """
 
 import enum
@@ -31,7 +31,7 @@
 
 
 class UnusableReason(enum.Enum):
-    """Why a server gets no new request."""
+    """Why a server gets no new requests."""
 
     DRAINING = "draining"
     LEAVING = "leaving"
@@ -44,20 +44,20 @@
     COLD = "cold"
 
 
-def unlisted_reason(
+def not_offered_reason(
     backend: BackendEntry, evacuated: Collection[str], *, leaving: bool = False
 ) -> Optional[UnusableReason]:
-    """Return why a server is not offered to any request; None when it is.
+    """Return why a server is not offered to any request; None if it is offered.
 
     Args:
-        backend: The store's entry.
-        evacuated: Data halls that are evacuated.
-        leaving: True when its process has said that it leaves.
+        backend: The server's entry in the store.
+        evacuated: Names of the evacuated data halls.
+        leaving: True if the server's process has stated that it is leaving.
     """
     if backend.draining:
         return UnusableReason.DRAINING
     if leaving:
-        # Its entry may go on saying ready while the store is away, or be written again.
+        # Its entry may still say ready while the store is unavailable, or be written again.
         return UnusableReason.LEAVING
     if backend.hall in evacuated:
         return UnusableReason.EVACUATED
@@ -70,18 +70,18 @@
     ejected: Callable[[BackendServer, float], bool],
     cold_allowance: Callable[[BackendEntry], int],
 ) -> Optional[UnusableReason]:
-    """Return why an offered server is skipped now; None when it is not.
+    """Return why an offered server is skipped now; None if it may get a request.
 
     Args:
         server: The server.
         now: Monotonic time, in seconds.
-        ejected: Returns whether a server is ejected at some time.
-        cold_allowance: Returns how many requests a cold server may get from this VM in the
-            window of `cold_limit`.
+        ejected: Returns whether a server is ejected at a monotonic time, in seconds.
+        cold_allowance: Returns how many requests this VM may send a cold server within the window
+            of `cold_limit`.
     """
     if server.stated.refused_until(now) is not None:
-        rests = server.stated.rest_until > now
-        return UnusableReason.ASKED_REST if rests else UnusableReason.LIMITED
+        asked_pause = server.stated.rest_until > now
+        return UnusableReason.ASKED_REST if asked_pause else UnusableReason.LIMITED
     if server.rest.until > now:
         return UnusableReason.RESTING
     if server.started and server.silent(now):
--- a/tests/test_gateway_usability.py
+++ b/tests/test_gateway_usability.py
@@ -1,4 +1,4 @@
-"""Why a backend server gets no new request, and why a wait for room there ends."""
+"""Reasons why a backend server gets no new requests, and why a wait for room ends."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
 from sprucewinch.gateway.servers.capacity.room_queue import Place, RoomQueue, WaitEnd
 from sprucewinch.gateway.servers.usability import (
     UnusableReason,
-    unlisted_reason,
+    not_offered_reason,
     unusable_reason,
 )
 from standins.virtual import VirtualLoop, pass_time, run_virtual
@@ -26,27 +26,27 @@
         self, draining: bool, evacuated: bool
     ) -> None:
         entry = _ENTRY._replace(draining=draining)
-        reason = unlisted_reason(entry, {"east-a"} if evacuated else {"west-a"})
+        reason = not_offered_reason(entry, {"east-a"} if evacuated else {"west-a"})
         if draining:
             self.assertIs(reason, UnusableReason.DRAINING)
         else:
             self.assertIs(reason, UnusableReason.EVACUATED if evacuated else None)
 
 
-class PassedOver(unittest.TestCase):
+class Skipped(unittest.TestCase):
     @given(st.booleans(), st.booleans(), st.booleans(), st.booleans())
-    def test_the_first_reason_that_holds_is_the_answer(
-        self, resting: bool, silent: bool, ejected: bool, cold: bool
+    def test_the_first_reason_that_holds_is_returned(
+        self, backing_off: bool, silent: bool, ejected: bool, cold: bool
     ) -> None:
         server = BackendServer(_ENTRY)
-        if resting:
+        if backing_off:
             server.record_failure(_NOW)
         if silent:
             server.started.append(_NOW - 1.0)
         if cold:
             server.cold_until = _NOW + 1.0
         holds = {
-            UnusableReason.RESTING: resting,
+            UnusableReason.RESTING: backing_off,
             UnusableReason.SILENT: silent,
             UnusableReason.EJECTED: ejected,
             UnusableReason.COLD: cold,
@@ -65,7 +65,7 @@
 
 
 class WaitsForRoom(unittest.TestCase):
-    def test_the_longest_wait_ends_a_wait(self) -> None:
+    def test_a_wait_ends_after_its_longest_time(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             queue = RoomQueue()
             end = await queue.wait(0.1, Place(1, 0.0), 1)
@@ -75,7 +75,7 @@
 
         run_virtual(main)
 
-    def test_the_most_urgent_wakes_first_and_takes_the_place_of_the_last(self) -> None:
+    def test_the_most_urgent_wakes_first_and_displaces_the_last(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             queue = RoomQueue()
             places = [Place(2, 1.0), Place(2, 2.0), Place(0, 3.0), Place(2, 4.0)]
@@ -93,7 +93,7 @@
 
         run_virtual(main)
 
-    def test_a_request_that_waits_anew_stands_where_its_deadline_puts_it(self) -> None:
+    def test_a_request_that_waits_again_is_ordered_by_its_deadline(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             queue = RoomQueue()
             order: list[float] = []
