--- a/sprucewinch/gateway/servers/backend_registry.py
+++ b/sprucewinch/gateway/servers/backend_registry.py
@@ -79,7 +79,7 @@
 
     def settle(self) -> None:
         """Count servers that appear from now on as cold: those of the start are not new."""
-        self.cold_starts.settle()
+        self.cold_starts.count_new_as_cold()
 
     def usable(self, service: str) -> tuple[BackendServer, ...]:
         """Return the servers of a service that may get new requests, paused ones included."""
@@ -222,7 +222,9 @@
         """Count a data hall's servers as cold: its evacuation has ended."""
         for server in self.servers.values():
             if server.backend.hall == hall:
-                _mark(server, self.cold_starts.on_return(server.backend, now), self.to_probe)
+                _mark(
+                    server, self.cold_starts.on_evacuation_end(server.backend, now), self.to_probe
+                )
 
     def _regroup(self) -> None:
         self.generation += 1
--- a/sprucewinch/gateway/servers/cold_limit.py
+++ b/sprucewinch/gateway/servers/cold_limit.py
@@ -1,21 +1,23 @@
-"""Which backend servers count as cold, and how many requests this VM may send them.
-
-Question: may this VM send a cold server one more request now? Inputs: the service's rule (requests
-a second that a cold server bears, warm-up in seconds), the fleet's factor and slack on it, the
-registered VMs, this VM's sends of the last `_COLD_WINDOW_S`, and how many requests to the service's
-cold servers were answered in time.
-
-Rules. Cold is a server whose entry says so, one that appears after this VM's start, and all of a
-data hall whose evacuation has ended, each for its time and `COLD_MARGIN_S`. The fleet's bound, less
-a margin, is divided: most of it among the VMs of the server's region, the rest among the others;
-what is left over goes to the first in an order by hash. Where the configuration states no bound, or
-0, each VM may send a cold server as many as it has slots. Divided, as VMs that ask each other
-before each send would be late, and a bound that is not divided is overrun. Where under half of the
-requests to cold servers are answered in time, the fleet sends only `_COLD_TRIALS`.
-
-Shows in: a refusal with the outcome `no-server` of the event `request`; `cold` of a VM's state.
-Tests: `test_gateway_cold_limit`, `test_gateway_outliers.ColdServers`. Owns the sends to cold
-servers and the part answered; relies on `state` for configuration, VMs and outages of the store.
+"""Decides which backend servers count as cold, and how many requests this VM may send them.
+
+A server counts as cold if its entry says so, if it appeared after this VM's start, or if the
+evacuation of its data hall has ended; in each case for the stated time or its service's warm-up,
+plus `COLD_MARGIN_S`.
+
+All VMs together may send a cold server at most the requests a second that the service's rule
+states, times the fleet's factor plus its slack (`cold_over`, `cold_slack`). A part of that bound
+is left as a margin, and the rest is divided among the registered VMs: most of it among the VMs of
+the server's region, the remainder among the others. Requests that do not divide evenly go to the
+first VMs in an order by hash. The bound is divided in advance because VMs that asked each other
+before each send would be too late, and a bound that is not divided is exceeded. If the
+configuration states no bound, or 0, each VM may send a cold server as many requests as the server
+has slots. While less than `_MIN_ANSWERED_PART` of the requests to a service's cold servers are
+answered in time, the fleet sends each of them only `_COLD_TRIALS_PER_S`.
+
+Owns this VM's sends to cold servers within `_COLD_WINDOW_S` and the part of them that is answered
+in time. Relies on `state` for the configuration, the registered VMs and the outages of the store.
+Results show as refusals with the outcome `no-server` in the event `request`, and in `cold` of a
+VM's state. Tests: `test_gateway_cold_limit`, `test_gateway_outliers.ColdServers`.
 """
 
 import math
@@ -29,43 +31,42 @@
 from .lapsed_entries import LapsedEntries
 
 COLD_MARGIN_S = 0.5
-"""How much longer than its entry states a backend server counts as cold, in seconds; a margin for
-the delay of the store's entry."""
+"""Time for which a backend server counts as cold beyond what its entry states, in seconds; a margin
+for the delay of the entry."""
 
 _COLD_WINDOW_S = 1.15
-"""Window of the limit at one VM, in seconds: the second of the platform's bound, and a margin for
-what the delays between send and arrival differ by."""
+"""Window in which a VM counts its sends, in seconds: the second of the platform's bound, and a
+margin because the delays between send and arrival vary."""
 
-_COLD_SAFETY = 0.8
-"""Part of the platform's bound that is used; a margin for VMs that count the fleet differently."""
+_BOUND_USED_PART = 0.8
+"""Part of the platform's bound that is used; a margin for VMs whose counts of the fleet differ."""
 
-_COLD_WEIGHT = 0.2
-"""Weight of the last request in the part that cold servers answer."""
+_ANSWERED_PART_WEIGHT = 0.2
+"""Weight of the last request in the moving average of the part that is answered in time."""
 
-_COLD_WORTH = 0.5
-"""Part of the requests to a service's cold servers that have to be answered for more to be sent. No
-gain beyond noise was seen (docs/CONSTANTS.md)."""
+_MIN_ANSWERED_PART = 0.5
+"""Part of the requests to a service's cold servers that must be answered in time for the whole
+bound to be used."""
 
-_COLD_TRIALS = 2
-"""Requests a second, all VMs together, that try a cold server where most answers come too late. No
-gain beyond noise was seen (docs/CONSTANTS.md)."""
+_COLD_TRIALS_PER_S = 2
+"""Requests a second from all VMs together to a cold server while most answers come too late."""
 
-_NEAR_PART = 0.75
-"""Part of the limit that the VMs of a cold server's region share, as most requests for its objects
-arrive there; the rest is for the VMs of other regions."""
+_REGION_PART = 0.75
+"""Part of the limit for the VMs of a cold server's region, as most requests for its objects arrive
+there; the remainder is for the VMs of other regions."""
 
-_COLD_KEPT = 64
-"""Most times of requests that are kept for a server's allowance."""
+_MAX_SEND_TIMES = 64
+"""Maximum number of send times kept for each server."""
 
 _DEFAULT_WARMUP_S = 3.0
-"""Warm-up of a service that the configuration does not name, in seconds."""
+"""Warm-up of a service that the configuration does not list, in seconds."""
 
-_ALL_ANSWERED = 1.0
-"""Part answered in time of a service whose cold servers got nothing yet."""
+_INITIAL_ANSWERED_PART = 1.0
+"""Part answered in time that is assumed before a service's cold servers got any request."""
 
 
 class ColdSends:
-    """This VM's requests to one server, as far as they count towards the cold limit."""
+    """This VM's recent sends to one server, which count towards the cold limit."""
 
     __slots__ = ("sent_at",)
 
@@ -75,11 +76,11 @@
     def record(self, now: float) -> None:
         """Count a request that is sent at a monotonic time, in seconds."""
         self.sent_at.append(now)
-        if len(self.sent_at) > _COLD_KEPT:
+        if len(self.sent_at) > _MAX_SEND_TIMES:
             self.sent_at.popleft()
 
     def take_back(self, at: float) -> None:
-        """Count a request no longer that was recorded at a monotonic time, in seconds."""
+        """Remove a request that was recorded at a monotonic time, in seconds, if still kept."""
         if at in self.sent_at:
             self.sent_at.remove(at)
 
@@ -88,7 +89,7 @@
 
         Args:
             now: Monotonic time, in seconds.
-            allowance: Requests that this VM may send in the window.
+            allowance: Requests that this VM may send within `_COLD_WINDOW_S`.
         """
         while self.sent_at and self.sent_at[0] <= now - _COLD_WINDOW_S:
             self.sent_at.popleft()
@@ -96,11 +97,11 @@
 
 
 class ColdLimit:
-    """The limit of the fleet on cold servers, as far as it is this VM's.
+    """This VM's part of the fleet's limit on cold servers.
 
     Args:
         store_view: What this VM holds of the store.
-        bounds: The fleet's figures.
+        bounds: The bounds that apply to the whole fleet.
         name: Name of this VM.
         regions: Region of each data hall.
     """
@@ -115,11 +116,11 @@
         self.answered_part: dict[str, float] = {}
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Use other figures of the fleet from now on."""
+        """Replace the fleet's bounds."""
         self.bounds = bounds
 
     def vm_count(self) -> int:
-        """Return how many VMs may share the fleet's limits, rather too many than too few."""
+        """Return how many VMs may share the fleet's limits; a high count is the safe side."""
         return max(1, len(self.store_view.members))
 
     def allowance(self, backend: BackendEntry) -> int:
@@ -128,72 +129,72 @@
         if rule is None or rule.cold_per_s <= 0:
             return backend.capacity
         bound = rule.cold_per_s * self.bounds.cold_over + self.bounds.cold_slack
-        fleet = math.floor(_COLD_SAFETY * bound)
-        if self.answered_part.get(backend.service, _ALL_ANSWERED) < _COLD_WORTH:
-            fleet = min(fleet, _COLD_TRIALS)
+        fleet = math.floor(_BOUND_USED_PART * bound)
+        if self.answered_part.get(backend.service, _INITIAL_ANSWERED_PART) < _MIN_ANSWERED_PART:
+            fleet = min(fleet, _COLD_TRIALS_PER_S)
         return self._own_part(backend, fleet)
 
     def tries_first(self, backend: BackendEntry) -> bool:
-        """Return whether this VM is the one that tries a server before the others do."""
+        """Return whether this VM tries a server before all others."""
         return self._rank(backend) == 0
 
     def record_attempt(self, service: str, answered: bool) -> None:
-        """Note whether a request to a cold server of a service was answered in time.
+        """Record whether a request to a cold server of a service was answered in time.
 
-        Where a cold server works longer on a new object than routes hold their requests, every
-        request sent there times out: then only a few are sent, and the others go elsewhere.
+        If a cold server needs longer for a new object than the routes' timeouts, every request
+        sent there times out; then only a few are sent, and the others go elsewhere.
         """
-        part = self.answered_part.get(service, _ALL_ANSWERED)
-        self.answered_part[service] = part + _COLD_WEIGHT * (float(answered) - part)
+        part = self.answered_part.get(service, _INITIAL_ANSWERED_PART)
+        self.answered_part[service] = part + _ANSWERED_PART_WEIGHT * (float(answered) - part)
 
     def _own_part(self, backend: BackendEntry, fleet: int) -> int:
-        """Return this VM's part of what the fleet may send a server; the parts add up to that."""
+        """Return this VM's part of the fleet's requests to a server; all parts add up to them."""
         rank = self._rank(backend)
-        near_vms = self._vms_near(backend)
-        far_vms = self.vm_count() - near_vms
-        near = _near_part(fleet, near_vms, far_vms)
-        if rank < near_vms:
-            return _part(near, near_vms, rank)
-        return _part(fleet - near, far_vms, rank - near_vms)
-
-    def _vms_near(self, backend: BackendEntry) -> int:
-        """Return how many VMs there are in a server's region."""
+        region_vms = self._region_vm_count(backend)
+        other_vms = self.vm_count() - region_vms
+        region_requests = _region_requests(fleet, region_vms, other_vms)
+        if rank < region_vms:
+            return _part_at_rank(region_requests, region_vms, rank)
+        return _part_at_rank(fleet - region_requests, other_vms, rank - region_vms)
+
+    def _region_vm_count(self, backend: BackendEntry) -> int:
+        """Return how many VMs are registered in a server's region."""
         region = self.regions.get(backend.hall, "")
         return sum(member.region == region for member in self.store_view.members.values())
 
     def _rank(self, backend: BackendEntry) -> int:
-        """Return how many VMs come before this one at a cold server: its region's first."""
+        """Return how many VMs precede this one for a server; VMs of its region come first."""
         region = self.regions.get(backend.hall, "")
-        draws = {
+        order_by_vm = {
             member.name: (member.region != region, hash64(f"{backend.id}|{member.name}"))
             for member in self.store_view.members.values()
         }
-        own = draws.get(self.name)
+        own = order_by_vm.get(self.name)
         if own is None:
-            return len(draws) + 1
-        return sum(draw < own for draw in draws.values())
+            return len(order_by_vm) + 1
+        return sum(key < own for key in order_by_vm.values())
 
 
-def _near_part(fleet: int, near_vms: int, far_vms: int) -> int:
+def _region_requests(fleet: int, region_vms: int, other_vms: int) -> int:
     """Return how many of the fleet's requests to a server the VMs of its region may send."""
-    if near_vms == 0:
+    if region_vms == 0:
         return 0
-    return math.ceil(_NEAR_PART * fleet) if far_vms else fleet
+    return math.ceil(_REGION_PART * fleet) if other_vms else fleet
 
 
-def _part(requests: int, vms: int, rank: int) -> int:
-    """Return the part of the VM with some rank, from 0, when requests are divided among VMs."""
+def _part_at_rank(requests: int, vms: int, rank: int) -> int:
+    """Return the part of the VM at a rank, from 0, when requests are divided among VMs."""
     every, left_over = divmod(requests, max(1, vms))
     return every + (rank < left_over)
 
 
 class ColdStart(NamedTuple):
-    """What follows for a server that may be cold.
+    """Until when a server counts as cold, and whether to probe it.
 
     Args:
-        cold_until: Monotonic time until which it counts as cold, in seconds; minus infinity when
-            nothing says that it is cold.
-        probe: True when the server is to be asked, as nothing says whether it is cold.
+        cold_until: Monotonic time until which it counts as cold, in seconds; minus infinity if
+            nothing states that it is cold.
+        probe: True if the server is to be probed, as the store does not show whether it is cold.
     """
 
     cold_until: float
@@ -205,35 +206,35 @@
 
     Args:
         store_view: What this VM holds of the store.
-        lapsed_entries: When an entry may only have lapsed.
+        lapsed_entries: Tells when a missing entry may be that of a living server.
     """
 
     def __init__(self, store_view: StoreView, lapsed_entries: LapsedEntries) -> None:
         self.store_view = store_view
         self.lapsed_entries = lapsed_entries
-        self.settled = False
+        self.counts_new_as_cold = False
 
-    def settle(self) -> None:
-        """Count servers that appear from now on as new: those of the start are not."""
-        self.settled = True
+    def count_new_as_cold(self) -> None:
+        """Count servers that appear from now on as cold; those listed at the start are not new."""
+        self.counts_new_as_cold = True
 
     def on_entry(self, backend: BackendEntry, now: float, *, new: bool) -> ColdStart:
-        """Return what follows from an entry of the store.
+        """Return until when a server counts as cold by its entry in the store.
 
         Args:
             backend: The entry.
             now: Monotonic time, in seconds.
-            new: True when this VM did not know the server.
+            new: True if this VM did not know the server.
         """
-        appears = new and self.settled
-        left_s = backend.cold_for_s
-        if appears:
-            left_s = max(left_s, self._warmup_s(backend.service))
-        probe = appears and self.lapsed_entries.may_lapse(now)
-        return ColdStart(now + left_s + COLD_MARGIN_S if left_s > 0 else float("-inf"), probe)
+        appeared = new and self.counts_new_as_cold
+        cold_s = backend.cold_for_s
+        if appeared:
+            cold_s = max(cold_s, self._warmup_s(backend.service))
+        probe = appeared and self.lapsed_entries.may_lapse(now)
+        return ColdStart(now + cold_s + COLD_MARGIN_S if cold_s > 0 else float("-inf"), probe)
 
-    def on_return(self, backend: BackendEntry, now: float) -> ColdStart:
-        """Return what follows when the evacuation of a server's data hall has ended.
+    def on_evacuation_end(self, backend: BackendEntry, now: float) -> ColdStart:
+        """Return until when a server counts as cold after the evacuation of its data hall.
 
         Args:
             backend: The server's entry.
@@ -247,6 +248,6 @@
 
 
 def service_rule(store_view: StoreView, service: str) -> Optional[ServiceRule]:
-    """Return the configuration's rule for a service; None when it has none."""
+    """Return the configuration's rule for a service; None if it has none."""
     configuration = store_view.configuration
     return configuration.services.get(service) if configuration else None
--- a/tests/test_gateway_cold_limit.py
+++ b/tests/test_gateway_cold_limit.py
@@ -1,4 +1,4 @@
-"""The limit on cold backend servers, kept by all VMs without asking each other."""
+"""The limit on cold backend servers, which all VMs keep without asking each other."""
 
 import random
 import unittest
@@ -30,7 +30,7 @@
 
 class ColdLimit(unittest.TestCase):
     @given(st.integers(1, 40), st.integers(0, 2**32))
-    def test_all_vms_together_stay_under_it_when_each_sends_as_it_may(self, vms, seed):
+    def test_all_vms_together_stay_within_the_limit(self, vms, seed):
         rng = random.Random(seed)
         sent: list[float] = []
         worlds = _fleet(vms, vms)
@@ -52,18 +52,18 @@
         self.assertLessEqual(_most_in_a_second(sent), _LIMIT)
         self.assertGreater(len(sent), 0)
 
-    def test_most_of_it_is_for_the_vms_of_the_servers_region(self) -> None:
-        near, far = 0, 0
+    def test_most_of_the_limit_is_for_vms_of_the_servers_region(self) -> None:
+        in_region, elsewhere = 0, 0
         for world in _fleet(12, 12):
             backend = world.registry.servers["new"].backend
             allowance = world.registry.cold_limit.allowance(backend)
             if world.store_view.members[world.registry.cold_limit.name].region == "east":
-                near += allowance
+                in_region += allowance
             else:
-                far += allowance
-        self.assertEqual((near, far), (11, 3))
+                elsewhere += allowance
+        self.assertEqual((in_region, elsewhere), (11, 3))
 
-    def test_the_vms_of_other_regions_have_all_of_it_when_the_servers_region_has_none(self) -> None:
+    def test_other_regions_share_the_whole_limit_if_the_servers_region_has_no_vm(self) -> None:
         worlds = _fleet(6, 6)
         for world in worlds:
             for name, member in list(world.store_view.members.items()):
@@ -82,8 +82,8 @@
         self.assertTrue(server.cold_allowed(101.2, 1))
 
 
-class Sends(unittest.TestCase):
-    def test_one_that_is_taken_back_counts_no_more_and_may_have_dropped_out(self) -> None:
+class RecordedSends(unittest.TestCase):
+    def test_a_removed_send_no_longer_counts_and_may_be_unknown(self) -> None:
         sends = ColdSends()
         for at in (10.0, 10.1, 10.1):
             sends.record(at)
@@ -96,12 +96,12 @@
 
 
 class WhatIsCold(unittest.TestCase):
-    def test_a_new_server_is_cold_also_when_its_entry_says_nothing(self) -> None:
+    def test_a_new_server_is_cold_even_if_its_entry_states_nothing(self) -> None:
         server = _fleet(1, 1)[0].registry.servers["new"]
         self.assertTrue(server.cold(103.0))
         self.assertFalse(server.cold(104.0))
 
-    def test_servers_listed_at_the_start_are_as_warm_as_they_say(self) -> None:
+    def test_servers_listed_at_the_start_are_as_warm_as_their_entries_state(self) -> None:
         world = World()
         world.configure(route())
         world.say("servers/a", BackendEntry("a", "rates", "10.0.0.1:80", "east-a", 6), 100.0)
@@ -110,13 +110,13 @@
         self.assertFalse(world.registry.servers["a"].cold(100.0))
         self.assertTrue(world.registry.servers["b"].cold(101.9))
 
-    def test_a_server_that_turns_cold_again_is_cold(self) -> None:
+    def test_a_server_whose_entry_turns_cold_again_is_cold(self) -> None:
         world = _fleet(1, 1)[0]
-        again = BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6, cold_for_s=3.0)
-        world.say("servers/new", again, 200.0)
+        cold_again = BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6, cold_for_s=3.0)
+        world.say("servers/new", cold_again, 200.0)
         self.assertTrue(world.registry.servers["new"].cold(202.9))
 
-    def test_a_data_hall_taken_back_is_cold_and_gets_nothing_before(self) -> None:
+    def test_an_evacuated_data_hall_gets_nothing_and_is_cold_afterwards(self) -> None:
         world = _fleet(1, 1)[0]
         world.say("evacuate/east-a", Evacuation("east-a"), 110.0)
         self.assertEqual(world.registry.usable("rates"), ())
