--- a/sprucewinch/gateway/servers/outliers.py
+++ b/sprucewinch/gateway/servers/outliers.py
@@ -1,22 +1,25 @@
-"""Outlier ejection: backend servers that are slow or fail while others of their service are not.
-
-Question: may this server get requests, or is it ejected for now? Inputs: the fate of requests here
-and failures that other VMs report, the time of answers and the requests that the server held, the
-object of each request; monotonic times in seconds.
-
-Rules. A sample is bad when its request failed, or took `_SLOW_TIMES` the service's usual work
-although this VM sent the server the same object within `_WARM_S`: an object that is new to a server
-takes longer anywhere. Work is the time of an answer less the part spent in the server's queue; a
-late answer of a server with a queue is no sample. A server whose bad samples are at least
-`_LEAST_BAD` and `_BAD_FOR_EACH_GOOD` for each good one is ejected, for twice as long each time.
-After that, the VM that is first in its order tries it alone for `_TRIAL_S`, where one bad sample
-ejects it again. At most `_MOST_PART` of a service's servers and `_MOST_PART_OF_REGION` of a
-region's are ejected, as the others bear their load and no request may change region beside the
-shift cap. Judged beside the service, not by a fixed time, as services differ; by samples of all
-VMs, as one alone sees too few.
-
-Shows in: the event `server-ejected`. Tests: `test_gateway_outliers`. Owns the samples; relies on
-the registry, and on `peer_reports` for other VMs.
+"""Outlier ejection: keeps requests away from servers that are slow or fail while others do not.
+
+Each request to a server gives a sample. It is bad if the request failed, or if its work took
+`_SLOW_FACTOR` times the service's usual work although this VM had sent the server the same object
+within `_OBJECT_WARM_S`; the first request for an object takes longer on any server. Work is the
+time of an answer less the part spent in the server's queue. A request that timed out at a server
+with a queue gives no sample. Failures that other VMs report count as bad samples too.
+
+A server is ejected when its samples within `_WINDOW_S` hold at least `_MIN_BAD_SAMPLES` bad ones
+and `_MIN_BAD_PER_GOOD` bad ones for each good one. Each ejection lasts twice as long as the one
+before, up to `_MAX_EJECTION_S`. After it, the VM that is first in the server's order tries the
+server alone for `_TRIAL_S`, in which one bad sample ejects it again. At most `_MAX_EJECTED_PART` of
+a service's servers and `_MAX_EJECTED_PART_OF_REGION` of those in one region are ejected at once:
+the others must bear their load, and no request may change region beyond the shift cap.
+
+Servers are compared with their service and not with a fixed time, as services differ. The samples
+of all VMs count, as one VM alone sees too few.
+
+Owns the samples, ejections and usual times of work; inputs are the ends of this VM's requests with
+their object, time and the requests that the server held, and monotonic times in seconds. Relies on
+the registry, and on `peer_reports` for other VMs. Ejections show in the event `server-ejected`.
+Tests: `test_gateway_outliers`.
 """
 
 from collections import OrderedDict, deque
@@ -35,53 +38,52 @@
 )
 
 _WINDOW_S = 2.5
-"""How long samples count, in seconds."""
+"""Time for which a sample counts, in seconds."""
 
-_LEAST_BAD = 4
-"""Least bad samples in the window of an ejected server."""
+_MIN_BAD_SAMPLES = 4
+"""Bad samples within the window that are needed for an ejection."""
 
-_BAD_FOR_EACH_GOOD = 3.0
-"""Bad samples for each good one of an ejected server."""
+_MIN_BAD_PER_GOOD = 3.0
+"""Bad samples for each good one that are needed for an ejection."""
 
-_SLOW_TIMES = 2.5
-"""Multiple of its service's usual work that makes a sample slow."""
+_SLOW_FACTOR = 2.5
+"""Multiple of a service's usual work beyond which a request is slow."""
 
-_LEAST_SAMPLES = 20
-"""Samples of a service before its usual work is used."""
+_MIN_SAMPLES = 20
+"""Samples of a service that are needed before its usual work is used."""
 
-_STEP = 0.02
-"""Part by which the usual work moves with each sample: a running median."""
+_MEDIAN_STEP = 0.02
+"""Part by which each sample moves the usual work, which is a running median."""
 
-_WARM_S = 10.0
-"""How long a server is taken to keep an object warm, in seconds."""
+_OBJECT_WARM_S = 10.0
+"""Time for which a server is assumed to keep an object warm, in seconds."""
 
-_MOST_KEPT = 4000
-"""Most pairs of server and object that are kept, so that memory is bounded."""
+_MAX_SENT_OBJECTS = 4000
+"""Maximum number of pairs of server and object that are kept, which bounds the memory."""
 
 _FIRST_EJECTION_S = 2.0
-"""First ejection of a server, in seconds."""
+"""Time of a server's first ejection, in seconds."""
 
-_MOST_EJECTION_S = 8.0
+_MAX_EJECTION_S = 8.0
 """Longest ejection, in seconds."""
 
-_FORGIVEN_S = 15.0
-"""Time without an ejection after which the next is a first one again, in seconds."""
+_EJECTION_RESET_S = 15.0
+"""Time since the last ejection after which the next one counts as the first, in seconds."""
 
-_MOST_PART = 0.2
-"""Largest part of a service's servers that is ejected at once."""
+_MAX_EJECTED_PART = 0.2
+"""Largest part of a service's servers that may be ejected at once."""
 
-_MOST_PART_OF_REGION = 0.34
-"""The same within a region: a third, so that none is ejected where there are one or two."""
+_MAX_EJECTED_PART_OF_REGION = 0.34
+"""The same within a region: a third, so that none is ejected in a region with one or two."""
 
 _TRIAL_S = 1.0
-"""How long one VM alone tries a server after its ejection, in seconds. Tried by all VMs at once it
-got 20 to 30 requests each time."""
+"""Time for which one VM alone tries a server after its ejection, in seconds. When all VMs tried it
+at once, it got 20 to 30 requests each time."""
 
 _REPORT_PAUSE_S = 0.1
-"""Least time between two failure reports on a server, in seconds."""
+"""Shortest time between two failure reports on a server, in seconds."""
 
-
-_MS = 1000
+_MS_PER_S = 1000
 """Milliseconds in a second."""
 
 
@@ -89,8 +91,8 @@
     """How one request ended at a server.
 
     Args:
-        at: Monotonic time, in seconds.
-        bad: True when it failed or was slow.
+        at: Monotonic time of the end, in seconds.
+        bad: True if the request failed or was slow.
     """
 
     at: float
@@ -114,28 +116,28 @@
         while self.samples[0].at < sample.at - _WINDOW_S:
             self.samples.popleft()
 
-    def stands_out(self) -> bool:
-        """Return whether bad samples outweigh good ones."""
+    def is_outlier(self) -> bool:
+        """Return whether its bad samples suffice for an ejection."""
         bad = sum(sample.bad for sample in self.samples)
         good = len(self.samples) - bad
-        return bad >= _LEAST_BAD and bad >= _BAD_FOR_EACH_GOOD * good
+        return bad >= _MIN_BAD_SAMPLES and bad >= _MIN_BAD_PER_GOOD * good
 
-    def on_trial(self, now: float) -> bool:
-        """Return whether its ejection has just ended, so that only one VM tries it."""
+    def in_trial(self, now: float) -> bool:
+        """Return whether its ejection ended within `_TRIAL_S`, so that only one VM tries it."""
         return 0.0 <= now - self.ejected_until < _TRIAL_S
 
     def eject(self, now: float) -> None:
         """Eject the server, twice as long as the last time."""
-        if now - self.ejected_until > _FORGIVEN_S:
+        if now - self.ejected_until > _EJECTION_RESET_S:
             self.ejections = 0
-        pause_s = min(_MOST_EJECTION_S, _FIRST_EJECTION_S * 2**self.ejections)
+        ejection_s = min(_MAX_EJECTION_S, _FIRST_EJECTION_S * 2**self.ejections)
         self.ejections += 1
-        self.ejected_until = now + pause_s
+        self.ejected_until = now + ejection_s
         self.samples.clear()
 
 
 class TypicalWork:
-    """What requests of each service take at a server that has no queue: a running median."""
+    """The usual work of each service: a running median of times without queueing."""
 
     __slots__ = ("_counts", "_seconds")
 
@@ -144,11 +146,11 @@
         self._counts: dict[str, int] = {}
 
     def seconds(self, service: str) -> float:
-        """Return the usual work of a service, in seconds; 0 when not known."""
+        """Return the usual work of a service, in seconds; 0 if not known."""
         return self._seconds.get(service, 0.0)
 
     def is_slow(self, service: str, work_s: float) -> bool:
-        """Return whether a request took far longer than usual; it counts towards what is usual.
+        """Return whether a request took far longer than usual, and update the usual work with it.
 
         Args:
             service: The service.
@@ -157,12 +159,14 @@
         typical_s = self._seconds.get(service, work_s)
         count = self._counts.get(service, 0)
         self._counts[service] = count + 1
-        self._seconds[service] = typical_s * (1 + _STEP if work_s > typical_s else 1 - _STEP)
-        return count >= _LEAST_SAMPLES and work_s > _SLOW_TIMES * typical_s
+        self._seconds[service] = typical_s * (
+            1 + _MEDIAN_STEP if work_s > typical_s else 1 - _MEDIAN_STEP
+        )
+        return count >= _MIN_SAMPLES and work_s > _SLOW_FACTOR * typical_s
 
 
 class SentObjects:
-    """Which objects this VM recently sent to which server."""
+    """The objects for which this VM recently sent each server requests."""
 
     __slots__ = ("_sent",)
 
@@ -170,46 +174,46 @@
         self._sent: OrderedDict[tuple[str, str], float] = OrderedDict()
 
     def record(self, server_id: str, key: str, now: float) -> bool:
-        """Note that a server got an object.
+        """Record that a server got a request for an object.
 
         Args:
             server_id: Id of the server.
-            key: The object.
+            key: Key of the object.
             now: Monotonic time, in seconds.
 
         Returns:
-            True when the server had the object shortly before and keeps it warm.
+            True if the server got a request for it within `_OBJECT_WARM_S` before.
         """
         before = self._sent.pop((server_id, key), float("-inf"))
         self._sent[server_id, key] = now
-        if len(self._sent) > _MOST_KEPT:
+        if len(self._sent) > _MAX_SENT_OBJECTS:
             self._sent.popitem(last=False)
-        return now - before <= _WARM_S
+        return now - before <= _OBJECT_WARM_S
 
     def forget(self, server_id: str) -> None:
-        """Forget what a server got: its process has ended, and the next one keeps nothing warm."""
+        """Forget a server's objects; the next process under its id has none of them warm."""
         self._sent = OrderedDict(
             (pair, at) for pair, at in self._sent.items() if pair[0] != server_id
         )
 
     def is_warm(self, server_id: str, key: str, now: float) -> bool:
-        """Return whether a server got an object lately, so that it keeps it warm.
+        """Return whether a server recently got a request for an object, so that it is warm there.
 
         Args:
             server_id: Id of the server.
-            key: The object.
+            key: Key of the object.
             now: Monotonic time, in seconds.
         """
-        return now - self._sent.get((server_id, key), float("-inf")) <= _WARM_S
+        return now - self._sent.get((server_id, key), float("-inf")) <= _OBJECT_WARM_S
 
 
 class OutlierDetector:
-    """Judges the servers of the registry.
+    """Decides which servers of the registry are ejected.
 
     Args:
         registry: Backend servers.
         reports: Sends failure reports to other VMs; None to send none.
-        events: Takes a line for each ejection; None for none.
+        events: Logs each ejection; None to log none.
     """
 
     def __init__(
@@ -224,37 +228,36 @@
         self.records: dict[str, ServerHistory] = {}
         self.typical_work = TypicalWork()
         self.sent_objects = SentObjects()
-        registry.on_restart.append(self._forget)
+        registry.on_restart.append(self._forget_process)
 
     def record_success(
         self, server: BackendServer, key: str, seconds: float, held: int, now: float
     ) -> None:
-        """Note an answer of a server's own.
+        """Record an answer that the server itself gave.
 
         Args:
             server: The server.
-            key: Object of the request; empty when it has none.
-            seconds: How long the answer took.
-            held: Requests that the server held when it answered, as it reports; 0 if it reports
-                none.
+            key: Key of the request's object; empty if it has none.
+            seconds: Time that the answer took, in seconds.
+            held: Requests that the server held when it answered, as it states; 0 if it states none.
             now: Monotonic time, in seconds.
         """
         if not key or not self.sent_objects.record(server.backend.id, key, now):
             return
         slots = server.backend.capacity
         work_s = seconds * slots / max(slots, held)
-        self._sample(server, self.typical_work.is_slow(server.backend.service, work_s), now)
+        self._record_sample(server, self.typical_work.is_slow(server.backend.service, work_s), now)
 
     def record_failure(self, server: BackendServer, now: float, *, late: bool = False) -> None:
-        """Note a request that failed at a server.
+        """Record a request that failed at a server.
 
         Args:
             server: The server.
             now: Monotonic time, in seconds.
-            late: True when its time ran out; that is no sample if other requests wait there too.
+            late: True if the request timed out; that is no sample if others wait at the server.
         """
         if not late or server.load(now) <= server.backend.capacity:
-            self._sample(server, True, now)
+            self._record_sample(server, True, now)
 
     def on_failure_report(self, report: FailureReport, now: float) -> None:
         """Count a failure that another VM has seen.
@@ -265,57 +268,59 @@
         """
         server = self.registry.servers.get(report.server)
         if server is not None and names_process(report, server.backend):
-            self._add(server, Sample(now, True))
+            self._add_sample(server, Sample(now, True))
 
     def ejected(self, server: BackendServer, now: float) -> bool:
-        """Return whether a server gets nothing for now, as it is ejected or another VM tries it."""
-        record = self.records.get(server.backend.id)
-        if record is None:
+        """Return whether a server is ejected, or is being tried by another VM only."""
+        history = self.records.get(server.backend.id)
+        if history is None:
             return False
-        if record.on_trial(now):
+        if history.in_trial(now):
             return not self.registry.cold_limit.tries_first(server.backend)
-        return now < record.ejected_until
+        return now < history.ejected_until
 
     def drop_gone(self) -> None:
-        """Drop the records of servers that are gone."""
+        """Drop the histories of servers that are no longer in the registry."""
         servers = self.registry.servers
         self.records = {name: r for name, r in self.records.items() if name in servers}
 
-    def _forget(self, server: BackendServer) -> None:
-        """Forget samples and objects of a process that has ended."""
+    def _forget_process(self, server: BackendServer) -> None:
+        """Forget the samples and objects of a process that has ended."""
         self.records.pop(server.backend.id, None)
         self.sent_objects.forget(server.backend.id)
 
-    def _sample(self, server: BackendServer, bad: bool, now: float) -> None:
-        record = self._add(server, Sample(now, bad))
-        if bad and now - record.reported_at >= _REPORT_PAUSE_S:
-            record.reported_at = now
+    def _record_sample(self, server: BackendServer, bad: bool, now: float) -> None:
+        history = self._add_sample(server, Sample(now, bad))
+        if bad and now - history.reported_at >= _REPORT_PAUSE_S:
+            history.reported_at = now
             self.reports.send_failure(failure_report(server.backend))
 
-    def _add(self, server: BackendServer, sample: Sample) -> ServerHistory:
-        record = self.records.setdefault(server.backend.id, ServerHistory())
-        if sample.at < record.ejected_until:
-            return record
-        record.add(sample)
-        caught = sample.bad and record.on_trial(sample.at)
-        if (caught or record.stands_out()) and self._may_eject(server, sample.at):
-            record.eject(sample.at)
+    def _add_sample(self, server: BackendServer, sample: Sample) -> ServerHistory:
+        history = self.records.setdefault(server.backend.id, ServerHistory())
+        if sample.at < history.ejected_until:
+            return history
+        history.add(sample)
+        failed_trial = sample.bad and history.in_trial(sample.at)
+        if (failed_trial or history.is_outlier()) and self._may_eject(server, sample.at):
+            history.eject(sample.at)
             self.events.state(
                 "server-ejected",
                 server=server.backend.id,
-                for_s=round(record.ejected_until - sample.at, 1),
-                usual_ms=round(_MS * self.typical_work.seconds(server.backend.service), 1),
+                for_s=round(history.ejected_until - sample.at, 1),
+                usual_ms=round(_MS_PER_S * self.typical_work.seconds(server.backend.service), 1),
             )
-        return record
+        return history
 
     def _may_eject(self, server: BackendServer, now: float) -> bool:
         regions = self.registry.regions
         region = regions.get(server.backend.hall)
         servers = self.registry.usable(server.backend.service)
-        near = [each for each in servers if regions.get(each.backend.hall) == region]
-        return self._fits(servers, _MOST_PART, now) and self._fits(near, _MOST_PART_OF_REGION, now)
+        in_region = [each for each in servers if regions.get(each.backend.hall) == region]
+        return self._may_eject_another(servers, _MAX_EJECTED_PART, now) and self._may_eject_another(
+            in_region, _MAX_EJECTED_PART_OF_REGION, now
+        )
 
-    def _fits(self, servers: Sequence[BackendServer], part: float, now: float) -> bool:
-        """Return whether one more of some servers may be ejected."""
-        out = sum(self.ejected(server, now) for server in servers)
-        return out + 1 <= part * len(servers)
+    def _may_eject_another(self, servers: Sequence[BackendServer], part: float, now: float) -> bool:
+        """Return whether a part of some servers is not exceeded when one more is ejected."""
+        ejected_count = sum(self.ejected(server, now) for server in servers)
+        return ejected_count + 1 <= part * len(servers)
--- a/tests/test_gateway_outliers.py
+++ b/tests/test_gateway_outliers.py
@@ -1,4 +1,4 @@
-"""Servers that are slow or fail while others are not: who is ejected, and for how long."""
+"""Outlier ejection: which servers are ejected for slowness or failures, and for how long."""
 
 import unittest
 
@@ -40,7 +40,7 @@
 
 
 class SlowServers(unittest.TestCase):
-    def test_a_server_five_times_slower_is_left_alone_and_tried_again(self) -> None:
+    def test_a_server_five_times_slower_is_ejected_and_tried_again(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = _path(loop)
             usual = await _serve(path, 4.0)
@@ -56,7 +56,7 @@
 
         run_virtual(main)
 
-    def test_objects_that_are_new_to_a_server_speak_against_nobody(self) -> None:
+    def test_objects_that_are_new_to_a_server_eject_none(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = _path(loop)
             await _serve(path, 2.0)
@@ -67,7 +67,7 @@
 
         run_virtual(main)
 
-    def test_a_long_queue_speaks_against_nobody(self) -> None:
+    def test_a_long_queue_ejects_none(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = _path(loop)
             await _serve(path, 2.0)
@@ -95,7 +95,7 @@
 
         run_virtual(main)
 
-    def test_where_cold_servers_answer_too_late_only_a_few_requests_try_them(self) -> None:
+    def test_cold_servers_that_answer_too_late_get_only_a_few_requests(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = _path(loop)
             path.world.registry.settle()
@@ -122,7 +122,7 @@
 
 
 class ShortRegions(unittest.TestCase):
-    def test_a_region_that_lacks_a_server_moves_no_request_beyond_the_shift_cap(self) -> None:
+    def test_ejection_in_a_region_moves_no_request_beyond_the_shift_cap(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=12, halls=("east-a", "west-a"))
             path.world.configure(route())
@@ -149,7 +149,7 @@
             world.say(f"servers/s{number}", backend)
         return world, OutlierDetector(world.registry)
 
-    def test_a_server_that_fails_two_in_five_is_ejected_by_the_fleets_samples(self) -> None:
+    def test_a_server_is_ejected_by_failures_that_other_vms_report(self) -> None:
         world, outliers = self._world()
         server = world.registry.servers["s3"]
         outliers.record_success(server, "k", 0.1, 1, 10.0)
@@ -158,7 +158,7 @@
             outliers.on_failure_report(FailureReport("s3"), 10.2 + number / 10)
         self.assertTrue(outliers.ejected(server, 11.0))
 
-    def test_a_server_that_fails_now_and_then_stays(self) -> None:
+    def test_a_server_with_one_failure_in_ten_requests_stays(self) -> None:
         world, outliers = self._world()
         server = world.registry.servers["s3"]
         for number in range(200):
@@ -194,7 +194,7 @@
         out = [outliers.ejected(world.registry.servers[f"s{number}"], 10.0) for number in range(10)]
         self.assertEqual((sum(out[:2]), sum(out[2:])), (0, 2))
 
-    def test_each_ejection_lasts_longer_until_it_is_forgiven(self) -> None:
+    def test_each_ejection_lasts_twice_as_long_up_to_the_maximum(self) -> None:
         world, outliers = self._world()
         server = world.registry.servers["s3"]
         now, lasted = 10.0, []
@@ -227,7 +227,7 @@
             self.assertTrue(outliers.ejected(server, 16.0))
         self.assertEqual(sum(tries), 1)
 
-    def test_what_is_known_of_a_server_goes_with_it(self) -> None:
+    def test_the_history_of_a_server_is_dropped_with_it(self) -> None:
         world, outliers = self._world()
         outliers.record_failure(world.registry.servers["s3"], 10.0)
         world.drop("servers/s3", 11.0)
