--- a/sprucewinch/gateway/servers/backend_server.py
+++ b/sprucewinch/gateway/servers/backend_server.py
@@ -150,7 +150,7 @@
             True when the request may look for room again, which it also may when the time is over.
         """
         end = await self.room.wait(longest_s, place, self.backend.capacity)
-        return end.may_look
+        return end.may_check_again
 
     def stands_before(self, place: Place) -> bool:
         """Return whether a request waits for room here that goes before one with a place."""
--- a/sprucewinch/gateway/servers/capacity/__init__.py
+++ b/sprucewinch/gateway/servers/capacity/__init__.py
@@ -1,6 +1,6 @@
-"""What one backend server can take: its load, its usual times, the requests that wait for room.
+"""The capacity of one backend server: its load, usual times, and the requests that wait for room.
 
-Owns three rules, one a module: `load` estimates how much it has, `service_times` what is usual in
-its service, `room_queue` which waiting request is next. Relies on the store's entries alone;
-`backend_server` holds one of each.
+Each rule has one module: `load` estimates how many requests the server holds, `service_times` knows
+what is usual for its service, and `room_queue` orders the waiting requests. Relies only on the
+store's entries; each `backend_server` holds a load estimate and a queue.
 """
--- a/sprucewinch/gateway/servers/capacity/load.py
+++ b/sprucewinch/gateway/servers/capacity/load.py
@@ -1,40 +1,42 @@
 """The load of one backend server, and how many requests this VM may have there at once.
 
-Questions: how many requests does the server hold now, those of other VMs included; how many may
-this VM have there? Inputs: the counts of running and waiting requests that the server states with
-each answer (here or, in an overload report, at another VM), this VM's own requests in flight, and
-monotonic time in seconds.
-
-Rules. Estimate: own requests in flight, plus what the server last stated beyond them, which halves
-every `_LOAD_HALF_LIFE_S`. Limit: additive increase, multiplicative decrease (AIMD) between 1 and
-the server's slots; it shrinks when the server is overloaded, at most once in `_SHRINK_PAUSE_S`, and
-grows with each load figure that shows no overload. AIMD, as the VMs of a fleet share a server
-without asking each other: each shrinks its limit by the same factor and grows it by the same
-amount, which brings their limits closer to each other.
-
-Shows in: `load` and `window` under `blocked` of the event `request`. Tests:
-`test_gateway_server_selection.Overload`. Owns two figures for each server; relies on nothing.
+The load is the number of requests that a server holds, those of other VMs included. The estimate
+is this VM's own requests in flight plus the surplus that the server last stated, which halves every
+`_LOAD_HALF_LIFE_S`. A server states its running and waiting requests with each answer; the figures
+reach this VM in an answer of its own or in another VM's overload report.
+
+The concurrency limit is how many requests this VM may have at the server at once. It follows
+additive increase, multiplicative decrease (AIMD) between 1 and the server's slots: an answer that
+shows an overload decreases it, at most once in `_DECREASE_PAUSE_S`, and any other stated load
+increases it. AIMD is used because the VMs of a fleet share a server without asking each other: each
+decreases its limit by the same factor and increases it by the same amount, which brings their
+limits closer to each other. Times are monotonic, in seconds.
+
+Owns the estimate and the limit of each server; relies on no other module. Results show as `load`
+and `window` under `blocked` of the event `request`. Tests:
+`test_gateway_server_selection.Overload`.
 """
 
 _LOAD_HALF_LIFE_S = 0.6
-"""Half-life of a stated load in the estimate, in seconds."""
+"""Half-life of the stated surplus in the estimate, in seconds."""
 
-_SHRINK = 0.7
-"""Factor on the limit at an overload."""
+_DECREASE_FACTOR = 0.7
+"""Factor by which an overload decreases the limit."""
 
-_SHRINK_PAUSE_S = 0.2
-"""Least time between two decreases, in seconds: answers that come together show one overload."""
+_DECREASE_PAUSE_S = 0.2
+"""Shortest time between two decreases, in seconds: answers that arrive together show one
+overload."""
 
-_GROWTH = 0.5
-"""Requests by which the limit grows in about as many answers as it allows requests."""
+_INCREASE_STEP = 0.5
+"""Requests by which the limit grows during about as many answers as it allows requests."""
 
-_LEAST_LIMIT = 1.0
-"""Least limit, in requests: with less, this VM would send the server nothing and get no load
-figure of it any more."""
+_MIN_LIMIT = 1.0
+"""Lower bound of the limit, in requests: below it, this VM would send the server nothing and no
+longer learn its load."""
 
 
 class LoadEstimate:
-    """How many requests one server holds."""
+    """An estimate of how many requests one server holds."""
 
     __slots__ = ("others", "recorded_at")
 
@@ -43,45 +45,50 @@
         self.recorded_at = float("-inf")
 
     def record(self, held: int, in_flight: int, now: float) -> None:
-        """Keep a load that the server stated, here or to another VM.
+        """Record a load that the server stated to this VM or to another one.
 
         Args:
             held: Requests that run or wait there.
-            in_flight: This VM's requests among them.
+            in_flight: This VM's requests in flight there.
             now: Monotonic time, in seconds.
         """
         self.others = max(0.0, held - in_flight)
         self.recorded_at = now
 
     def load(self, in_flight: int, now: float) -> float:
-        """Return the requests that it probably holds now, in requests."""
-        age = max(0.0, now - self.recorded_at)
-        return in_flight + self.others * 0.5 ** (age / _LOAD_HALF_LIFE_S)
+        """Return the estimated load now, in requests.
+
+        Args:
+            in_flight: This VM's requests in flight there.
+            now: Monotonic time, in seconds.
+        """
+        age_s = max(0.0, now - self.recorded_at)
+        return in_flight + self.others * 0.5 ** (age_s / _LOAD_HALF_LIFE_S)
 
 
 class ConcurrencyLimit:
     """How many requests this VM may have at one server at once.
 
     Args:
-        slots: Requests that the server works on at once; the limit starts there.
+        slots: Requests that the server works on at once, which is the initial limit.
     """
 
-    __slots__ = ("shrunk_at", "value")
+    __slots__ = ("decreased_at", "value")
 
     def __init__(self, slots: int) -> None:
         self.value = float(slots)
-        self.shrunk_at = float("-inf")
+        self.decreased_at = float("-inf")
 
     def increase(self, slots: int) -> None:
-        """Allow a little more, up to the server's slots."""
-        self.value = min(float(slots), self.value + _GROWTH / self.value)
+        """Increase the limit, up to the server's slots."""
+        self.value = min(float(slots), self.value + _INCREASE_STEP / self.value)
 
     def decrease(self, now: float) -> None:
-        """Allow less, as too many requests of all VMs together wait there.
+        """Decrease the limit, as too many requests of all VMs together wait there.
 
         Args:
             now: Monotonic time, in seconds.
         """
-        if now - self.shrunk_at >= _SHRINK_PAUSE_S:
-            self.shrunk_at = now
-            self.value = max(_LEAST_LIMIT, self.value * _SHRINK)
+        if now - self.decreased_at >= _DECREASE_PAUSE_S:
+            self.decreased_at = now
+            self.value = max(_MIN_LIMIT, self.value * _DECREASE_FACTOR)
--- a/sprucewinch/gateway/servers/capacity/room_queue.py
+++ b/sprucewinch/gateway/servers/capacity/room_queue.py
@@ -1,22 +1,20 @@
-"""Which requests wait for room at one backend server, and in which order they get it.
-
-Question: which request looks for room next once one at the server is over? Inputs: a request's
-rank (the least is the most urgent), its caller's deadline in monotonic seconds, its longest wait
-in seconds, the server's slots.
-
-Rule: as many requests wait as the server has slots; the most urgent goes first, then the one whose
-caller gives up first. Callers of a route state the same time when they first try and what is left
-of it when they return, so this is the order in which they first came: one that was refused before
-stands before those that came after it. Each waits anew after `requests.choice.room.LOOK_AGAIN_S`
-and keeps its place, and no request passes one that stands before it (`stands_before`). A request
-that finds the queue full takes the place of the last one if that stands behind it, else it does not
-wait. One wakes for each request that ends: to wake all would let the last take the room before the
-others look. The queue's length is the server's slots, as more would wait for longer than one round
-of work.
-
-The result is a `WaitEnd`, which says why a wait ended. Shows in: `blocked` of the event `request`
-of a refused request. Tests: `test_gateway_usability.WaitsForRoom`,
-`test_gateway_server_selection.Priorities`. Owns the waiting requests; relies on asyncio.
+"""Orders the requests that wait for room at one backend server.
+
+At most as many requests wait as the server has slots, because more would wait for longer than one
+round of work. The order is by rank, where the lowest is the most urgent, then by the caller's
+deadline in monotonic seconds. All callers of a route state the same time when they first try and
+what is left of it when they return, so the deadline gives the order of first arrival: a request
+that was refused before is ahead of those that came after it.
+
+A request that finds the queue full displaces the last one if that is behind it, and is not queued
+otherwise. A request that has waited for `requests.choice.room.LOOK_AGAIN_S` waits again with the
+same order, and no request overtakes one that is ahead of it (`stands_before`). Each request that
+ends at the server wakes one waiting request: if all were woken, the last could take the room before
+the others check.
+
+The result is a `WaitEnd`, which says why a wait ended; it shows in `blocked` of the event `request`
+of a refused request. Owns the waiting requests; relies on asyncio. Tests:
+`test_gateway_usability.WaitsForRoom`, `test_gateway_server_selection.Priorities`.
 """
 
 import asyncio
@@ -34,8 +32,8 @@
     QUEUE_FULL = "as many wait as the server has slots, and all go before it"
 
     @property
-    def may_look(self) -> bool:
-        """Return whether the request may look for room again."""
+    def may_check_again(self) -> bool:
+        """Return whether the request may check for room again."""
         return self in (WaitEnd.WOKEN, WaitEnd.TIMED_OUT)
 
 
@@ -43,7 +41,7 @@
     """What waiting requests are sorted by.
 
     Args:
-        rank: The request's rank, the least the most urgent.
+        rank: The request's rank; the lowest is the most urgent.
         deadline: Monotonic time until which its caller waits, in seconds.
     """
 
@@ -55,15 +53,15 @@
     """A request that waits for room.
 
     Args:
-        place: Its place among the others.
-        turn: Done when it waits no longer, with the cause.
+        place: Its place in the order.
+        result: Done when the wait ends, with the cause.
     """
 
     place: Place
-    turn: "asyncio.Future[WaitEnd]"
+    result: "asyncio.Future[WaitEnd]"
 
     def order(self) -> Place:
-        """Return what waiting requests are sorted by."""
+        """Return the sort key."""
         return self.place
 
 
@@ -75,21 +73,21 @@
     def __init__(self) -> None:
         self.waiters: list[Waiter] = []
 
-    async def wait(self, longest_s: float, place: Place, most: int) -> WaitEnd:
+    async def wait(self, longest_s: float, place: Place, max_waiting: int) -> WaitEnd:
         """Wait until a request at the server is over.
 
         Args:
             longest_s: Longest wait, in seconds.
-            place: The request's place among those that wait.
-            most: Most requests that wait at once.
+            place: The request's place in the order.
+            max_waiting: Maximum number of requests that wait at once.
         """
-        if len(self.waiters) >= most and not self._displace(place):
+        if len(self.waiters) >= max_waiting and not self._displace(place):
             return WaitEnd.QUEUE_FULL
         waiter = Waiter(place, asyncio.get_running_loop().create_future())
         bisect.insort(self.waiters, waiter, key=Waiter.order)
         try:
             async with asyncio.timeout(longest_s):
-                end = await waiter.turn
+                end = await waiter.result
         except TimeoutError:
             end = WaitEnd.TIMED_OUT
         finally:
@@ -98,23 +96,23 @@
         return end
 
     def wake_next(self) -> None:
-        """Let the most urgent waiting request look for room."""
+        """Wake the most urgent waiting request, so that it checks for room."""
         while self.waiters:
-            turn = self.waiters.pop(0).turn
-            if not turn.done():
-                turn.set_result(WaitEnd.WOKEN)
+            result = self.waiters.pop(0).result
+            if not result.done():
+                result.set_result(WaitEnd.WOKEN)
                 return
 
     def stands_before(self, place: Place) -> bool:
-        """Return whether a request waits that is more urgent, or as urgent and given up earlier."""
+        """Return whether a waiting request is ahead of a place: more urgent, or with less time."""
         return bool(self.waiters) and self.waiters[0].place < place
 
     def _displace(self, place: Place) -> bool:
-        """End the wait of the last request if it stands behind a place; False when it does not."""
+        """End the wait of the last request if it is behind a place; returns whether it was."""
         last = self.waiters[-1]
         if last.place <= place:
             return False
         self.waiters.pop()
-        if not last.turn.done():
-            last.turn.set_result(WaitEnd.DISPLACED)
+        if not last.result.done():
+            last.result.set_result(WaitEnd.DISPLACED)
         return True
--- a/tests/test_gateway_usability.py
+++ b/tests/test_gateway_usability.py
@@ -70,7 +70,7 @@
             queue = RoomQueue()
             end = await queue.wait(0.1, Place(1, 0.0), 1)
             self.assertIs(end, WaitEnd.TIMED_OUT)
-            self.assertTrue(end.may_look)
+            self.assertTrue(end.may_check_again)
             self.assertEqual(queue.waiters, [])
 
         run_virtual(main)
@@ -89,7 +89,7 @@
             ends = await asyncio.gather(*waits)
             expected = [WaitEnd.WOKEN, WaitEnd.DISPLACED, WaitEnd.WOKEN, WaitEnd.QUEUE_FULL]
             self.assertEqual(ends, expected)
-            self.assertEqual([end.may_look for end in ends], [True, False, True, False])
+            self.assertEqual([end.may_check_again for end in ends], [True, False, True, False])
 
         run_virtual(main)
 
