--- a/sprucewinch/gateway/servers/backend_registry.py
+++ b/sprucewinch/gateway/servers/backend_registry.py
@@ -1,8 +1,8 @@
 """All backend servers that this VM knows, grouped by service.
 
-Owns the table of servers, kept in step with the store, and the parts that decide about them: cold
-limit, cold starts, incarnations, lapsed entries, load reports, service times. Relies on `state` for
-the store's items; the rules stand in the parts' modules, this one only calls them.
+Owns the table of servers, which follows the store's items, and the parts that decide about servers:
+cold limit, cold starts, incarnations, lapsed entries, load reports and service times. Relies on
+`state` for the store's items. The rules are in the modules of those parts; this one calls them.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -22,13 +22,13 @@
 from .peer_reports import NoReports, ReportSender
 from .usability import not_offered_reason
 
-_SPOILT_KEPT_S = 60.0
-"""Time for which what is known of a server is kept while its entry cannot be read, in seconds. The
-server writes its entry anew within seconds; taken for a new one, it would count as cold and get a
-few requests a second instead of its share."""
+_UNREADABLE_KEPT_S = 60.0
+"""Time for which a server's data is kept while its entry cannot be read, in seconds. The server
+writes its entry again within seconds; if it were treated as a new one, it would count as cold and
+get a few requests a second instead of its share."""
 
 
-class _Spoilt(NamedTuple):
+class _Unreadable(NamedTuple):
     """A server whose entry cannot be read, and the monotonic time since when, in seconds."""
 
     server: BackendServer
@@ -36,14 +36,14 @@
 
 
 class BackendRegistry:
-    """All backend servers, kept in step with the store's items as held here.
+    """All backend servers, updated with the store's items as this VM holds them.
 
     Args:
         store_view: What this VM holds of the store.
-        bounds: The fleet's figures.
+        bounds: The bounds that apply to the whole fleet.
         name: Name of this VM.
         regions: Region of each data hall.
-        outages: When the store was out of reach.
+        outages: Records when the store was unreachable.
         reports: Sends overload reports to other VMs; None to send none.
     """
 
@@ -70,61 +70,61 @@
         self.incarnations = Incarnations()
         self.load_reports = LoadReports(self.servers, self.times, reports or NoReports())
         self.on_restart: list[Callable[[BackendServer], None]] = []
-        self._spoilt: dict[str, _Spoilt] = {}
+        self._unreadable: dict[str, _Unreadable] = {}
         store_view.listeners.append(self._on_change)
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Use other figures of the fleet from now on."""
+        """Replace the fleet's bounds."""
         self.cold_limit.set_bounds(bounds)
 
     def settle(self) -> None:
-        """Count servers that appear from now on as cold: those of the start are not new."""
+        """Count servers that appear from now on as cold; those listed at the start are not new."""
         self.cold_starts.count_new_as_cold()
 
     def usable(self, service: str) -> tuple[BackendServer, ...]:
-        """Return the servers of a service that may get new requests, paused ones included."""
+        """Return the offered servers of a service, including those that are skipped for now."""
         return self.by_service.get(service, ())
 
     def offers(self, server: BackendServer, service: str) -> bool:
-        """Return whether a server of a service may still get new requests, a paused one included.
+        """Return whether a server is still offered, which includes one that is skipped for now.
 
         Args:
             server: The server.
-            service: Service that it was chosen for.
+            service: The service for which it was selected.
         """
         return server in self.usable(service)
 
     def vm_count(self) -> int:
-        """Return how many VMs may share the fleet's limits, rather too many than too few."""
+        """Return how many VMs may share the fleet's limits; a high count is the safe side."""
         return self.cold_limit.vm_count()
 
     def record_success(self, server: BackendServer, seconds: float, now: float) -> None:
-        """Record a server's own answer and the time it took, in seconds."""
+        """Record an answer that the server itself gave, and the time it took, in seconds."""
         server.record_success(seconds, now)
         self.times.record_success(server.backend.service, seconds)
 
     def record_load(self, server: BackendServer, running: int, waiting: int, now: float) -> None:
-        """Keep the load that a server states; report it to other VMs when it is overloaded."""
+        """Record the load that a server states; report it to other VMs if it is overloaded."""
         self.load_reports.record_load(server, running, waiting, now)
 
     def take(self, server: BackendServer, now: float) -> None:
-        """Count a request that is about to be sent."""
+        """Count a request that is about to be sent at a monotonic time, in seconds."""
         server.in_flight += 1
         server.started.append(now)
         server.cold_sends.record(now)
 
     def release(self, server: BackendServer, started: float) -> None:
-        """Note that a request that was sent at some time is over."""
+        """Record the end of a request that was sent at a monotonic time, in seconds."""
         server.in_flight -= 1
         server.started.remove(started)
         server.room.wake_next()
 
     def drop_lapsed(self, now: float) -> None:
-        """Drop servers whose entries have not come back in time after an outage of the store."""
+        """Drop servers whose entries did not return in time after an outage of the store."""
         overdue = [
             server.backend.id
             for server in self.servers.values()
-            if server.gone_at is not None and server.gone_at <= now
+            if server.drop_at is not None and server.drop_at <= now
         ]
         for server_id in overdue:
             del self.servers[server_id]
@@ -132,18 +132,20 @@
             self._regroup()
 
     def take_up_standing(self, now: float) -> None:
-        """Believe entries of lower incarnations that have stood for long; see `incarnations`."""
+        """Accept entries of lower incarnations that have lasted; see `incarnations`."""
         self.incarnations.forget_old(now)
-        self._spoilt = {n: s for n, s in self._spoilt.items() if now - s.since < _SPOILT_KEPT_S}
-        believed = self.incarnations.standing(now)
-        for backend in believed:
-            self._end(backend.id)
-            self._put(backend, now)
-        if believed:
+        self._unreadable = {
+            n: s for n, s in self._unreadable.items() if now - s.since < _UNREADABLE_KEPT_S
+        }
+        accepted = self.incarnations.accept_outdated(now)
+        for backend in accepted:
+            self._forget_process(backend.id)
+            self._hold_entry(backend, now)
+        if accepted:
             self._regroup()
 
     def forget_told(self, now: float) -> None:
-        """Forget what was told of servers that are gone for long; for the regular sweep."""
+        """Drop the statements of servers that have long had no entry; part of the regular sweep."""
         held = {ServerProcessId.of(server.backend) for server in self.servers.values()}
         self.statement_table.forget_old(held, now)
 
@@ -152,7 +154,7 @@
             self.times.set_latency_targets(change.after)
             return
         if isinstance(change.before, Evacuation) and change.after is None:
-            self._return_hall(change.before.hall, change.at)
+            self._count_hall_as_cold(change.before.hall, change.at)
         if isinstance(change.after, BackendEntry):
             self._update(change.after, change)
         elif isinstance(change.before, BackendEntry) and change.spoilt:
@@ -162,82 +164,88 @@
         self._regroup()
 
     def _remove(self, backend: BackendEntry, now: float) -> None:
-        """Drop a server whose entry is gone, or keep it while its entry may only have lapsed."""
-        self.incarnations.left(backend.id, now)
+        """Drop a server whose entry was removed, or keep it while its entry may have lapsed."""
+        self.incarnations.entry_removed(backend.id, now)
         server = self.servers.get(backend.id)
         if server is None:
             return
-        server.gone_at = self.lapsed_entries.kept_until(backend, now)
-        if server.gone_at is None:
+        server.drop_at = self.lapsed_entries.kept_until(backend, now)
+        if server.drop_at is None:
             del self.servers[backend.id]
 
     def _withdraw(self, server_id: str, now: float) -> None:
-        """Offer a server no more, whose entry is there and cannot be read.
+        """Stop offering a server whose entry exists but cannot be read.
 
-        What is known of it is kept aside: the same process may come back with its next entry.
+        Its data is kept, as the same process may return with its next entry.
         """
-        self.incarnations.spoilt(server_id)
+        self.incarnations.entry_unreadable(server_id)
         server = self.servers.pop(server_id, None)
         if server is not None:
-            self._spoilt[server_id] = _Spoilt(server, now)
+            self._unreadable[server_id] = _Unreadable(server, now)
 
     def _update(self, backend: BackendEntry, change: Change) -> None:
-        succession = self.incarnations.judge(backend, change.at)
+        succession = self.incarnations.classify(backend, change.at)
         if succession is Succession.OUTDATED:
-            self.store_view.on_unreadable(change.key, "an earlier process wrote it; ignored")
+            self.store_view.on_unreadable(
+                change.key, "written by an earlier process of the server; ignored"
+            )
             return
         if succession is Succession.FOREIGN:
-            self.store_view.on_unreadable(change.key, "no incarnation, though its server states it")
+            self.store_view.on_unreadable(
+                change.key, "states no incarnation, although its server has stated one"
+            )
             self._withdraw(backend.id, change.at)
             return
         if succession is Succession.LATER:
-            self._end(backend.id)
-        self._put(backend, change.at)
+            self._forget_process(backend.id)
+        self._hold_entry(backend, change.at)
 
-    def _end(self, server_id: str) -> None:
-        """Forget a server whose process has ended, as another one has started under its id."""
-        spoilt = self._spoilt.pop(server_id, None)
-        server = self.servers.pop(server_id, None) or (spoilt.server if spoilt else None)
+    def _forget_process(self, server_id: str) -> None:
+        """Forget a server whose process has ended: another one has started under its id."""
+        unreadable = self._unreadable.pop(server_id, None)
+        server = self.servers.pop(server_id, None) or (unreadable.server if unreadable else None)
         if server is not None:
             for listener in self.on_restart:
                 listener(server)
 
-    def _put(self, backend: BackendEntry, now: float) -> None:
-        """Hold a server's entry, with what is known of its process."""
-        spoilt = self._spoilt.pop(backend.id, None)
-        server = self.servers.get(backend.id) or (spoilt.server if spoilt else None)
+    def _hold_entry(self, backend: BackendEntry, now: float) -> None:
+        """Store a server's entry, and keep the data of its process if it is known."""
+        unreadable = self._unreadable.pop(backend.id, None)
+        server = self.servers.get(backend.id) or (unreadable.server if unreadable else None)
         new = server is None
         if server is None:
             server = BackendServer(backend)
         self.servers[backend.id] = server
-        # The row outlasts the entry; an entry may also name its process later than the first one.
+        # The row outlives the entry, and the first entry may lack the incarnation of a later one.
         server.stated = self.statement_table.rows.setdefault(
             ServerProcessId.of(backend), server.stated
         )
         server.backend = backend
-        server.gone_at = None
-        _mark(server, self.cold_starts.on_entry(backend, now, new=new), self.to_probe)
+        server.drop_at = None
+        _apply_cold_start(server, self.cold_starts.on_entry(backend, now, new=new), self.to_probe)
 
-    def _return_hall(self, hall: str, now: float) -> None:
-        """Count a data hall's servers as cold: its evacuation has ended."""
+    def _count_hall_as_cold(self, hall: str, now: float) -> None:
+        """Count a data hall's servers as cold after its evacuation has ended."""
         for server in self.servers.values():
             if server.backend.hall == hall:
-                _mark(
+                _apply_cold_start(
                     server, self.cold_starts.on_evacuation_end(server.backend, now), self.to_probe
                 )
 
     def _regroup(self) -> None:
         self.generation += 1
-        self.by_service = _offered(self.servers.values(), self.store_view.evacuated)
+        self.by_service = _offered_by_service(self.servers.values(), self.store_view.evacuated)
 
 
-def _mark(server: BackendServer, start: ColdStart, to_probe: list[BackendServer]) -> None:
+def _apply_cold_start(
+    server: BackendServer, start: ColdStart, to_probe: list[BackendServer]
+) -> None:
     server.cold_until = max(server.cold_until, start.cold_until)
     if start.probe:
         to_probe.append(server)
 
 
-def _offered(
+def _offered_by_service(
     servers: Iterable[BackendServer], evacuated: Collection[str]
 ) -> dict[str, tuple[BackendServer, ...]]:
     """Return the servers that are offered to requests, by service."""
--- a/sprucewinch/gateway/servers/backend_server.py
+++ b/sprucewinch/gateway/servers/backend_server.py
@@ -1,8 +1,8 @@
 """What this VM knows of one backend server.
 
-Owns the store's entry, this VM's requests in flight, the times of answers, and one small part for
-each rule: load and concurrency limit, rest, the queue for room, sends while cold. Relies on the
-modules of those rules, which hold the figures; nothing is decided here.
+Owns the store's entry, this VM's requests in flight, the times of answers, and one object for each
+rule: load and concurrency limit, back-off, the queue for room, sends while cold. The rules and
+their limits are in the modules of those objects; nothing is decided here.
 """
 
 from typing import Optional
@@ -17,10 +17,10 @@
 from .cold_limit import ColdSends
 
 _LATENCY_WEIGHT = 0.2
-"""Weight of the last answer in the mean of a server's answer times."""
+"""Weight of the last answer in the moving average of a server's answer times."""
 
 _SEED_MASK = 0xFFFFFFFF
-"""Keeps 32 bits: the hash that orders servers takes a seed of that length."""
+"""Keeps 32 bits, the length of the seed of the hash that orders servers."""
 
 
 class BackendServer:
@@ -35,8 +35,8 @@
         "backend",
         "cold_sends",
         "cold_until",
+        "drop_at",
         "estimate",
-        "gone_at",
         "in_flight",
         "latency_s",
         "limit",
@@ -57,7 +57,7 @@
         self.answered_at = float("-inf")
         self.latency_s: Optional[float] = None
         self.cold_until = float("-inf")
-        self.gone_at: Optional[float] = None
+        self.drop_at: Optional[float] = None
         self.overload_reported_at = float("-inf")
         self.cold_sends = ColdSends()
         self.estimate = LoadEstimate()
@@ -67,12 +67,12 @@
 
     @property
     def leaving(self) -> bool:
-        """Return whether it is about to end, by its entry or by its own word."""
+        """Return whether it is leaving, by its entry or by its own statement."""
         return self.backend.draining or self.stated.leaving_since is not None
 
     @property
     def paused_until(self) -> float:
-        """Return the monotonic time until which it rests, in seconds."""
+        """Return the monotonic time at which its back-off ends, in seconds."""
         return self.rest.until
 
     @property
@@ -81,7 +81,7 @@
         return self.limit.value
 
     def silent(self, now: float) -> bool:
-        """Return whether it has held a request for long without answering any."""
+        """Return whether it holds requests and has not answered any for long; see `backoff`."""
         return bool(self.started) and is_silent(
             self.started[0], self.answered_at, self.latency_s, now
         )
@@ -91,7 +91,7 @@
         return now < self.cold_until
 
     def load(self, now: float) -> float:
-        """Return the requests that it probably holds now, those of other VMs included."""
+        """Return the estimated number of requests that it holds, those of other VMs included."""
         return self.estimate.load(self.in_flight, now)
 
     def load_age_s(self, now: float) -> float:
@@ -105,7 +105,7 @@
         now: float,
         overload_queue_ratio: float = OVERLOAD_QUEUE_RATIO,
     ) -> bool:
-        """Keep the load that it states with an answer, and move the concurrency limit.
+        """Record the load that it states with an answer, and adjust the concurrency limit.
 
         Args:
             running: Requests that it runs.
@@ -114,7 +114,7 @@
             overload_queue_ratio: Waiting requests for each slot beyond which it is overloaded.
 
         Returns:
-            True when it is overloaded.
+            True if it is overloaded.
         """
         self.estimate.record(running + waiting, self.in_flight, now)
         overloaded = is_overloaded(waiting, self.backend.capacity, overload_queue_ratio)
@@ -125,35 +125,37 @@
         return overloaded
 
     def record_success(self, seconds: float, now: float) -> None:
-        """Note an answer of its own and the time it took, in seconds."""
+        """Record an answer of its own and the time it took, in seconds."""
         self.answered_at = now
         self.rest.record_success()
-        held = self.latency_s
-        self.latency_s = seconds if held is None else held + _LATENCY_WEIGHT * (seconds - held)
+        previous = self.latency_s
+        self.latency_s = (
+            seconds if previous is None else previous + _LATENCY_WEIGHT * (seconds - previous)
+        )
 
     def record_failure(self, now: float) -> None:
-        """Note that it could not be reached or broke off; it rests, longer each time."""
+        """Record that it could not be reached or broke off, which extends its back-off."""
         self.rest.record_failure(now)
 
     def pause(self, until: float) -> None:
-        """Send it nothing until some monotonic time, in seconds."""
+        """Send it no requests until a monotonic time, in seconds."""
         self.rest.extend(until)
 
     async def wait_for_room(self, longest_s: float, place: Place) -> bool:
-        """Wait until a request here is over; the most urgent goes first, then the first deadline.
+        """Wait until a request here ends; the most urgent goes first, then the earliest deadline.
 
         Args:
             longest_s: Longest wait, in seconds.
             place: The request's place among those that wait.
 
         Returns:
-            True when the request may look for room again, which it also may when the time is over.
+            True if the request may check for room again, as it also may after the longest wait.
         """
         end = await self.room.wait(longest_s, place, self.backend.capacity)
         return end.may_check_again
 
     def stands_before(self, place: Place) -> bool:
-        """Return whether a request waits for room here that goes before one with a place."""
+        """Return whether a request that waits for room here is ahead of a place."""
         return self.room.stands_before(place)
 
     def cold_allowed(self, now: float, allowance: int) -> bool:
--- a/sprucewinch/gateway/servers/incarnations.py
+++ b/sprucewinch/gateway/servers/incarnations.py
@@ -1,20 +1,21 @@
-"""Which process of a backend server an entry comes from, where ids are kept over a restart.
-
-Question: is an entry that of the process held here, of a later one, or a writing of an earlier one
-that has arrived late? Inputs: entries in the order in which they arrive, each with its incarnation
-or none, and monotonic time in seconds.
-
-Rules. A higher incarnation is a new process, which has nothing of the one before: what was learnt
-of that one would send it requests for objects that it no longer keeps, beyond what it bears while
-cold. A lower one is outdated and changes nothing: a write without an answer may be carried out
-seconds later, and must not bring the ended process back. One that still stands after `_OUTDATED_S`
-is the server's present word, as a process that runs writes its entry anew every few seconds; so a
-clock that was set back before a restart costs that time and no more. An entry without an
-incarnation, of a server that stated one, is another writer's. Servers that state none are told
-apart by their ids alone.
-
-Shows in: events `server-restarted` and `unreadable`. Tests: `test_gateway_incarnations`. Owns the
-newest incarnation by server, kept for `_REMEMBERED_S` after its entry has gone.
+"""Tells the processes of a backend server apart where its id is kept over a restart.
+
+Each entry that arrives from the store is compared with the newest incarnation known for its server:
+
+- A higher incarnation is a new process. Nothing known of the former one holds for it: its objects
+  are no longer warm, and the requests for them would exceed what it bears while cold.
+- A lower incarnation is outdated and is ignored. A write without an answer may be carried out
+  seconds later, and must not bring the ended process back.
+- An outdated entry that is still in the store after `_ACCEPT_OUTDATED_AFTER_S` is accepted, as a
+  running process writes its entry every few seconds. A clock that was set back before a restart
+  therefore costs that time and no more.
+- An entry without an incarnation, for a server that has stated one, comes from another writer.
+
+Servers that state no incarnation are told apart only by their ids. Times are monotonic, in seconds.
+
+Owns the newest incarnation of each server, kept for `_KEEP_INCARNATION_S` after its entry was
+removed. Results show in the events `server-restarted` and `unreadable`. Tests:
+`test_gateway_incarnations`.
 """
 
 import enum
@@ -23,37 +24,37 @@
 
 from ..resources import BackendEntry
 
-_OUTDATED_S = 10.0
-"""Time after which an entry with a lower incarnation is believed, in seconds: beyond the seconds by
-which a write may be carried out late, and several pauses between two writings of a server."""
+_ACCEPT_OUTDATED_AFTER_S = 10.0
+"""Time after which an entry with a lower incarnation is accepted, in seconds: longer than a write
+may be delayed, and several times the interval at which a server writes its entry."""
 
-_REMEMBERED_S = 60.0
-"""Time for which the incarnation of a server whose entry has gone is kept, in seconds, against
-writes that are carried out late. Longer costs memory only."""
+_KEEP_INCARNATION_S = 60.0
+"""Time for which a server's incarnation is kept after its entry was removed, in seconds, to detect
+writes that are carried out late. A longer time costs only memory."""
 
 
 class Succession(enum.Enum):
-    """How an entry stands to the process that is held."""
+    """How an entry relates to the known process of its server."""
 
     SAME = "same"
-    """It is that process's own, or nothing tells the two apart."""
+    """The same process wrote it, or nothing tells the two apart."""
     LATER = "later"
-    """It is that of a later process: the one that is held has ended."""
+    """A later process wrote it: the known one has ended."""
     OUTDATED = "outdated"
-    """It is that of an earlier process, and arrived late."""
+    """An earlier process wrote it, and it arrived late."""
     FOREIGN = "foreign"
-    """It lacks the incarnation that the server has stated: it is another writer's."""
+    """It lacks the incarnation that the server has stated: another writer wrote it."""
 
 
 class _Known(NamedTuple):
-    """The newest incarnation of one server, and the monotonic time until which it counts."""
+    """The newest incarnation of one server, and until when it is kept, in monotonic seconds."""
 
     incarnation: int
     until: float = math.inf
 
 
 class _Outdated(NamedTuple):
-    """An entry of an earlier process, and the monotonic time at which it arrived."""
+    """An entry of an earlier process, and the monotonic time at which it arrived, in seconds."""
 
     entry: BackendEntry
     since: float
@@ -68,8 +69,8 @@
         self._known: dict[str, _Known] = {}
         self._outdated: dict[str, _Outdated] = {}
 
-    def judge(self, entry: BackendEntry, now: float) -> Succession:
-        """Return how an entry stands to the process held, and hold the later one from now on.
+    def classify(self, entry: BackendEntry, now: float) -> Succession:
+        """Return how an entry relates to the known process, and remember a later incarnation.
 
         Args:
             entry: The entry that arrived.
@@ -88,27 +89,33 @@
         self._hold(entry)
         return Succession.LATER if entry.incarnation > known else Succession.SAME
 
-    def spoilt(self, server_id: str) -> None:
-        """Note that a server's entry cannot be read: an outdated one stands there no more."""
+    def entry_unreadable(self, server_id: str) -> None:
+        """Record that a server's entry cannot be read; it is no longer the outdated one."""
         self._outdated.pop(server_id, None)
 
-    def left(self, server_id: str, now: float) -> None:
-        """Note that a server's entry has gone, at a monotonic time, in seconds."""
+    def entry_removed(self, server_id: str, now: float) -> None:
+        """Record that a server's entry was removed at a monotonic time, in seconds."""
         self._outdated.pop(server_id, None)
         known = self._known.get(server_id)
         if known is not None:
-            self._known[server_id] = known._replace(until=now + _REMEMBERED_S)
+            self._known[server_id] = known._replace(until=now + _KEEP_INCARNATION_S)
 
-    def standing(self, now: float) -> list[BackendEntry]:
-        """Return the outdated entries that have stood for so long that they are believed now."""
-        believed = [o.entry for o in self._outdated.values() if now - o.since >= _OUTDATED_S]
-        for entry in believed:
+    def accept_outdated(self, now: float) -> list[BackendEntry]:
+        """Return the outdated entries that are now accepted, and remember their incarnations.
+
+        Args:
+            now: Monotonic time, in seconds.
+        """
+        accepted = [
+            o.entry for o in self._outdated.values() if now - o.since >= _ACCEPT_OUTDATED_AFTER_S
+        ]
+        for entry in accepted:
             del self._outdated[entry.id]
             self._hold(entry)
-        return believed
+        return accepted
 
     def forget_old(self, now: float) -> None:
-        """Drop what is kept of servers that have been gone for long."""
+        """Drop the incarnations of servers whose entries were removed long ago."""
         self._known = {name: known for name, known in self._known.items() if known.until > now}
 
     def _newest(self, server_id: str, now: float) -> Optional[int]:
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -1,8 +1,8 @@
-"""Backend servers that start again under their id, and entries of another writer.
+"""Backend servers that restart under their id, and entries of another writer.
 
-Operators saw a server start again under the id that it had. VMs kept the latency, the warm objects,
-the ejection and the connections of the process before, so a cold server got the load of a warm one;
-and an entry that could not be read any more left its server in use.
+When a server restarted under its id, VMs kept the latency, warm objects, ejection and connections
+of its former process, so that a cold server got the load of a warm one. A server whose entry could
+no longer be read also stayed in use.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
 }
 _KEY = "servers/s0"
 _OTHER = "servers/s1"
-_OUTDATED_S = 10.0
+_ACCEPT_OUTDATED_AFTER_S = 10.0
 _LONG_S = 100.0
 
 
@@ -67,7 +67,7 @@
     "Sequence": "4",
     "born": "1764722400000",
 }
-_SPOILT = {
+_UNREADABLE = {
     **{f"no {name}": _without(name) for name in _ENTRY},
     **{f"{name} of another type": _with(**{name: v}) for name, v in _WRONG_TYPES.items()},
     "unknown state": _with(State="resting"),
@@ -105,47 +105,47 @@
         self.revision = 0
 
     def write(self, key: str, value: bytes, now: float = 0.0, *, revision: int = 0) -> None:
-        """Let a value arrive; at an older revision it is a stale read."""
+        """Deliver a value; an older revision is a stale read."""
         self.revision += 1
         item = Item(key, value, revision or self.revision)
         self.view.apply(Delta((item,), (), self.revision), now)
 
     def remove(self, key: str, now: float = 0.0) -> None:
-        """Let a removal arrive."""
+        """Deliver a removal."""
         self.revision += 1
         self.view.apply(Delta((), (Removal(key, self.revision),), self.revision), now)
 
-    def named(self) -> list[str]:
-        """Return the ids of the servers that requests may get."""
+    def offered(self) -> list[str]:
+        """Return the ids of the servers that are offered to requests."""
         return sorted(server.backend.id for server in self.registry.usable("rates"))
 
 
 class SpoiltEntries(unittest.TestCase):
-    def test_a_spoilt_entry_names_no_server_and_the_others_hold(self) -> None:
-        for kind, value in _SPOILT.items():
+    def test_an_unreadable_entry_offers_no_server_and_others_stay(self) -> None:
+        for kind, value in _UNREADABLE.items():
             with self.subTest(kind):
                 vm = Vm()
                 vm.write(_OTHER, _with(Address="10.0.0.2:80"))
                 vm.write(_KEY, value)
-                self.assertEqual((vm.named(), vm.unreadable), (["s1"], [_KEY]))
+                self.assertEqual((vm.offered(), vm.unreadable), (["s1"], [_KEY]))
 
-    def test_it_takes_away_the_server_that_a_good_entry_named(self) -> None:
-        for kind, value in _SPOILT.items():
+    def test_it_withdraws_the_server_that_a_readable_entry_offered(self) -> None:
+        for kind, value in _UNREADABLE.items():
             with self.subTest(kind):
                 vm = Vm()
                 vm.write(_KEY, _with())
                 vm.write(_OTHER, _with(Address="10.0.0.2:80"))
                 vm.write(_KEY, value)
-                self.assertEqual((vm.named(), vm.unreadable), (["s1"], [_KEY]))
+                self.assertEqual((vm.offered(), vm.unreadable), (["s1"], [_KEY]))
 
-    def test_in_an_outage_of_the_store_too(self) -> None:
+    def test_it_withdraws_the_server_during_an_outage_of_the_store(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with())
         vm.registry.lapsed_entries.outages.lost(1.0)
         vm.write(_KEY, b"{", 20.0)
-        self.assertEqual(vm.named(), [])
+        self.assertEqual(vm.offered(), [])
 
-    def test_the_same_process_comes_back_with_what_was_known_of_it(self) -> None:
+    def test_the_same_process_returns_with_its_data(self) -> None:
         vm = Vm()
         vm.registry.settle()
         vm.write(_KEY, _with(born=5))
@@ -153,9 +153,9 @@
         vm.write(_KEY, b"{", 1.0)
         vm.write(_KEY, _with(born=5, Sequence=9), 2.0)
         self.assertIs(vm.registry.servers["s0"], server)
-        self.assertEqual(vm.named(), ["s0"])
+        self.assertEqual(vm.offered(), ["s0"])
 
-    def test_a_later_process_comes_back_with_nothing(self) -> None:
+    def test_a_later_process_returns_without_data(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with(born=5))
         server = vm.registry.servers["s0"]
@@ -166,45 +166,45 @@
     def test_a_service_that_no_route_names_gets_no_request(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with(Service="unheard-of"))
-        self.assertEqual(vm.named(), [])
+        self.assertEqual(vm.offered(), [])
 
-    def test_two_entries_with_one_address_name_both_as_the_id_goes_with_each_request(self) -> None:
+    def test_two_entries_with_one_address_offer_both_as_each_request_carries_the_id(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with())
         vm.write(_OTHER, _with())
-        self.assertEqual(vm.named(), ["s0", "s1"])
+        self.assertEqual(vm.offered(), ["s0", "s1"])
 
-    @given(st.binary(max_size=200) | st.sampled_from(sorted(_SPOILT.values())))
+    @given(st.binary(max_size=200) | st.sampled_from(sorted(_UNREADABLE.values())))
     def test_no_bytes_end_the_process(self, value: bytes) -> None:
         vm = Vm()
         vm.write(_KEY, value)
-        self.assertEqual(vm.named(), [])
+        self.assertEqual(vm.offered(), [])
 
 
-class Births(unittest.TestCase):
-    def test_times_of_start_that_are_taken(self) -> None:
+class StatedIncarnations(unittest.TestCase):
+    def test_incarnations_that_are_accepted(self) -> None:
         for born in (0, 1, 1764722400000, 2**53, 99_999_999_999_999):
             with self.subTest(born=born):
                 vm = Vm()
                 vm.write(_KEY, _with(born=born))
                 self.assertEqual(vm.registry.servers["s0"].backend.incarnation, born)
 
-    def test_an_entry_without_it_where_the_server_stated_it_is_another_writers(self) -> None:
+    def test_an_entry_without_one_after_one_with_it_is_another_writers(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with(born=5))
         vm.write(_KEY, _with(), 1.0)
-        self.assertEqual((vm.named(), vm.unreadable), ([], [_KEY]))
+        self.assertEqual((vm.offered(), vm.unreadable), ([], [_KEY]))
         vm.write(_KEY, _with(born=5), 2.0)
-        self.assertEqual(vm.named(), ["s0"])
+        self.assertEqual(vm.offered(), ["s0"])
 
-    def test_a_server_that_states_it_later_keeps_what_is_known_of_it(self) -> None:
+    def test_a_server_that_states_one_later_keeps_its_data(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with())
         server = vm.registry.servers["s0"]
         vm.write(_KEY, _with(born=5), 1.0)
         self.assertIs(vm.registry.servers["s0"], server)
 
-    def test_answers_to_probes(self) -> None:
+    def test_incarnations_in_answers_to_probes(self) -> None:
         answers = {
             b'{"born":7}': 7,
             b'{"born":7.5}': None,
@@ -216,54 +216,56 @@
         }
         self.assertEqual({body: probed_incarnation(body) for body in answers}, answers)
 
-    def test_an_earlier_process_never_comes_back_by_a_late_write_or_a_stale_read(self) -> None:
+    def test_no_late_write_or_stale_read_brings_an_earlier_process_back(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with(born=5))
         early = vm.revision
         vm.write(_KEY, _with(born=6, Address="10.0.0.6:80"), 1.0)
         vm.write(_KEY, _with(born=5, State="draining"), 2.0)
         vm.write(_KEY, _with(born=5), 3.0, revision=early)
-        held = vm.registry.servers["s0"].backend
-        self.assertEqual((held.incarnation, held.address, vm.named()), (6, "10.0.0.6:80", ["s0"]))
+        current = vm.registry.servers["s0"].backend
+        self.assertEqual(
+            (current.incarnation, current.address, vm.offered()), (6, "10.0.0.6:80", ["s0"])
+        )
 
-    def test_nor_after_its_entry_has_gone(self) -> None:
+    def test_no_late_write_does_so_after_the_entry_was_removed(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with(born=6))
         vm.remove(_KEY, 1.0)
         vm.write(_KEY, _with(born=5), 2.0)
-        self.assertEqual(vm.named(), [])
+        self.assertEqual(vm.offered(), [])
 
-    def test_a_clock_that_was_set_back_costs_a_restart_some_seconds(self) -> None:
+    def test_a_clock_set_back_delays_a_restart_by_some_seconds(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with(born=2**53))
         vm.write(_KEY, _with(born=5), 1.0)
-        vm.registry.take_up_standing(1.0 + _OUTDATED_S - 0.1)
+        vm.registry.take_up_standing(1.0 + _ACCEPT_OUTDATED_AFTER_S - 0.1)
         before = vm.registry.servers["s0"].backend.incarnation
-        vm.registry.take_up_standing(1.0 + _OUTDATED_S)
+        vm.registry.take_up_standing(1.0 + _ACCEPT_OUTDATED_AFTER_S)
         after = vm.registry.servers["s0"].backend.incarnation
         self.assertEqual((before, after), (2**53, 5))
 
-    def test_an_outdated_entry_that_is_spoilt_is_not_believed(self) -> None:
+    def test_an_outdated_entry_that_becomes_unreadable_is_not_accepted(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with(born=6))
         vm.write(_KEY, _with(born=5), 1.0)
         vm.write(_KEY, b"{", 2.0)
-        vm.registry.take_up_standing(2.0 + _OUTDATED_S)
-        self.assertEqual(vm.named(), [])
+        vm.registry.take_up_standing(2.0 + _ACCEPT_OUTDATED_AFTER_S)
+        self.assertEqual(vm.offered(), [])
 
-    def test_what_is_kept_of_servers_that_are_gone_is_bounded_in_time(self) -> None:
+    def test_incarnations_of_removed_entries_are_kept_for_a_bounded_time(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with(born=6))
         vm.remove(_KEY, 1.0)
         vm.registry.take_up_standing(1.0 + _LONG_S)
         vm.write(_KEY, _with(born=5), 2.0 + _LONG_S)
-        self.assertEqual(vm.named(), ["s0"])
+        self.assertEqual(vm.offered(), ["s0"])
 
 
 class Restarts(unittest.TestCase):
-    """A server dies and starts again under its id."""
+    """A server ends and restarts under its id."""
 
-    def test_nothing_is_left_of_the_process_before(self) -> None:
+    def test_no_data_of_the_former_process_is_kept(self) -> None:
         vm = Vm()
         vm.view.listeners.append(lambda _change: None)
         vm.registry.settle()
@@ -286,7 +288,7 @@
         self.assertFalse(vm.outliers.sent_objects.is_warm("s0", "lane-1", 0.3))
         self.assertTrue(new.cold(0.3))
 
-    def test_reports_on_the_process_before_say_nothing_of_the_next(self) -> None:
+    def test_reports_on_the_former_process_do_not_count_for_the_next(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with(born=6))
         server = vm.registry.servers["s0"]
@@ -297,7 +299,7 @@
         vm.registry.load_reports.on_overload_report(OverloadReport("s0", 6, 30, 6), 1.0)
         self.assertGreater(server.load(1.0), 6.0)
 
-    def test_a_request_that_must_not_run_twice_ends_and_is_not_called_not_run(self) -> None:
+    def test_a_request_that_must_not_run_twice_ends_with_an_unknown_outcome(self) -> None:
         reply, request, path, took_s = run_virtual(lambda loop: _restart(loop, repeatable=False))
         self.assertEqual((reply.status, path.runs("q")), (502, 1))
         self.assertEqual([a.verdict for a in request.attempts], [Verdict.UNKNOWN])
@@ -310,7 +312,7 @@
         self.assertEqual(len({a.server_id for a in request.attempts}), 2)
         self.assertLess(took_s, 0.3)
 
-    def test_a_kept_connection_to_the_process_before_carries_nothing(self) -> None:
+    def test_a_kept_connection_to_the_former_process_is_not_used(self) -> None:
         async def main(loop: VirtualLoop) -> int:
             path = Path(loop, servers=1)
             path.world.configure(route())
@@ -324,7 +326,7 @@
 
 
 async def _restart(loop: VirtualLoop, *, repeatable: bool) -> tuple:
-    """Let a server die behind a cut, which resets nothing, and start again under its id."""
+    """Restart a server under its id after an end that resets no connection."""
     path = Path(loop)
     path.world.configure(route(repeatable=repeatable))
     first = path.first()
@@ -338,50 +340,50 @@
 
 
 def _start_again(path: Path, server_id: str) -> None:
-    """Let the store name a later process of a server, after one that it named."""
-    held = path.world.registry.servers[server_id].backend
-    born = (held.incarnation or 0) + 1
-    path.world.registry.incarnations.judge(held._replace(incarnation=0), path.loop.time())
-    entry = held._replace(incarnation=born)
+    """Write the entry of a later process of a server, after one that stated an incarnation."""
+    current = path.world.registry.servers[server_id].backend
+    born = (current.incarnation or 0) + 1
+    path.world.registry.incarnations.classify(current._replace(incarnation=0), path.loop.time())
+    entry = current._replace(incarnation=born)
     path.world.say(f"servers/{server_id}", entry, path.loop.time())
 
 
 class _Step(NamedTuple):
-    """One thing that arrives for a server: kind, and the incarnation that it states."""
+    """One change of a server's entry: its kind, and the incarnation that it states."""
 
     kind: str
     born: Optional[int] = None
 
 
-class Oracle:
-    """Which process of one server should be held: the plainest statement of the rule."""
+class ReferenceModel:
+    """Reference model: which process of one server should be offered."""
 
     def __init__(self) -> None:
         self.newest: Optional[int] = None
-        self.named = False
+        self.offered = False
         self.process = 0
         self.known = False
 
     def step(self, step: _Step) -> None:
-        """Apply what arrives."""
+        """Apply a change."""
         if step.kind == "spoil":
-            self.named = False
+            self.offered = False
         elif step.kind == "remove":
-            # What is known of a server is kept only while its entry is spoilt.
-            self.known = self.known and not self.named
-            self.named = False
+            # A server's data is kept only while its entry is unreadable.
+            self.known = self.known and not self.offered
+            self.offered = False
         elif step.kind == "write":
             self._write(step.born)
 
     def _write(self, born: Optional[int]) -> None:
         if self.newest is not None and born is None:
-            self.named = False
+            self.offered = False
             return
         if self.newest is not None and born is not None and born < self.newest:
             return
         if not self.known or (self.newest is not None and born != self.newest):
             self.process += 1
-        self.known = self.named = True
+        self.known = self.offered = True
         self.newest = self.newest if born is None else born
 
 
@@ -396,20 +398,18 @@
 
 class AnyOrder(unittest.TestCase):
     @given(_STEPS)
-    def test_good_spoilt_stale_and_reborn_entries_against_the_oracle(
-        self, steps: list[_Step]
-    ) -> None:
-        vm, oracle = Vm(), Oracle()
+    def test_changes_of_entries_in_any_order_against_the_model(self, steps: list[_Step]) -> None:
+        vm, model = Vm(), ReferenceModel()
         vm.write(_OTHER, _with(Address="10.0.0.2:80"))
         tokens: dict[int, BackendServer] = {}
         for number, step in enumerate(steps):
             _apply(vm, step, number)
-            oracle.step(step)
-            self.assertEqual("s0" in vm.named(), oracle.named, steps[: number + 1])
-            self.assertIn("s1", vm.named())
-            if oracle.named:
+            model.step(step)
+            self.assertEqual("s0" in vm.offered(), model.offered, steps[: number + 1])
+            self.assertIn("s1", vm.offered())
+            if model.offered:
                 server = vm.registry.servers["s0"]
-                self.assertIs(tokens.setdefault(oracle.process, server), server)
+                self.assertIs(tokens.setdefault(model.process, server), server)
         self.assertEqual(len({id(server) for server in tokens.values()}), len(tokens))
 
 
@@ -423,21 +423,21 @@
     elif step.kind == "remove":
         vm.remove(_KEY, now)
     elif step.kind == "stale":
-        held = vm.view.replica.items.get(_KEY)
-        if held is not None:
-            vm.write(_KEY, _with(born=9), now, revision=held.revision)
+        current = vm.view.replica.items.get(_KEY)
+        if current is not None:
+            vm.write(_KEY, _with(born=9), now, revision=current.revision)
     else:
         vm.write(_OTHER, _with(Address="10.0.0.2:80", Sequence=number), now)
 
 
-class Rule(unittest.TestCase):
+class NewestIncarnation(unittest.TestCase):
     @given(st.lists(st.integers(0, 5), min_size=1, max_size=20))
     def test_the_newest_incarnation_that_arrived_is_held(self, stated: list[int]) -> None:
-        rule = Incarnations()
+        incarnations = Incarnations()
         newest = -1
         for number, incarnation in enumerate(stated):
             entry = BackendEntry("s0", "rates", "10.0.0.1:80", "east-a", 6, incarnation=incarnation)
-            found = rule.judge(entry, number / 100)
+            found = incarnations.classify(entry, number / 100)
             if number == 0 or incarnation == newest:
                 self.assertIs(found, Succession.SAME)
             elif incarnation > newest:
--- a/tools/wrong_version_list.py
+++ b/tools/wrong_version_list.py
@@ -320,7 +320,7 @@
         "FAILBACK",
         "a data hall taken back counts as warm",
         f"{_GATEWAY}/servers/backend_registry.py",
-        "            self._return_hall(change.before.hall, change.at)\n",
+        "            self._count_hall_as_cold(change.before.hall, change.at)\n",
         "            pass\n",
         ("tests.test_gateway_cold_limit.WhatIsCold",),
     ),
@@ -419,7 +419,8 @@
         "servers born again",
         "a later process keeps what is known of the one before",
         f"{_GATEWAY}/servers/backend_registry.py",
-        "        if succession is Succession.LATER:\n            self._end(backend.id)\n",
+        "        if succession is Succession.LATER:\n"
+        "            self._forget_process(backend.id)\n",
         "",
         ("tests.test_gateway_incarnations",),
     ),
