--- a/sprucewinch/gateway/servers/lapsed_entries.py
+++ b/sprucewinch/gateway/servers/lapsed_entries.py
@@ -1,16 +1,14 @@
-"""When a missing entry of a backend server counts as gone.
+"""Decides when a backend server whose entry is missing from the store counts as gone.
 
-Question: has a server left whose entry the store no longer holds? Inputs: its last entry, the
-outages of the store as this VM sees them, monotonic time in seconds.
+An entry that is removed while the store answers, or that belonged to a draining server, counts as
+gone at once. During an outage of the store and shortly after it, a running server may have been
+unable to renew its entry, which then lapsed. Such a server is kept for `LAPSED_ENTRY_GRACE_S`, in
+which its entry can return; a server that was dropped and found again would count as new and cold.
+The constant is defined in `state.outages`.
 
-Rule: an entry that goes while the store answers, or of a server that was draining, is gone at once.
-During an outage, and shortly after it, a living server's entry may have lapsed as it could not
-renew it; then the server is kept for `LAPSED_ENTRY_GRACE_S`, in which the entry returns. Kept, as a
-server that is dropped and found again would count as new and cold (docs/FINDINGS.md: worth 0.721,
-then 0.795, journal f1ad7c86). The figure stands in `state.outages`.
-
-Shows in: the `probe` event of servers that appear meanwhile. Tests: `test_gateway_outages`. Owns
-nothing; relies on `state.outages`.
+Inputs are the server's last entry, the outages of the store as this VM sees them, and monotonic
+time in seconds. Owns no state; relies on `state.outages`. Results show in the event `probe` of
+servers that appear meanwhile. Tests: `test_gateway_outages`.
 """
 
 from typing import Optional
@@ -23,22 +21,25 @@
     """Decides until when a server without an entry is kept.
 
     Args:
-        outages: When the store was out of reach.
+        outages: Records when the store was unreachable.
     """
 
     def __init__(self, outages: StoreOutages) -> None:
         self.outages = outages
 
     def may_lapse(self, now: float) -> bool:
-        """Return whether an entry that is missing now may be that of a living server."""
+        """Return whether an entry that is missing now may be that of a running server."""
         return self.outages.entries_may_have_lapsed(now)
 
     def kept_until(self, backend: BackendEntry, now: float) -> Optional[float]:
-        """Return when a server whose entry has gone is dropped; None for at once.
+        """Return when a server whose entry was removed is to be dropped; None for at once.
 
         Args:
-            backend: The entry that has gone.
+            backend: The entry that was removed.
             now: Monotonic time, in seconds.
+
+        Returns:
+            Monotonic time, in seconds.
         """
         if backend.draining or not self.may_lapse(now):
             return None
--- a/sprucewinch/gateway/servers/load_reports.py
+++ b/sprucewinch/gateway/servers/load_reports.py
@@ -1,17 +1,14 @@
-"""Loads that backend servers report: applied here and passed on to other VMs.
+"""Applies the loads that backend servers state, and passes overloads on to other VMs.
 
-Question: which load figures reach which VM? Inputs: counts of running and waiting requests, from a
-server's answer or from another VM's report, and monotonic time in seconds.
+A server states its running and waiting requests with each answer. Each figure updates the server's
+load estimate. One that shows an overload (see `service_times`) is also sent to other VMs, at most
+once in `_REPORT_PAUSE_S` for a server. A report from another VM updates only the estimate and not
+the concurrency limit, as that limit counts this VM's own sends. Reports are needed because a VM of
+a large fleet sends a server one request in tens of seconds and would not learn of its queue.
 
-Rule: each figure goes into the server's load estimate. One that shows an overload (see
-`service_times`) is also sent to other VMs, at most once in `_REPORT_PAUSE_S` for a server; another
-VM's report moves the estimate only, not the concurrency limit, as that counts this VM's own sends.
-Reports exist as a VM of a large fleet sends a server a request in tens of seconds and would not
-learn of its queue.
-
-Shows in: `load` and `told_s` under `blocked` of the event `request`. Tests:
-`test_gateway_server_selection.OverloadedServers`. Owns the pause between reports; relies on
-`peer_reports` for sending and on `service_times`.
+Owns the pause between reports, in monotonic seconds; relies on `peer_reports` for sending and on
+`service_times`. Results show as `load` and `told_s` under `blocked` of the event `request`. Tests:
+`test_gateway_server_selection.OverloadedServers`.
 """
 
 from .backend_server import BackendServer
@@ -19,15 +16,15 @@
 from .peer_reports import OverloadReport, ReportSender, names_process, overload_report
 
 _REPORT_PAUSE_S = 0.2
-"""Least time between two reports on the same server, in seconds."""
+"""Shortest time between two reports on the same server, in seconds."""
 
 
 class LoadReports:
-    """Takes in load figures and reports overload.
+    """Applies stated loads and reports overloads.
 
     Args:
-        servers: Servers by id; the registry's own table.
-        times: What requests of each service take.
+        servers: Servers by id; the table of the registry.
+        times: Usual times of requests by service.
         reports: Sends overload reports to other VMs.
     """
 
@@ -39,7 +36,7 @@
         self.reports = reports
 
     def record_load(self, server: BackendServer, running: int, waiting: int, now: float) -> None:
-        """Keep the load that a server states; report it to other VMs when it is overloaded."""
+        """Record the load that a server states; report it to other VMs if it is overloaded."""
         ratio = self.times.overload_queue_ratio(server.backend.service)
         overloaded = server.record_load(running, waiting, now, ratio)
         if overloaded and now - server.overload_reported_at >= _REPORT_PAUSE_S:
@@ -47,7 +44,7 @@
             self.reports.send_overload(overload_report(server.backend, running, waiting))
 
     def on_overload_report(self, report: OverloadReport, now: float) -> None:
-        """Use a server's load figure that another VM passes on.
+        """Record a server's load that another VM reports.
 
         Args:
             report: The other VM's report.
--- a/sprucewinch/gateway/servers/peer_reports.py
+++ b/sprucewinch/gateway/servers/peer_reports.py
@@ -1,7 +1,7 @@
-"""What VMs report to each other about single backend servers: overload and failures.
+"""Reports of VMs to each other about single backend servers: overloads and failures.
 
-Owns the two messages and their sending. Relies on `follow_role` for the recipients. A VM of a large
-fleet sends each server so few requests that it would not learn of either by itself.
+A VM of a large fleet sends each server so few requests that it would not learn of either by itself.
+Owns the two messages and how they are sent. Relies on `follow_role` for the recipients.
 """
 
 import abc
@@ -15,13 +15,13 @@
 
 
 class OverloadReport(msgspec.Struct, array_like=True, frozen=True, tag="crowded"):
-    """A backend server's load, as its answer to this VM reports it, while requests wait there.
+    """The load of an overloaded backend server, as it stated it in an answer to the sender.
 
     Args:
         server: Id of the server.
         running: Requests that it runs.
         waiting: Requests that wait there.
-        incarnation: Which process of the server it is; 0 when that is not known.
+        incarnation: Incarnation of the server's process; 0 if unknown.
     """
 
     server: str
@@ -35,7 +35,7 @@
 
     Args:
         server: Id of the server.
-        incarnation: Which process of the server it is; 0 when that is not known.
+        incarnation: Incarnation of the server's process; 0 if unknown.
     """
 
     server: str
@@ -53,10 +53,10 @@
 
 
 def names_process(report: OverloadReport | FailureReport, backend: BackendEntry) -> bool:
-    """Return whether a report is on the process that this VM holds of a server.
+    """Return whether a report is about the process that this VM knows of a server.
 
-    A VM that has not yet learnt of a restart reports what it saw of the process before, which the
-    next one must not answer for. VMs of older versions name no process.
+    A VM that has not yet learnt of a restart reports on the former process, which must not count
+    for the next one. VMs of older versions state no incarnation.
     """
     return not report.incarnation or report.incarnation == (backend.incarnation or 0)
 
@@ -66,19 +66,19 @@
 
     @abc.abstractmethod
     def send_overload(self, report: OverloadReport) -> None:
-        """Report that requests wait at a server."""
+        """Report the load of an overloaded server."""
 
     @abc.abstractmethod
     def send_statement(self, report: StatementReport, to_all: bool) -> None:
-        """Report what a server states; to all VMs, or to this region's and a few more."""
+        """Report what a server states, to all VMs or to those of this region and a few more."""
 
     @abc.abstractmethod
     def send_failure(self, report: FailureReport) -> None:
-        """Report a request that failed at a server or took long."""
+        """Report a request that failed at a server or took far longer than usual."""
 
 
 class PeerReports(ReportSender):
-    """Sends reports by datagram.
+    """Sends reports to other VMs by datagram.
 
     Args:
         datagrams: The endpoint between VMs.
@@ -90,15 +90,15 @@
         self.follow_role = follow_role
 
     def send_overload(self, report: OverloadReport) -> None:
-        """Report that requests wait at a server."""
+        """Report the load of an overloaded server; see `ReportSender`."""
         self._send(report)
 
     def send_failure(self, report: FailureReport) -> None:
-        """Report a request that failed at a server or took long."""
+        """Report a failed or slow request; see `ReportSender`."""
         self._send(report)
 
     def send_statement(self, report: StatementReport, to_all: bool) -> None:
-        """Report what a server states."""
+        """Report what a server states; see `ReportSender`."""
         self._send(report, to_all=to_all)
 
     def _send(self, report: msgspec.Struct, *, to_all: bool = False) -> None:
@@ -107,7 +107,7 @@
 
 
 class NoReports(ReportSender):
-    """Sends nothing; for a part that is built alone."""
+    """Sends no reports; used where a part is built without a fleet."""
 
     def send_overload(self, report: OverloadReport) -> None:
         """Drop a report."""
--- a/sprucewinch/gateway/servers/pool.py
+++ b/sprucewinch/gateway/servers/pool.py
@@ -1,17 +1,17 @@
-"""Kept connections to backend servers: which is used, how many are kept, for how long.
+"""Connections to backend servers that are kept for further requests.
 
-Question: does a request use a kept connection or a new one? Inputs: the server's address, how long
-the server says that it keeps a connection (seconds), how many it accepts, the number of VMs.
+The connection that was idle for the shortest time is used first, so that surplus connections grow
+old and are closed. A connection is not used if the server may close it soon, and is closed if its
+answer was incomplete. After a time-out all idle connections to that server are closed too:
+connections can go silent for good without a sign, and each one would cost a request.
 
-Rule: the connection that rested least is used first, unless the server may close it soon; a
-connection whose answer was not whole is closed. After a time-out all resting ones to that server
-are closed too: connections can go silent for good without a sign, and each would cost a request. A
-VM keeps at most its part of what a server accepts, as 24 resting connections from each of 89 VMs
-are more than the 1,770 that one accepts. Least rested first, so that the surplus grows
-old and is closed.
+A VM keeps at most its part of the connections that a server accepts: 24 idle connections from each
+of 89 VMs would be more than the 1,770 that one server accepts.
 
-Shows in: the metric `backend_connections_opened`. Tests: `test_gateway_pool`. Owns the resting
-connections; relies on `net.connection`, whose `ConnectFailedError` it passes on.
+Inputs are the server's address, the time for which the server says that it keeps a connection, in
+seconds, how many connections it accepts, and the number of VMs. Owns the idle connections; relies
+on `net.connection`, whose `ConnectFailedError` it passes on. Opened connections show in the metric
+`backend_connections_opened`. Tests: `test_gateway_pool`.
 """
 
 import asyncio
@@ -23,44 +23,45 @@
 CONNECT_TIMEOUT_S = 0.35
 """Longest wait for a new connection, in seconds."""
 
-_IDLE_S = 7.5
-"""Longest rest of a kept connection, in seconds."""
+_MAX_IDLE_S = 7.5
+"""Longest time for which a connection is kept idle, in seconds."""
 
-_IDLE_PART = 0.75
-"""Part of the time that a server states for which a connection is kept; the rest is a margin for
-the delay of a request that meets the server's close."""
+_KEEP_ALIVE_USED_PART = 0.75
+"""Part of the server's stated keep-alive time for which a connection is kept; the remainder is a
+margin, so that no request arrives while the server closes the connection."""
 
-_IDLE_SHARE = 0.5
-"""Part of a server's connections that may rest; the others are for requests."""
+_IDLE_CONNECTIONS_PART = 0.5
+"""Part of a server's connections that may be idle; the others are for requests."""
 
-MAX_IDLE = 24
-"""Most resting connections to one server."""
+MAX_IDLE_CONNECTIONS = 24
+"""Maximum number of idle connections to one server."""
 
 
 class ConnectionPool:
-    """Connections by address; the one that rested least is used first.
+    """Idle connections by address; the one that was idle for the shortest time is used first.
 
     Args:
-        id_header: Header that names the request in answers.
-        monotonic: Source of time, in seconds.
+        id_header: Header that holds the id of the request in answers.
+        monotonic: Returns monotonic time, in seconds.
     """
 
     def __init__(self, id_header: str, monotonic: Callable[[], float]) -> None:
         self.id_header = id_header
         self.monotonic = monotonic
         self.opened = 0
-        self.max_idle = MAX_IDLE
+        self.max_idle = MAX_IDLE_CONNECTIONS
         self._idle: dict[str, deque[Connection]] = {}
 
-    async def take(self, address: str, *, most_rest_s: float = _IDLE_S) -> Connection:
-        """Return a connection that no request uses.
+    async def take(self, address: str, *, most_rest_s: float = _MAX_IDLE_S) -> Connection:
+        """Return an idle connection, or a new one.
 
         Args:
             address: `IP:PORT`.
-            most_rest_s: Longest rest of a kept one that is used, in seconds; 0 to open a new one.
+            most_rest_s: Longest idle time of a kept connection that is used, in seconds; 0 always
+                opens a new one.
 
         Raises:
-            ConnectFailedError: When no connection could be opened.
+            ConnectFailedError: If no connection could be opened.
         """
         now = self.monotonic()
         idle = self._idle.get(address)
@@ -74,30 +75,32 @@
         self.opened += 1
         return await connect(address, CONNECT_TIMEOUT_S, id_header=self.id_header)
 
-    def give_back(self, address: str, connection: Connection, keep_s: float = _IDLE_S) -> None:
-        """Keep a connection whose answer was whole; close it when in doubt.
+    def give_back(self, address: str, connection: Connection, keep_s: float = _MAX_IDLE_S) -> None:
+        """Keep a connection whose answer was complete; close it if it is no longer usable.
 
         Args:
             address: `IP:PORT`.
             connection: The connection.
-            keep_s: How long the server keeps it open, in seconds.
+            keep_s: Time for which the server keeps it open, in seconds.
         """
         if not connection.alive:
             connection.close()
             return
         connection.idle_since = self.monotonic()
-        connection.idle_until = connection.idle_since + min(_IDLE_S, keep_s * _IDLE_PART)
+        connection.idle_until = connection.idle_since + min(
+            _MAX_IDLE_S, keep_s * _KEEP_ALIVE_USED_PART
+        )
         idle = self._idle.setdefault(address, deque())
         idle.append(connection)
         while len(idle) > self.max_idle:
             idle.popleft().close()
 
     def has_open(self, address: str) -> bool:
-        """Return whether a resting connection to `IP:PORT` is open, as far as known."""
+        """Return whether an idle connection to `IP:PORT` is known to be open."""
         return any(connection.alive for connection in self._idle.get(address, ()))
 
     def drop(self, address: str) -> None:
-        """Close all resting connections to a server: one fell silent, or its process has ended.
+        """Close all idle connections to a server: one went silent, or its process has ended.
 
         Args:
             address: `IP:PORT`.
@@ -106,17 +109,17 @@
             connection.close()
 
     def share(self, connections: int, vm_count: int) -> None:
-        """Divide the connections that servers accept among the VMs.
+        """Limit the idle connections to this VM's part of those that servers accept.
 
         Args:
             connections: Connections that one server accepts from all VMs together.
             vm_count: How many VMs there are.
         """
-        part = int(connections * _IDLE_SHARE / max(1, vm_count))
-        self.max_idle = max(1, min(MAX_IDLE, part))
+        part = int(connections * _IDLE_CONNECTIONS_PART / max(1, vm_count))
+        self.max_idle = max(1, min(MAX_IDLE_CONNECTIONS, part))
 
     def sweep(self) -> None:
-        """Close what has rested too long."""
+        """Close the connections that were idle for too long."""
         now = self.monotonic()
         for address in list(self._idle):
             kept = deque(c for c in self._idle[address] if c.alive and c.idle_until > now)
@@ -129,7 +132,7 @@
                 del self._idle[address]
 
     async def close(self) -> None:
-        """Close all resting connections."""
+        """Close all idle connections."""
         for idle in self._idle.values():
             for connection in idle:
                 connection.close()
--- a/sprucewinch/gateway/servers/probe.py
+++ b/sprucewinch/gateway/servers/probe.py
@@ -1,19 +1,18 @@
-"""Asks backend servers whether they are cold, where the store does not show it.
-
-Question: how much longer is this server cold? Inputs: the answer to one GET on the service's health
-path: its status, the server's id and the time left in milliseconds.
-
-Rule: servers of a data hall whose evacuation has ended, and servers that appear while the store is
-away, count as cold and are asked once. An answer of that very server with a time left ends or sets
-the time; with any other answer, one of another process, or none, the server stays cold for its
-service's warm-up. One that leaves, rests or limits itself by its own word is not asked, and what
-that very process states in its answer counts as in an answer to a request. Once and not in a loop,
-as each probe costs the server a new connection. Without probes a data hall that was back from an
-evacuation warm got few requests for 3.5 s.
-
-Shows in: the event `probe` (status 0 for no answer), the metric `probes`. Tests:
-`test_gateway_probe`. Relies on the registry for the servers to ask, on `statements` for what they
-state, and on `net.connection`.
+"""Probes backend servers for whether they are cold, where the store does not show it.
+
+Servers of a data hall whose evacuation has ended, and servers that appear while the store is
+unavailable, count as cold and are probed once with a GET on their service's health path. If that
+very process answers and states the time left until it is warm, in milliseconds, that time applies.
+After any other answer, an answer of another process, or none, the server stays cold for its
+service's warm-up. A server that is leaving, or that has asked for a pause or a rate limit, is not
+probed. Whatever else the probed process states in its answer counts as in an answer to a request.
+
+A server is probed once and not repeatedly, as each probe costs it a new connection. Without probes,
+a data hall whose servers were still warm after an evacuation got few requests for 3.5 s.
+
+Relies on the registry for the servers to probe, on `statements` for what they state, and on
+`net.connection`. Results show in the event `probe`, with status 0 for no answer, and in the metric
+`probes`. Tests: `test_gateway_probe`.
 """
 
 import asyncio
@@ -30,28 +29,28 @@
 from .backend_server import BackendServer
 from .cold_limit import COLD_MARGIN_S, service_rule
 
-_LOOK_S = 0.05
-"""Pause between two looks for servers to ask, in seconds."""
+_POLL_PAUSE_S = 0.05
+"""Pause between two checks for servers to probe, in seconds."""
 
 _TIMEOUT_S = 0.5
 """Longest wait for an answer, in seconds."""
 
-_MS = 1000
+_MS_PER_S = 1000
 """Milliseconds in a second."""
 
 _PROBE_ID = "probe"
-"""What the events of a server's statement name in place of a request."""
+"""Stands for the request id in the events of a server's statement."""
 
 _NO_ANSWER = 0
 """Status of a probe without an answer, as the event `probe` shows it."""
 
 
 class ProbeResult(NamedTuple):
-    """What a probe found.
+    """The result of a probe.
 
     Args:
-        status: HTTP status; `_NO_ANSWER` when no whole answer came in time.
-        cold_left_s: How much longer the server is cold, in seconds; None when it states none.
+        status: HTTP status; `_NO_ANSWER` if no complete answer came in time.
+        cold_left_s: Time for which the server stays cold, in seconds; None if it states none.
     """
 
     status: int
@@ -59,17 +58,17 @@
 
 
 class Prober:
-    """Asks the servers that the registry lists for it.
+    """Probes the servers that the registry lists for it.
 
     Args:
         registry: Backend servers.
         statements: Takes in what the servers state.
         names: Names of headers.
-        events: Takes a line for each answer.
-        monotonic: Source of time, in seconds.
-        wall: Source of the time of day, in seconds since the epoch.
-        incarnation_of: Returns which process has answered, from an answer's body; None when it does
-            not say so.
+        events: Logs each probe.
+        monotonic: Returns monotonic time, in seconds.
+        wall: Returns the time of day, in seconds since the epoch.
+        incarnation_of: Returns the incarnation that the body of an answer states; None if it states
+            none.
     """
 
     def __init__(
@@ -92,17 +91,17 @@
         self.wall = wall
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Probe until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_S)
-            asked = list(self.registry.to_probe)
+            await asyncio.sleep(_POLL_PAUSE_S)
+            to_probe = list(self.registry.to_probe)
             self.registry.to_probe.clear()
-            if asked:
-                await asyncio.gather(*(self.ask(server) for server in asked))
+            if to_probe:
+                await asyncio.gather(*(self.probe(server) for server in to_probe))
 
-    async def ask(self, server: BackendServer) -> None:
-        """Ask one server how long it stays cold; without a clear answer it counts as cold."""
-        if self._wants_nothing(server):
+    async def probe(self, server: BackendServer) -> None:
+        """Probe one server for how long it stays cold; without a clear answer it counts as cold."""
+        if self._is_not_probed(server):
             return
         rule = service_rule(self.registry.store_view, server.backend.service)
         if rule is None or not rule.health_path:
@@ -110,14 +109,14 @@
         self.events.count("probes")
         started = self.monotonic()
         answer = await get(server.backend.address, rule.health_path, Patience.in_all(_TIMEOUT_S))
-        found = self._read(answer, server, started)
-        left_s = found.cold_left_s
+        result = self._read(answer, server, started)
+        left_s = result.cold_left_s
         if left_s is not None:
             server.cold_until = self.monotonic() + left_s + COLD_MARGIN_S if left_s else 0.0
-        self.events.state("probe", server=server.backend.id, status=found.status, cold_s=left_s)
+        self.events.state("probe", server=server.backend.id, status=result.status, cold_s=left_s)
 
-    def _wants_nothing(self, server: BackendServer) -> bool:
-        """Return whether a server leaves, rests or takes only some requests, by its own word."""
+    def _is_not_probed(self, server: BackendServer) -> bool:
+        """Return whether a server itself states that it is leaving, paused or limited."""
         now, stated = self.monotonic(), server.stated
         return server.leaving or stated.rest_until > now or stated.is_limited(now)
 
@@ -132,16 +131,16 @@
         left_ms = answer.header(self.names.cold_ms)
         if answer.status != HTTPStatus.OK or left_ms is None or not left_ms.isdigit():
             return ProbeResult(answer.status)
-        return ProbeResult(answer.status, int(left_ms) / _MS)
+        return ProbeResult(answer.status, int(left_ms) / _MS_PER_S)
 
     def _take_statement(self, answer: Answer, server: BackendServer, started: float) -> None:
-        """Take in what a server states of itself in the answer to a probe."""
+        """Process what a server states of itself in the answer to a probe."""
         statement = statement_of(answer, self.names, self.wall())
         stated = ServerAnswer(statement, started, _PROBE_ID)
         self.statements.answered(server.backend, server.stated, stated, self.monotonic())
 
     def _same_process(self, answer: Answer, server: BackendServer) -> bool:
-        """Return whether the process that this VM holds of a server has answered."""
+        """Return whether the process that this VM knows of a server has answered."""
         if answer.header(self.names.instance) != server.backend.id:
             return False
         stated = self.incarnation_of(answer.body)
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -1,9 +1,9 @@
-"""Kept connections: how many, how long, and none in doubt."""
+"""Kept connections: how many are kept, for how long, and when one is not used again."""
 
 import asyncio
 import unittest
 
-from sprucewinch.gateway.servers.pool import MAX_IDLE, ConnectionPool
+from sprucewinch.gateway.servers.pool import MAX_IDLE_CONNECTIONS, ConnectionPool
 from standins.scripted_server import ScriptedServer, Spoil
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
@@ -20,7 +20,7 @@
 
 
 class Kept(unittest.TestCase):
-    def test_a_connection_is_used_again_until_it_has_rested_too_long(self) -> None:
+    def test_a_connection_is_used_again_until_it_was_idle_too_long(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             pool, _ = _started(loop)
             first = await pool.take(ADDRESS)
@@ -33,7 +33,7 @@
 
         run_virtual(main)
 
-    def test_one_that_rested_longer_than_a_request_allows_stays_for_others(self) -> None:
+    def test_one_idle_longer_than_a_request_allows_is_kept_for_others(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             pool, _ = _started(loop)
             first = await pool.take(ADDRESS)
@@ -47,7 +47,7 @@
 
         run_virtual(main)
 
-    def test_a_closed_connection_is_not_given_out(self) -> None:
+    def test_a_closed_connection_is_not_returned(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             pool, server = _started(loop)
             first = await pool.take(ADDRESS)
@@ -73,16 +73,16 @@
 
         run_virtual(main)
 
-    def test_vms_share_what_a_server_accepts(self) -> None:
+    def test_vms_divide_the_connections_that_a_server_accepts(self) -> None:
         for vms in (12, 89, 2800):
             with self.subTest(vms=vms):
                 pool = ConnectionPool("x", lambda: 0.0)
                 pool.share(1770, vms)
-                self.assertTrue(1 <= pool.max_idle <= MAX_IDLE)
+                self.assertTrue(1 <= pool.max_idle <= MAX_IDLE_CONNECTIONS)
         pool.share(390, 89)
         self.assertLessEqual(pool.max_idle * 89, 390 / 2)
 
-    def test_no_more_rest_than_allowed(self) -> None:
+    def test_no_more_connections_are_idle_than_allowed(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             pool, server = _started(loop)
             pool.share(8, 2)
--- a/tests/test_gateway_probe.py
+++ b/tests/test_gateway_probe.py
@@ -1,4 +1,4 @@
-"""What is asked of the servers of a data hall that is taken back, and what follows from it."""
+"""Probes of servers whose data hall returns from an evacuation, and what follows from answers."""
 
 import random
 import unittest
@@ -15,7 +15,7 @@
 
 
 def prober_of(path: Path) -> Prober:
-    """Return the part that asks the servers of a path."""
+    """Return a prober of the servers of a path."""
     time = path.loop.time
     events = DecisionLog(lambda line: None, monotonic=time, wall=time)
     registry = path.world.registry
@@ -25,8 +25,8 @@
     return Prober(registry, statements, NAMES, events, monotonic=time, wall=time)
 
 
-async def _taken_back(loop: VirtualLoop, cold_ms: Optional[int]) -> Path:
-    """Return a path whose only data hall has just been taken back, its servers asked."""
+async def _after_evacuation(loop: VirtualLoop, cold_ms: Optional[int]) -> Path:
+    """Return a path whose only data hall returned from an evacuation, with its servers probed."""
     path = Path(loop, servers=2)
     path.world.configure(route())
     for server in path.servers.values():
@@ -41,24 +41,24 @@
     return path
 
 
-class TakenBack(unittest.TestCase):
+class AfterEvacuation(unittest.TestCase):
     def _cold(self, cold_ms: Optional[int], after_s: float) -> set[bool]:
         async def main(loop: VirtualLoop) -> set[bool]:
-            path = await _taken_back(loop, cold_ms)
+            path = await _after_evacuation(loop, cold_ms)
             self.assertEqual([s.probes for s in path.servers.values()], [1, 1])
             servers = path.world.registry.servers.values()
             return {server.cold(loop.time() + after_s) for server in servers}
 
         return run_virtual(main)
 
-    def test_servers_that_say_that_they_are_warm_are_warm(self) -> None:
+    def test_servers_that_state_that_they_are_warm_are_warm(self) -> None:
         self.assertEqual(self._cold(0, 0.0), {False})
 
-    def test_servers_that_say_how_long_they_stay_cold_are_cold_as_long(self) -> None:
+    def test_servers_stay_cold_for_the_time_that_they_state(self) -> None:
         self.assertEqual(self._cold(1000, 1.0), {True})
         self.assertEqual(self._cold(1000, 2.0), {False})
 
-    def test_a_server_that_turned_cold_in_the_evacuation_says_how_long(self) -> None:
+    def test_a_server_that_turned_cold_during_the_evacuation_states_its_time(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             path.world.configure(route())
@@ -66,16 +66,16 @@
             await pass_time(1.0)
             server = path.world.registry.servers["s0"]
             server.cold_until = loop.time() + 3.0
-            await prober_of(path).ask(server)
+            await prober_of(path).probe(server)
             self.assertTrue(server.cold(loop.time() + 0.9))
             self.assertFalse(server.cold(loop.time() + 1.6))
 
         run_virtual(main)
 
-    def test_servers_that_say_nothing_clear_count_as_cold(self) -> None:
+    def test_servers_without_a_clear_answer_count_as_cold(self) -> None:
         self.assertEqual(self._cold(None, 2.5), {True})
 
-    def test_an_answer_of_another_server_says_nothing(self) -> None:
+    def test_an_answer_of_another_server_does_not_count(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             path.world.configure(route())
@@ -83,23 +83,23 @@
             path.servers["s0"].cold_ms = 0
             server = path.world.registry.servers["s0"]
             server.cold_until = loop.time() + 3.0
-            await prober_of(path).ask(server)
+            await prober_of(path).probe(server)
             self.assertTrue(server.cold(loop.time() + 2.9))
 
         run_virtual(main)
 
 
-class ServersOwnWord(unittest.TestCase):
-    def test_a_server_that_wants_nothing_is_not_asked(self) -> None:
+class ServersStatements(unittest.TestCase):
+    def test_a_leaving_paused_or_limited_server_is_not_probed(self) -> None:
         async def main(loop: VirtualLoop) -> list[int]:
             path = Path(loop, servers=4)
             path.world.configure(route())
-            leaves, rests, limits, plain = servers = self._servers(path)
-            path.world.registry.statement_table.note_leaving(leaves.stated, loop.time())
-            rests.stated.ask_rest(2.0, loop.time())
-            limits.stated.limit.answered(3.0, loop.time(), loop.time())
+            leaving, paused, limited, plain = servers = self._servers(path)
+            path.world.registry.statement_table.note_leaving(leaving.stated, loop.time())
+            paused.stated.ask_rest(2.0, loop.time())
+            limited.stated.limit.answered(3.0, loop.time(), loop.time())
             for server in servers:
-                await prober_of(path).ask(server)
+                await prober_of(path).probe(server)
             return [server.probes for server in path.servers.values()]
 
         self.assertEqual(run_virtual(main), [0, 0, 0, 1])
@@ -107,26 +107,26 @@
     def _servers(self, path: Path) -> list[BackendServer]:
         return list(path.world.registry.servers.values())
 
-    def test_what_its_answer_states_counts(self) -> None:
+    def test_statements_in_the_answer_to_a_probe_count(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=3)
             path.world.configure(route())
             path.servers["s0"].says["Server-Leaving"] = "1"
             path.servers["s1"].says["Server-Limit"] = "3"
             path.servers["s2"].turns_probes_away, path.servers["s2"].rest = True, "2"
-            leaves, limits, rests = servers = self._servers(path)
+            leaving, limited, paused = servers = self._servers(path)
             for server in servers:
-                await prober_of(path).ask(server)
+                await prober_of(path).probe(server)
             now = loop.time()
-            self.assertTrue(leaves.leaving)
-            self.assertEqual(limits.stated.limit.rate_per_s(now), 3.0)
-            self.assertGreaterEqual(rests.stated.refused_until(now) or 0.0, now + 1.9)
+            self.assertTrue(leaving.leaving)
+            self.assertEqual(limited.stated.limit.rate_per_s(now), 3.0)
+            self.assertGreaterEqual(paused.stated.refused_until(now) or 0.0, now + 1.9)
             reported = [report.server for report in path.world.reports.statements]
             self.assertEqual(reported, ["s0", "s1"])
 
         run_virtual(main)
 
-    def test_the_word_of_another_process_at_its_address_counts_for_nothing(self) -> None:
+    def test_statements_of_another_process_at_its_address_do_not_count(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             path.world.configure(route())
@@ -134,7 +134,7 @@
             script.server_id, script.rest, script.turns_probes_away = "another", "2", True
             script.says |= {"Server-Leaving": "1", "Server-Limit": "3"}
             (server,) = self._servers(path)
-            await prober_of(path).ask(server)
+            await prober_of(path).probe(server)
             self.assertEqual(script.probes, 1)
             self.assertFalse(server.stated.states_something(loop.time()))
 
--- a/tests/test_gateway_taken_addresses.py
+++ b/tests/test_gateway_taken_addresses.py
@@ -1,7 +1,7 @@
-"""Backend servers whose address has gone to another server, while their entry still stands.
+"""Backend servers whose address belongs to another server, while their entry is still in the store.
 
-Such a server answers 421 to each request, which has not run. Asked again it costs a retry each
-time, so a VM leaves it alone until its entry has gone.
+The other server answers each request with 421 and does not run it. Every further attempt would cost
+a retry, so a VM sends such a server nothing until its entry is removed.
 """
 
 import unittest
@@ -14,19 +14,19 @@
 
 
 class TakenAddresses(unittest.TestCase):
-    def test_a_server_whose_address_was_taken_over_is_asked_once(self) -> None:
+    def test_a_server_whose_address_another_took_gets_one_request(self) -> None:
         self.assertEqual(run_virtual(lambda loop: _asked(loop, stated=False)), 1)
 
-    def test_also_where_the_server_there_states_that_it_did_not_run_the_request(self) -> None:
+    def test_it_also_gets_one_if_the_other_states_that_it_did_not_run_it(self) -> None:
         self.assertEqual(run_virtual(lambda loop: _asked(loop, stated=True)), 1)
 
 
 async def _asked(loop: VirtualLoop, *, stated: bool) -> int:
-    """Return how many of some requests reach a server whose address has gone to another one.
+    """Return how many of `_REQUESTS` requests reach a server whose address another one took.
 
     Args:
         loop: The loop.
-        stated: True when the other server also states that it did not run them.
+        stated: True if the other server also states that it did not run them.
     """
     path = Path(loop)
     path.world.configure(route(repeatable=False))
