--- a/sprucewinch/gateway/servers/probe.py
+++ b/sprucewinch/gateway/servers/probe.py
@@ -23,7 +23,7 @@
 from ...net.connection import Answer, NoAnswer, Patience, get
 from ..events import EventLog
 from ..header_names import HeaderNames
-from ..statements.statement import statement_of
+from ..statements.statement import parse_statement
 from ..statements.statements import ServerAnswer, Statements
 from .backend_registry import BackendRegistry
 from .backend_server import BackendServer
@@ -135,7 +135,7 @@
 
     def _take_statement(self, answer: Answer, server: BackendServer, started: float) -> None:
         """Process what a server states of itself in the answer to a probe."""
-        statement = statement_of(answer, self.names, self.wall())
+        statement = parse_statement(answer, self.names, self.wall())
         stated = ServerAnswer(statement, started, _PROBE_ID)
         self.statements.answered(server.backend, server.stated, stated, self.monotonic())
 
--- a/sprucewinch/gateway/statements/__init__.py
+++ b/sprucewinch/gateway/statements/__init__.py
@@ -1,4 +1,5 @@
-"""What backend servers state of themselves: limits, leaving, rest. Read `statement` first.
+"""What backend servers state of themselves: rate limits, leaving, pauses. Read `statement` first.
 
-Owns the decoding of statements, what this VM and others were told, and what follows for requests.
+Covers how statements are read from answers, what this VM and others know of them, and what follows
+for requests.
 """
--- a/sprucewinch/gateway/statements/stated_limit.py
+++ b/sprucewinch/gateway/statements/stated_limit.py
@@ -1,53 +1,52 @@
-"""Rule: which limit a server's process has stated, as far as this VM was told.
-
-Question: how many requests a second does it take now from all VMs together? Inputs: the limit or
-its absence in each answer, when the answered request began, when the answer came; what other VMs
-report, with the age of what they heard; monotonic time in seconds.
-
-Rules. An answer that states a limit holds from then on, for as long as answers state it. One
-without a limit ends it, if its request began after the last answer that stated one: an answer to an
-earlier request may have been made before. While two answers overlap the lower limit holds. What
-another VM heard counts where it is newer than what this VM knows; the time for which it was on its
-way is not known, so an end that is reported has to be newer by `_TRANSIT_S`. A limit that this VM
-knows from others alone lapses after `REPORTED_KEPT_S`; its own word from the server does not. After
-the end the rate doubles every `_DOUBLING_S` until `_RETURN_S` are over.
-
-Why so: the server counts what all VMs send, so each must know, and what the server itself says goes
-before what is said of it. A server that has just recovered must not get its whole share at once.
-
-Constants: those below. Shows in: event `server-limit`; `limit_per_s` of `/state`. Tests:
-tests/test_gateway_stated_limit.py.
+"""The rate limit that a server's process has stated, as far as this VM knows it.
+
+A server counts the requests of all VMs, so each VM must know its limit. What the server itself
+states takes precedence over what other VMs report:
+
+- A limit that is stated in an answer holds from then on. An answer without one ends it if its
+  request began after the last answer that stated one; an answer to an earlier request may have been
+  made before the limit began. While two answers overlap, the lower limit holds.
+- A report of another VM counts if what it reports is newer than what this VM knows. As the transit
+  time of a report is unknown, a reported end must be newer by `_MAX_TRANSIT_S`.
+- A limit that this VM knows only from other VMs lapses after `REPORTED_KEPT_S`; one that the server
+  itself stated to this VM does not.
+- After the end of a limit, the rate doubles every `_DOUBLING_S` for `_RAMP_UP_S`, as a server that
+  has just recovered must not get its whole share at once.
+
+Inputs are the limit or its absence in each answer, when the answered request began and when the
+answer came, and other VMs' reports with their ages, in monotonic seconds. Results show in the event
+`server-limit` and in `limit_per_s` of `/state`. Tests: tests/test_gateway_stated_limit.py.
 """
 
 from typing import Optional
 
-LEAST_PER_S = 0.25
-"""Least rate at which a limited server is asked, in requests a second: it gets one request in four
-seconds also where it states less, as nobody would learn of the limit's end without any."""
+MIN_PER_S = 0.25
+"""Lowest rate at which a limited server gets requests, in requests a second. It gets one request in
+four seconds even if it states less, as no VM would learn of the limit's end without any."""
 
 REPORTED_KEPT_S = 20.0
-"""Time for which a limit that only other VMs have heard of is kept, in seconds: reports go on
-reaching this region far more often, and one request that is let through tells whether it holds."""
+"""Time for which a limit is kept that only other VMs reported, in seconds: while it lasts, reports
+arrive far more often, and after it one request shows whether the limit still holds."""
 
-_TRANSIT_S = 0.5
-"""Longest time that a report is on its way, in seconds."""
+_MAX_TRANSIT_S = 0.5
+"""Longest transit time of a report, in seconds."""
 
 _DOUBLING_S = 0.5
 """Time in which the rate doubles after the end of a limit, in seconds."""
 
-_RETURN_S = 3.0
-"""Time after the end of a limit from which the server is not limited at all, in seconds."""
+_RAMP_UP_S = 3.0
+"""Time after the end of a limit until the server is no longer limited at all, in seconds."""
 
 
 class StatedLimit:
-    """The limit that one process of a server has stated.
+    """The rate limit that one process of a server has stated.
 
     Attributes:
-        per_s: Requests a second that it stated last; None when it never stated any.
-        since: Monotonic time at which this VM was first told, in seconds.
+        per_s: Requests a second that it stated last; None if it never stated any.
+        since: Monotonic time at which this VM first learnt of it, in seconds.
         stated_at: Monotonic time at which the server last stated it, in seconds.
-        own: True when the server has told this VM itself.
-        ended_at: Monotonic time from which it stated none any more, in seconds; None while it does.
+        own: True if the server itself stated it to this VM.
+        ended_at: Monotonic time of the limit's end, in seconds; None before it.
     """
 
     __slots__ = ("ended_at", "own", "per_s", "since", "stated_at")
@@ -60,7 +59,7 @@
         self.ended_at: Optional[float] = None
 
     def answered(self, per_s: Optional[float], started: float, now: float) -> bool:
-        """Take in an answer of the server.
+        """Apply an answer of the server.
 
         Args:
             per_s: The limit that it states; None for none.
@@ -68,18 +67,18 @@
             now: Monotonic time, in seconds.
 
         Returns:
-            True when the limit has begun, changed or ended.
+            True if the limit has begun, changed or ended.
         """
         if per_s is None:
-            return self._ends(started, now)
+            return self._end_limit(started, now)
         overlaps = self.is_stated(now) and started < self.stated_at
         held = self.per_s if overlaps and self.per_s is not None else per_s
-        changed = self._states(min(per_s, held), now, now)
+        changed = self._set_limit(min(per_s, held), now, now)
         self.own = True
         return changed
 
     def reported(self, per_s: Optional[float], age_s: float, now: float) -> None:
-        """Take in what another VM has heard.
+        """Apply a report of another VM.
 
         Args:
             per_s: The limit; None for its end.
@@ -89,34 +88,34 @@
         """
         at = now - age_s
         if per_s is None:
-            self._ends(at - _TRANSIT_S, now)
+            self._end_limit(at - _MAX_TRANSIT_S, now)
         elif at > max(self.stated_at, self.ended_at or float("-inf")):
-            self._states(per_s, at, now)
+            self._set_limit(per_s, at, now)
 
     def rate_per_s(self, now: float) -> Optional[float]:
-        """Return at which rate the server may be asked now, by all VMs; None without a limit.
+        """Return the requests a second that all VMs may send the server now; None without a limit.
 
         Args:
             now: Monotonic time, in seconds.
         """
         if self.per_s is None:
             return None
-        least = max(LEAST_PER_S, self.per_s)
+        rate = max(MIN_PER_S, self.per_s)
         if self.ended_at is None:
-            return least if self.is_stated(now) else None
-        passed_s = now - self.ended_at
-        return least * 2 ** (passed_s / _DOUBLING_S) if passed_s < _RETURN_S else None
+            return rate if self.is_stated(now) else None
+        since_end_s = now - self.ended_at
+        return rate * 2 ** (since_end_s / _DOUBLING_S) if since_end_s < _RAMP_UP_S else None
 
     def is_stated(self, now: float) -> bool:
-        """Return whether the server goes on stating a limit, as far as is known here."""
+        """Return whether the server still states a limit, as far as this VM knows."""
         if self.per_s is None or self.ended_at is not None:
             return False
         return self.own or now - self.stated_at < REPORTED_KEPT_S
 
-    def _states(self, per_s: float, at: float, now: float) -> bool:
-        began = not self.is_stated(now)
-        changed = began or per_s != self.per_s
-        if began:
+    def _set_limit(self, per_s: float, at: float, now: float) -> bool:
+        starts = not self.is_stated(now)
+        changed = starts or per_s != self.per_s
+        if starts:
             self.since = now
             self.own = False
         self.per_s = per_s
@@ -124,8 +123,8 @@
         self.ended_at = None
         return changed
 
-    def _ends(self, began_at: float, now: float) -> bool:
-        """End the limit if it was last stated before a request began that stated none."""
+    def _end_limit(self, began_at: float, now: float) -> bool:
+        """End the limit if it was last stated before the request of an answer without one began."""
         if not self.is_stated(now) or began_at < self.stated_at:
             return False
         self.ended_at = now
--- a/sprucewinch/gateway/statements/statement.py
+++ b/sprucewinch/gateway/statements/statement.py
@@ -1,16 +1,15 @@
-"""Rule: what a backend server states of itself in an answer.
-
-Question: which load, limit, leaving and rest does this answer state? Inputs: a whole answer, the
-platform's header names, the id of the request, the time of day in seconds. Rule: only the process
-that was asked speaks for itself. An answer to another request, an unsigned success and one of
-another server (421) state nothing. A value that cannot be read, or that is no amount, states
-nothing, as if its header were missing; the server's next answer brings another one.
-
-Why so: each rule that follows a statement takes its part from this one value, so that all agree on
-whose word counts and on what is no value.
-
-Constants: `MOST_REST_S`. Shows in: events `server-limit`, `server-leaving`, `server-asks-rest`.
-Tests: tests/test_gateway_statements.py.
+"""Reads what a backend server states of itself in an answer: its load, limit, leaving and pause.
+
+Only the process that was asked can state something of itself. An answer to another request, a
+success without a signature, and an answer of another server (421) state nothing. A value that
+cannot be read, or that is not an amount, counts as if its header were missing; the server's next
+answer brings another one.
+
+All rules that depend on a statement use this one value, so that they agree on whose statements
+count and on which values are valid. Inputs are a complete answer, the platform's header names, the
+id of the request, and the time of day in seconds. The only bound is `MAX_RETRY_AFTER_S`. Statements
+show in the events `server-limit`, `server-leaving` and `server-asks-rest`. Tests:
+tests/test_gateway_statements.py.
 """
 
 import re
@@ -21,29 +20,29 @@
 from ...net.connection import Answer
 from ..header_names import HeaderNames
 
-MOST_REST_S = 300.0
-"""Longest rest that a server may ask for at once, in seconds: one that asks for a day by mistake
-is asked again before its operators have given up on it."""
+MAX_RETRY_AFTER_S = 300.0
+"""Longest pause that a server may ask for at once, in seconds: one that asks for a day by mistake
+gets requests again before its operators have given up on it."""
 
 SUCCESS_STATUSES = range(200, 300)
-"""HTTP statuses of success, by the HTTP standard."""
+"""HTTP status codes of success."""
 
-_REST_HEADER = "retry-after"
-"""Header in which a server that turns a request away asks for rest, by the HTTP standard."""
+_RETRY_AFTER_HEADER = "retry-after"
+"""HTTP header in which a server that refuses a request asks for a pause."""
 
 _KEEP_ALIVE_HEADER = "keep-alive"
-_KEEP_ALIVE_FIELD = "timeout="
-"""Field of the keep-alive header that holds the time, in seconds."""
+_KEEP_ALIVE_PARAMETER = "timeout="
+"""Parameter of the keep-alive header that holds the time, in seconds."""
 
 _DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?", re.ASCII)
 """A decimal number without sign or exponent."""
 
-_LEAVES = "1"
-"""Value of the header of a server that leaves."""
+_LEAVING_VALUE = "1"
+"""Value of the leaving header of a server that is leaving."""
 
 
 class LoadReport(NamedTuple):
-    """The load that a backend server reports in an answer.
+    """The load that a backend server states in an answer.
 
     Args:
         running: Requests that it runs.
@@ -60,12 +59,11 @@
     """What a backend server states of itself in one answer.
 
     Args:
-        by_server: False for an answer that is not the asked process's own; it states nothing.
-        load: Its load; None when it states none.
+        by_server: False for an answer that the asked process did not give; it states nothing.
+        load: Its load; None if it states none.
         limit_per_s: Requests a second that it takes from all VMs together; None for no limit.
-        leaving: True when it leaves.
-        rest_s: Time for which it wants nothing from this VM, in seconds; None when it asks for no
-            rest.
+        leaving: True if it is leaving.
+        rest_s: Time for which it asks this VM for no requests, in seconds; None if it does not ask.
     """
 
     by_server: bool = False
@@ -84,21 +82,21 @@
     """Return what an answer states of its server.
 
     Args:
-        answer: A whole answer.
+        answer: A complete answer.
         names: Names of headers.
-        request_id: Id of the request that it answers.
+        request_id: Id of the request that was sent; empty to accept any.
         wall: Time of day, in seconds since the epoch.
     """
     if not _is_own_answer(answer, names, request_id):
         return NOTHING_STATED
-    return statement_of(answer, names, wall)
+    return parse_statement(answer, names, wall)
 
 
-def statement_of(answer: Answer, names: HeaderNames, wall: float) -> ServerStatement:
-    """Return what an answer states that is known to be the asked process's own.
+def parse_statement(answer: Answer, names: HeaderNames, wall: float) -> ServerStatement:
+    """Return what an answer states that the asked process is known to have given.
 
     Args:
-        answer: A whole answer.
+        answer: A complete answer.
         names: Names of headers.
         wall: Time of day, in seconds since the epoch.
     """
@@ -106,21 +104,21 @@
         by_server=True,
         load=_load(answer.header(names.load)),
         limit_per_s=_decimal(answer.header(names.limit)),
-        leaving=(answer.header(names.leaving) or "").strip() == _LEAVES,
-        rest_s=_rest_s(answer, wall),
+        leaving=(answer.header(names.leaving) or "").strip() == _LEAVING_VALUE,
+        rest_s=_retry_after_s(answer, wall),
     )
 
 
 def keep_alive_s(answer: Answer) -> float:
-    """Return how long a server keeps a connection open, in seconds; infinite when it states none.
+    """Return how long a server keeps a connection open, in seconds; infinite if it states none.
 
     An unreadable time is ignored without a log line: a connection that the server closes is
     replaced.
     """
     text = answer.header(_KEEP_ALIVE_HEADER) or ""
     for word in text.replace(" ", "").split(","):
-        seconds = word.removeprefix(_KEEP_ALIVE_FIELD)
-        if word.startswith(_KEEP_ALIVE_FIELD) and seconds.isdigit():
+        seconds = word.removeprefix(_KEEP_ALIVE_PARAMETER)
+        if word.startswith(_KEEP_ALIVE_PARAMETER) and seconds.isdigit():
             return float(seconds)
     return float("inf")
 
@@ -147,25 +145,25 @@
     return float(stripped) if _DECIMAL.fullmatch(stripped) else None
 
 
-def _rest_s(answer: Answer, wall: float) -> Optional[float]:
-    text = answer.header(_REST_HEADER)
+def _retry_after_s(answer: Answer, wall: float) -> Optional[float]:
+    text = answer.header(_RETRY_AFTER_HEADER)
     if text is None or answer.status != HTTPStatus.SERVICE_UNAVAILABLE:
         return None
     seconds = _decimal(text)
     if seconds is None:
         seconds = _until_date_s(text, answer.header("date"), wall)
-    return min(seconds, MOST_REST_S) if seconds else None
+    return min(seconds, MAX_RETRY_AFTER_S) if seconds else None
 
 
-def _until_date_s(text: str, stated_now: Optional[str], wall: float) -> Optional[float]:
-    """Return the time until an HTTP date, in seconds; None for a text that is none.
+def _until_date_s(text: str, server_date: Optional[str], wall: float) -> Optional[float]:
+    """Return the time until an HTTP date, in seconds; None if the text is not one.
 
-    Counted from the server's own date where it states one: its clock and this VM's differ.
+    The time is counted from the server's date, if it states one, as its clock and this VM's differ.
     """
     until = _timestamp(text)
     if until is None:
         return None
-    now = _timestamp(stated_now) if stated_now is not None else None
+    now = _timestamp(server_date) if server_date is not None else None
     return max(0.0, until - (wall if now is None else now))
 
 
@@ -173,5 +171,5 @@
     try:
         return parsedate_to_datetime(text).timestamp()
     except (ValueError, OverflowError):
-        # No date: it states nothing, as a number that cannot be read.
+        # The text is not a date, so it states nothing, like a number that cannot be read.
         return None
--- a/tests/test_gateway_stated_limit.py
+++ b/tests/test_gateway_stated_limit.py
@@ -1,4 +1,4 @@
-"""Which limit of a server's process a VM holds: its own word, that of others, and the end."""
+"""The limit of a server's process that a VM applies: stated to it, reported by others, ended."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 from sprucewinch.gateway.quotas.bucket import QuotaBucket
 from sprucewinch.gateway.quotas.quota import hall_quota
 from sprucewinch.gateway.statements.stated_limit import (
-    LEAST_PER_S,
+    MIN_PER_S,
     REPORTED_KEPT_S,
     StatedLimit,
 )
@@ -16,8 +16,8 @@
 WINDOW_S = 4.0
 
 
-class OwnWord(unittest.TestCase):
-    def test_it_holds_without_being_repeated_until_a_later_request_is_answered_without(
+class StatedToThisVm(unittest.TestCase):
+    def test_it_holds_until_the_answer_to_a_later_request_states_none(
         self,
     ) -> None:
         limit = StatedLimit()
@@ -27,7 +27,7 @@
         self.assertEqual(limit.rate_per_s(500.0), 3.0)
         self.assertTrue(limit.answered(None, 10.01, 500.0))
 
-    def test_after_its_end_the_rate_grows_and_then_there_is_none(self) -> None:
+    def test_after_its_end_the_rate_grows_until_there_is_no_limit(self) -> None:
         limit = StatedLimit()
         limit.answered(3.0, 9.9, 10.0)
         limit.answered(None, 11.0, 11.1)
@@ -45,14 +45,14 @@
         limit.answered(8.0, 10.2, 10.3)
         self.assertEqual(limit.rate_per_s(10.3), 8.0)
 
-    def test_a_limit_of_nothing_still_lets_its_end_be_learnt(self) -> None:
+    def test_a_limit_of_zero_still_allows_the_lowest_rate(self) -> None:
         limit = StatedLimit()
         limit.answered(0.0, 9.9, 10.0)
-        self.assertEqual(limit.rate_per_s(10.0), LEAST_PER_S)
+        self.assertEqual(limit.rate_per_s(10.0), MIN_PER_S)
 
 
-class WhatOthersHeard(unittest.TestCase):
-    def test_it_counts_for_a_while(self) -> None:
+class ReportedByOthers(unittest.TestCase):
+    def test_it_lapses_after_a_time(self) -> None:
         limit = StatedLimit()
         limit.reported(3.0, 0.2, 10.0)
         self.assertEqual(limit.rate_per_s(10.0), 3.0)
@@ -68,7 +68,7 @@
         limit.reported(3.0, 0.5, 10.8)
         self.assertIsNotNone(limit.ended_at)
 
-    def test_a_newer_one_changes_and_ends_the_servers_own_word(self) -> None:
+    def test_a_newer_report_changes_and_ends_what_the_server_stated(self) -> None:
         limit = StatedLimit()
         limit.answered(3.0, 9.9, 10.0)
         limit.reported(2.0, 0.0, 11.0)
@@ -77,20 +77,20 @@
         self.assertIsNone(limit.rate_per_s(17.0))
 
 
-class PlainServer:
-    """The oracle: a server that states a limit or none from some moments on.
+class ReferenceServer:
+    """Reference model: a server that states a limit, or none, from given times on.
 
     Args:
-        changes: Moment and limit of each change, in order.
+        changes: Time in seconds and limit in requests a second of each change, in order.
     """
 
     def __init__(self, changes: list[tuple[float, float | None]]) -> None:
         self.changes = changes
 
     def states(self, at: float) -> float | None:
-        """Return what an answer of some moment states."""
-        said = [limit for moment, limit in self.changes if moment <= at]
-        return said[-1] if said else None
+        """Return the limit that an answer made at some time states."""
+        stated = [limit for moment, limit in self.changes if moment <= at]
+        return stated[-1] if stated else None
 
 
 _MOMENTS = st.floats(0.0, 20.0)
@@ -100,13 +100,13 @@
 class AnyOrder(unittest.TestCase):
     @settings(max_examples=300)
     @given(_CHANGES, st.lists(st.tuples(_MOMENTS, st.floats(0, 3), st.floats(0, 3)), max_size=30))
-    def test_once_all_answers_are_in_the_last_word_holds(
+    def test_once_all_answers_have_arrived_the_last_statement_holds(
         self,
         changes: list[tuple[float, float | None]],
         answers: list[tuple[float, float, float]],
     ) -> None:
-        """Answers that take any time to be made and to arrive, and then two alone."""
-        server = PlainServer(sorted(changes, key=lambda change: change[0]))
+        """Answers take any time to be made and to arrive; two more follow one after the other."""
+        server = ReferenceServer(sorted(changes, key=lambda change: change[0]))
         limit = StatedLimit()
         made = [(began + work + way, began, began + work) for began, work, way in answers]
         for arrived, began, stated_at in [*sorted(made), (31.0, 30.0, 30.5), (33.0, 32.0, 32.5)]:
@@ -120,7 +120,7 @@
         st.lists(st.tuples(st.floats(0.0, 1.0), st.integers(1, 8)), max_size=80),
         st.integers(0, 80),
     )
-    def test_what_one_owner_gives_stays_below_the_bound_also_when_another_takes_over(
+    def test_what_owners_grant_stays_within_the_bound_when_the_owner_changes(
         self, rate: float, asks: list[tuple[float, int]], taken_over_at: int
     ) -> None:
         """The next owner begins with a bucket of its own, in the middle of any window."""
@@ -133,8 +133,8 @@
                 bucket = QuotaBucket(quota.limit, 1.0, now)
             given_at += [now] * bucket.take(count, now)
         for start in given_at:
-            most = sum(start <= at <= start + WINDOW_S for at in given_at)
-            self.assertLessEqual(most, 1.5 * rate * WINDOW_S + 5)
+            in_window = sum(start <= at <= start + WINDOW_S for at in given_at)
+            self.assertLessEqual(in_window, 1.5 * rate * WINDOW_S + 5)
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_statements.py
+++ b/tests/test_gateway_statements.py
@@ -1,4 +1,4 @@
-"""What an answer states of its server: whose word counts, and what is no value."""
+"""What an answer states of its server: whose statements count, and which values are valid."""
 
 import json
 import unittest
@@ -8,7 +8,7 @@
 
 from sprucewinch.gateway.header_names import HeaderNames
 from sprucewinch.gateway.statements.statement import (
-    MOST_REST_S,
+    MAX_RETRY_AFTER_S,
     NOTHING_STATED,
     LoadReport,
     ServerStatement,
@@ -26,7 +26,7 @@
 
 
 def answer(status: int = 200, *, request_id: str = "q", signed: bool = True, **headers: str):
-    """Return an answer with some headers, named as parts of `HeaderNames` or by themselves."""
+    """Return an answer with headers, each given by its field of `HeaderNames` or its own name."""
     rows = [(NAMES.request_id, request_id)]
     if signed:
         rows.append((NAMES.signature, "s"))
@@ -41,30 +41,30 @@
     return read_statement(answer(status, **headers), NAMES, "q", WALL)
 
 
-class WhoseWord(unittest.TestCase):
-    def test_only_the_asked_process_speaks_for_itself(self) -> None:
-        said = {"limit": "3", "leaving": "1", "load": "1,2,3"}
+class WhoseStatements(unittest.TestCase):
+    def test_only_statements_of_the_asked_process_count(self) -> None:
+        statements = {"limit": "3", "leaving": "1", "load": "1,2,3"}
         self.assertEqual(
-            stated(**said), ServerStatement(True, LoadReport(1, 2, 3), 3.0, True, None)
+            stated(**statements), ServerStatement(True, LoadReport(1, 2, 3), 3.0, True, None)
         )
-        self.assertEqual(stated(421, **said), NOTHING_STATED)
-        self.assertEqual(stated(request_id="other", **said), NOTHING_STATED)
-        self.assertEqual(stated(signed=False, **said), NOTHING_STATED)
+        self.assertEqual(stated(421, **statements), NOTHING_STATED)
+        self.assertEqual(stated(request_id="other", **statements), NOTHING_STATED)
+        self.assertEqual(stated(signed=False, **statements), NOTHING_STATED)
 
-    def test_a_failure_and_a_refusal_are_its_word_too(self) -> None:
+    def test_statements_in_failures_and_refusals_count_too(self) -> None:
         for status in (500, 503, 504, 429):
             self.assertEqual(stated(status, signed=False, limit="2.5").limit_per_s, 2.5)
 
 
 class Values(unittest.TestCase):
-    def test_what_is_no_amount_states_nothing(self) -> None:
+    def test_a_value_that_is_no_amount_states_nothing(self) -> None:
         for text in ("many", "-1", "nan", "1e999", "inf", "", "1_0", "Wed, 21 Oct 2037 07:28:00"):
             with self.subTest(text=text):
                 self.assertIsNone(stated(limit=text).limit_per_s)
         for text in ("0", "yes", "", "11", "-1"):
             self.assertFalse(stated(leaving=text).leaving)
 
-    def test_rest_is_asked_for_by_a_503_alone_in_seconds_or_as_a_date(self) -> None:
+    def test_only_a_503_asks_for_a_pause_in_seconds_or_until_a_date(self) -> None:
         self.assertEqual(stated(503, retry_after="2.5").rest_s, 2.5)
         self.assertIsNone(stated(200, retry_after="2.5").rest_s)
         self.assertIsNone(stated(429, retry_after="2.5").rest_s)
@@ -76,24 +76,24 @@
         self.assertAlmostEqual(stated(503, **date).rest_s or 0.0, 4.0)
         self.assertIsNone(stated(503, retry_after="Fri, 15 Jan 2021 08:00:10 GMT").rest_s)
 
-    def test_a_rest_without_measure_is_held_to_the_most(self) -> None:
-        self.assertEqual(stated(503, retry_after="86400").rest_s, MOST_REST_S)
+    def test_a_pause_is_cut_to_the_longest_allowed(self) -> None:
+        self.assertEqual(stated(503, retry_after="86400").rest_s, MAX_RETRY_AFTER_S)
 
     @given(st.text(st.characters(min_codepoint=32, max_codepoint=255), max_size=40))
-    def test_no_text_breaks_the_reading(self, text: str) -> None:
+    def test_any_text_is_read_without_an_error(self, text: str) -> None:
         found = stated(503, limit=text, leaving=text, load=text, retry_after=text, date=text)
         self.assertTrue(found.by_server)
         self.assertGreaterEqual(found.limit_per_s or 0.0, 0.0)
-        self.assertLessEqual(found.rest_s or 0.0, MOST_REST_S)
+        self.assertLessEqual(found.rest_s or 0.0, MAX_RETRY_AFTER_S)
 
-    def test_the_time_of_a_kept_connection(self) -> None:
+    def test_the_keep_alive_time_of_a_connection(self) -> None:
         self.assertEqual(keep_alive_s(answer(**{"keep-alive": "max=5, timeout=7"})), 7.0)
         self.assertEqual(keep_alive_s(answer()), float("inf"))
         self.assertEqual(keep_alive_s(answer(**{"keep-alive": "timeout=x"})), float("inf"))
 
 
 class BetweenVms(unittest.TestCase):
-    def test_what_one_vm_heard_all_know_and_one_that_starts_asks(self) -> None:
+    def test_statements_to_one_vm_reach_all_and_one_that_starts_later(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop, vms=12, servers=6).ready()
             for number in range(24):
@@ -112,7 +112,7 @@
 
         run_virtual(main)
 
-    def test_a_vm_gets_few_reports_of_a_server_that_goes_on_stating_a_limit(self) -> None:
+    def test_a_vm_gets_few_reports_on_a_server_that_keeps_stating_a_limit(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop, vms=2, servers=1).ready()
             [server] = fleet.servers.values()
@@ -129,7 +129,7 @@
 
 
 def known(fleet: CrashFleet) -> set[tuple[str, float | None]]:
-    """Return the statements that all VMs know: server and limit, None for one that leaves."""
+    """Return the statements that all VMs know: server and limit, None for a leaving server."""
     rows = []
     for vm in fleet.vms:
         state = json.loads(vm.gateway._state())
--- a/tools/wrong_statement_versions.py
+++ b/tools/wrong_statement_versions.py
@@ -43,7 +43,7 @@
         "LIMIT",
         "a server gets its whole share at once when its limit ends",
         f"{_STATEMENTS}/stated_limit.py",
-        "return least * 2 ** (passed_s / _DOUBLING_S) if passed_s < _RETURN_S else None",
+        "return rate * 2 ** (since_end_s / _DOUBLING_S) if since_end_s < _RAMP_UP_S else None",
         "return None",
         _STATED,
     ),
