--- a/sprucewinch/gateway/statements/process_statements.py
+++ b/sprucewinch/gateway/statements/process_statements.py
@@ -1,8 +1,9 @@
-"""What this VM was told of processes of backend servers, by them and by other VMs.
+"""What this VM knows of the statements of backend servers' processes.
 
-Owns one row a process, which outlasts the server's entry in the store: an entry that lapses, is
-spoilt or written again is no word of the process and must not undo one. Another process under the
-same id has a row of its own. Relies on `stated_limit`; the rows are filled by `statements`.
+Owns one row for each process, which `statements` fills from answers and reports. A row outlives the
+server's entry in the store: an entry that lapses, becomes unreadable or is written again is no
+statement of the process and must not undo one. Another process under the same id has a row of its
+own. Relies on `stated_limit`.
 """
 
 from collections.abc import Callable, Collection
@@ -11,17 +12,17 @@
 from ..resources import BackendEntry
 from .stated_limit import StatedLimit
 
-_KEPT_S = 600.0
-"""Time for which a row is kept of a server that has no entry, in seconds: far longer than a server
-that leaves serves on, or than an outage of the store lasts in which its entry lapses."""
+_ROW_KEPT_S = 600.0
+"""Time for which a row is kept without an entry of its server, in seconds: far longer than a
+leaving server continues to serve, or than an outage of the store lasts in which entries lapse."""
 
 
 class ServerProcessId(NamedTuple):
-    """Names one process of a server.
+    """Identifies one process of a server.
 
     Args:
         server_id: Id of the server.
-        incarnation: Which process it is, where the server states it; else 0.
+        incarnation: Incarnation of the process; 0 if the server states none.
     """
 
     server_id: str
@@ -29,22 +30,22 @@
 
     @classmethod
     def of(cls, backend: BackendEntry) -> "ServerProcessId":
-        """Return the process of an entry."""
+        """Return the id of an entry's process."""
         return cls(backend.id, backend.incarnation or 0)
 
 
 class ProcessStatements:
-    """What was told of one process.
+    """The known statements of one process.
 
     Attributes:
-        limit: The limit that it states.
-        leaving_since: Monotonic time at which it was first told that it leaves, in seconds; None
-            while it was not. Nothing ends it but another process.
-        rest_until: Monotonic time until which it wants nothing from this VM, in seconds. An answer
-            to an earlier request does not end that.
+        limit: The rate limit that it states.
+        leaving_since: Monotonic time at which this VM learnt that it is leaving, in seconds; None
+            before. Only another process under the id ends this.
+        rest_until: Monotonic time at which the pause ends that it asked this VM for, in seconds. An
+            answer to an earlier request does not end the pause.
         no_token_until: Monotonic time until which its quota has nothing for this VM, in seconds.
         reported_at: Monotonic time of this VM's last report on it, in seconds.
-        touched_at: Monotonic time at which anything was last told, in seconds.
+        updated_at: Monotonic time of the last statement or report on it, in seconds.
     """
 
     __slots__ = (
@@ -53,7 +54,7 @@
         "no_token_until",
         "reported_at",
         "rest_until",
-        "touched_at",
+        "updated_at",
     )
 
     def __init__(self) -> None:
@@ -62,24 +63,24 @@
         self.rest_until = float("-inf")
         self.no_token_until = float("-inf")
         self.reported_at = float("-inf")
-        self.touched_at = float("-inf")
+        self.updated_at = float("-inf")
 
     def is_limited(self, now: float) -> bool:
-        """Return whether the process takes only some requests a second."""
+        """Return whether the process accepts only a limited rate of requests."""
         return self.limit.rate_per_s(now) is not None
 
     def states_something(self, now: float) -> bool:
-        """Return whether the process leaves, rests or is limited, by its own word."""
+        """Return whether the process states that it is leaving, paused or limited."""
         return self.leaving_since is not None or self.rest_until > now or self.is_limited(now)
 
     def refused_until(self, now: float) -> Optional[float]:
-        """Return until when the server takes nothing from this VM, by its own word.
+        """Return until when the server accepts no requests from this VM, as it states itself.
 
         Args:
             now: Monotonic time, in seconds.
 
         Returns:
-            Monotonic time, in seconds; None when it takes requests.
+            Monotonic time, in seconds; None if it accepts requests.
         """
         until = self.rest_until
         if self.is_limited(now):
@@ -87,24 +88,24 @@
         return until if until > now else None
 
     def ask_rest(self, rest_s: float, now: float) -> bool:
-        """Rest as the process has asked; returns True when it did not rest before.
+        """Start the pause that the process asks for; returns True if it was not paused before.
 
-        A later end holds, a shorter rest that is asked for meanwhile does not cut it.
+        The latest end holds: a shorter pause that is asked for meanwhile does not cut it.
 
         Args:
-            rest_s: Time of the rest, in seconds.
+            rest_s: Length of the pause, in seconds.
             now: Monotonic time, in seconds.
         """
-        rested = self.rest_until > now
+        was_paused = self.rest_until > now
         self.rest_until = max(self.rest_until, now + rest_s)
-        return not rested
+        return not was_paused
 
 
 class StatementTable:
     """The rows of all processes.
 
     Args:
-        on_leaving: Called when it is learnt that a process leaves.
+        on_leaving: Called when this VM learns that a process is leaving.
     """
 
     def __init__(self, on_leaving: Callable[[], None] = lambda: None) -> None:
@@ -112,11 +113,11 @@
         self.rows: dict[ServerProcessId, ProcessStatements] = {}
 
     def of(self, process: ServerProcessId) -> ProcessStatements:
-        """Return the row of a process, made if there is none."""
+        """Return the row of a process; creates it if there is none."""
         return self.rows.setdefault(process, ProcessStatements())
 
     def note_leaving(self, stated: ProcessStatements, now: float) -> bool:
-        """Note that a process leaves; returns True when that is new.
+        """Record that a process is leaving; returns True if that is new.
 
         Args:
             stated: Its row.
@@ -129,7 +130,7 @@
         return True
 
     def forget_old(self, held: Collection[ServerProcessId], now: float) -> None:
-        """Drop rows of processes that have no entry and of which nothing was told for long.
+        """Drop the rows of processes that have no entry and were not updated for long.
 
         Args:
             held: Processes that have entries.
@@ -138,5 +139,5 @@
         self.rows = {
             process: stated
             for process, stated in self.rows.items()
-            if process in held or now - stated.touched_at < _KEPT_S
+            if process in held or now - stated.updated_at < _ROW_KEPT_S
         }
--- a/sprucewinch/gateway/statements/start_asks.py
+++ b/sprucewinch/gateway/statements/start_asks.py
@@ -1,9 +1,10 @@
-"""Asks other VMs, after a start, what servers have stated; answers VMs that have just started.
+"""Asks other VMs after a start what servers have stated, and answers VMs that have just started.
 
-Owns the message `StatementsAsk` and when it is sent: to `_ASKED` VMs every `_PAUSE_S`, until one
-has answered or `_LONGEST_S` are over. Without it a VM that starts would ask limited, resting and
-leaving servers itself, one request each. Relies on `process_statements` for the rows and on
-`follow_role` for the VMs. Tests: tests/test_gateway_statements.py.
+Owns the message `StatementsAsk` and when it is sent: to `_ASKED_VMS` VMs every `_ASK_PAUSE_S`,
+until one has answered or `_MAX_ASKING_S` have passed. Without it, a VM that starts would send
+limited, paused and leaving servers one request each to learn their state. Relies on
+`process_statements` for the rows and on `follow_role` for the VMs. Tests:
+tests/test_gateway_statements.py.
 """
 
 import asyncio
@@ -16,38 +17,38 @@
 from .process_statements import ProcessStatements, ServerProcessId, StatementTable
 from .statement_report import MS_PER_S, StatementReport
 
-_ASKED = 3
-"""VMs that are asked at once: one may be down, one may have just started itself."""
+_ASKED_VMS = 3
+"""VMs that are asked at once: one may be down, and one may have just started itself."""
 
-_PAUSE_S = 0.2
-"""Time between two asks, in seconds: an answer takes a tenth of it."""
+_ASK_PAUSE_S = 0.2
+"""Time between two asks, in seconds; an answer takes a tenth of it."""
 
-_LONGEST_S = 3.0
-"""Time after the start until which is asked, in seconds."""
+_MAX_ASKING_S = 3.0
+"""Time after the start for which a VM asks, in seconds."""
 
-_NO_END_S = 600.0
-"""Age of a report without a limit, in seconds: it is no news of the end of any."""
+_NO_LIMIT_AGE_S = 600.0
+"""Age of a report without a limit, in seconds: so old that it ends no limit."""
 
-_MOST_REPORTS = 64
-"""Most reports in answer to one ask; few servers state something at a time."""
+_MAX_REPORTS = 64
+"""Maximum number of reports in answer to one ask; few servers state something at a time."""
 
 
 class StatementsAsk(msgspec.Struct, array_like=True, frozen=True, tag="stated-ask"):
-    """A VM that has started asks what servers have stated; its tag on the wire is `stated-ask`."""
+    """Asks what servers have stated, after a start; its tag on the wire is `stated-ask`."""
 
 
 class StatementsEnd(msgspec.Struct, array_like=True, frozen=True, tag="stated-end"):
-    """All that a VM was told has been sent; its tag on the wire is `stated-end`."""
+    """Ends the answer to `StatementsAsk`; its tag on the wire is `stated-end`."""
 
 
 class StartAsks:
-    """Asks after a start, and answers.
+    """Asks other VMs after a start, and answers their asks.
 
     Args:
-        table: What each process has stated.
+        table: The known statements of all processes.
         datagrams: The endpoint between VMs.
-        follow_role: Chooses whom to ask.
-        monotonic: Source of time, in seconds.
+        follow_role: Chooses the VMs to ask.
+        monotonic: Returns monotonic time, in seconds.
     """
 
     def __init__(
@@ -61,17 +62,17 @@
         self.datagrams = datagrams
         self.follow_role = follow_role
         self.monotonic = monotonic
-        self.until = monotonic() + _LONGEST_S
+        self.until = monotonic() + _MAX_ASKING_S
         self._answered = asyncio.Event()
         datagrams.register(StatementsAsk, self._on_ask)
         datagrams.register(StatementsEnd, self._on_end)
 
     async def run(self) -> None:
-        """Ask until a VM has answered or the time is over, then wait to be cancelled."""
+        """Ask until a VM has answered or the time has passed, then wait to be cancelled."""
         while self.monotonic() < self.until and not self._answered.is_set():
-            asked = list(self.follow_role.recipients(changed=False))[:_ASKED]
+            asked = list(self.follow_role.recipients(changed=False))[:_ASKED_VMS]
             self.datagrams.send(StatementsAsk(), [member.peer_address for member in asked])
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_ASK_PAUSE_S)
         await asyncio.Event().wait()
 
     def _on_ask(self, _ask: StatementsAsk, now: float) -> None:
@@ -83,7 +84,7 @@
             for process, stated in self.table.rows.items()
             if stated.states_something(now)
         ]
-        for process, stated in rows[-_MOST_REPORTS:]:
+        for process, stated in rows[-_MAX_REPORTS:]:
             self.datagrams.send(_report(process, stated, now), (sender,))
         self.datagrams.send(StatementsEnd(), (sender,))
 
@@ -92,10 +93,10 @@
 
 
 def _report(process: ServerProcessId, stated: ProcessStatements, now: float) -> StatementReport:
-    """Return what is known of a process; the age of a limit is that of the server's own word."""
+    """Return a report on a process; the age of a limit is that of the server's own statement."""
     limit = stated.limit
     limit_per_s = limit.per_s if limit.is_stated(now) else None
-    age_s = now - limit.stated_at if limit_per_s is not None else _NO_END_S
+    age_s = now - limit.stated_at if limit_per_s is not None else _NO_LIMIT_AGE_S
     return StatementReport(
         process.server_id,
         process.incarnation,
--- a/sprucewinch/gateway/statements/statement_report.py
+++ b/sprucewinch/gateway/statements/statement_report.py
@@ -1,7 +1,8 @@
-"""What VMs report to each other of servers' statements.
+"""The message by which VMs report servers' statements to each other.
 
-Owns the message. What one VM hears is of use to all: the others need no request of their own to
-find out, which in a large fleet are most of what a limited server takes for many seconds.
+A statement to one VM is of use to all. Without reports the others would each need a request of
+their own to learn of it, and in a large fleet those requests are most of what a limited server
+accepts for many seconds.
 """
 
 from typing import Optional
@@ -13,14 +14,14 @@
 
 
 class StatementReport(msgspec.Struct, array_like=True, frozen=True, tag="stated"):
-    """What a process of a backend server stated to a VM; its tag on the wire is `stated`.
+    """A statement of a backend server's process; its tag on the wire is `stated`.
 
     Args:
         server: Id of the server.
-        incarnation: Which process of it; 0 when that is not known.
-        age_ms: Time since it was stated, in milliseconds.
-        limit_per_s: Requests a second that it takes from all VMs together; None for no limit.
-        leaving: True when it leaves.
+        incarnation: Incarnation of the process; 0 if unknown.
+        age_ms: Time since the statement, in milliseconds.
+        limit_per_s: Requests a second that it accepts from all VMs together; None for no limit.
+        leaving: True if it is leaving.
     """
 
     server: str
--- a/sprucewinch/gateway/statements/statements.py
+++ b/sprucewinch/gateway/statements/statements.py
@@ -1,12 +1,12 @@
-"""Takes in what servers state of themselves, here and as other VMs report it.
-
-Owns when a statement is logged and reported: a change at once to all VMs, but at most once in
-`_CHANGE_PAUSE_S` for a process; what goes on being stated once in `_REPEAT_S`, to the VMs of this
-region and a few others. Only what the server itself told this VM is reported, so no report feeds
-another one, and their number is bounded by the answers of servers that state something. Relies on
-`stated_limit` for the decision and on `process_statements` for the rows. Shows in: events
-`server-limit`, `server-leaving`, `server-asks-rest`; counter `server_rests_asked`. Tests:
-tests/test_gateway_statements.py.
+"""Processes what servers state of themselves, to this VM and in reports of other VMs.
+
+Owns when a statement is logged and reported. A change is reported at once to all VMs, but at most
+once in `_CHANGE_PAUSE_S` for a process. A statement that continues is reported once in `_REPEAT_S`,
+to the VMs of this region and a few others. Only what a server itself stated to this VM is reported:
+no report causes another one, and their number is bounded by the answers of servers that state
+something. Relies on `stated_limit` for the decision and on `process_statements` for the rows.
+Results show in the events `server-limit`, `server-leaving` and `server-asks-rest`, and in the
+counter `server_rests_asked`. Tests: tests/test_gateway_statements.py.
 """
 
 import random
@@ -20,24 +20,24 @@
 from .statement_report import MS_PER_S, StatementReport
 
 _CHANGE_PAUSE_S = 0.2
-"""Least time between two reports on the same process, in seconds."""
+"""Shortest time between two reports on the same process, in seconds."""
 
 _REPEAT_S = 1.0
-"""Least time between two reports that say the same, in seconds: far less than the time for which
-they count."""
+"""Shortest time between two reports of the same statement, in seconds: far shorter than the time
+for which a report counts."""
 
-_SPREAD_PART = 0.1
-"""Part of a rest by which VMs come back later than it ends, at the most."""
+_JITTER_PART = 0.1
+"""Part of a pause that is its largest jitter."""
 
-_MOST_SPREAD_S = 0.5
-"""Longest time by which they come back later, in seconds."""
+_MAX_JITTER_S = 0.5
+"""Largest jitter, in seconds."""
 
 SendReport = Callable[[StatementReport, bool], None]
-"""Sends a report; to all VMs when true, else to this region's and a few more."""
+"""Sends a report: to all VMs if the flag is true, else to those of this region and a few more."""
 
 
 class ServerAnswer(NamedTuple):
-    """One answer of a server, as far as it states something.
+    """What one answer of a server states.
 
     Args:
         statement: What it states.
@@ -51,13 +51,13 @@
 
 
 class Statements:
-    """Takes in statements.
+    """Processes statements.
 
     Args:
-        table: What each process has stated.
+        table: The known statements of all processes.
         send: Sends reports to other VMs.
-        events: Takes lines for changes.
-        rng: Spreads the ends of rests, so that VMs do not come back together.
+        events: Logs changes.
+        rng: Random source of the jitter that keeps VMs from returning to a server all at once.
     """
 
     def __init__(
@@ -71,11 +71,11 @@
     def answered(
         self, backend: BackendEntry, stated: ProcessStatements, answer: ServerAnswer, now: float
     ) -> None:
-        """Take in an answer of a server.
+        """Process an answer of a server.
 
         Args:
             backend: The server's entry.
-            stated: What its process has stated.
+            stated: The known statements of its process.
             answer: The answer.
             now: Monotonic time, in seconds.
         """
@@ -90,35 +90,35 @@
         if answer.statement.leaving and self.table.note_leaving(stated, now):
             changed = True
             self.events.state("server-leaving", server=backend.id, id=answer.request_id)
-        self._rest(backend, stated, answer, now)
+        self._start_pause(backend, stated, answer, now)
         if changed or limit_per_s is not None or answer.statement.leaving:
-            stated.touched_at = now
+            stated.updated_at = now
             self._report(backend, stated, answer, now, changed=changed)
 
-    def _rest(
+    def _start_pause(
         self, backend: BackendEntry, stated: ProcessStatements, answer: ServerAnswer, now: float
     ) -> None:
-        """Let a server rest that has asked this VM for it; it has not asked the others."""
+        """Start the pause that a server has asked of this VM; it has not asked the others."""
         rest_s = answer.statement.rest_s
         if rest_s is None:
             return
         self.events.count("server_rests_asked")
-        stated.touched_at = now
-        spread_s = self.rng.uniform(0.0, min(_MOST_SPREAD_S, _SPREAD_PART * rest_s))
-        if stated.ask_rest(rest_s + spread_s, now):
+        stated.updated_at = now
+        jitter_s = self.rng.uniform(0.0, min(_MAX_JITTER_S, _JITTER_PART * rest_s))
+        if stated.ask_rest(rest_s + jitter_s, now):
             self.events.state(
                 "server-asks-rest", server=backend.id, rest_s=rest_s, id=answer.request_id
             )
 
     def on_report(self, report: StatementReport, now: float) -> None:
-        """Take in what another VM was told.
+        """Process a report of another VM.
 
         Args:
-            report: The message.
+            report: The report.
             now: Monotonic time, in seconds.
         """
         stated = self.table.of(ServerProcessId(report.server, report.incarnation))
-        stated.touched_at = now
+        stated.updated_at = now
         if report.leaving:
             self.table.note_leaving(stated, now)
         stated.limit.reported(report.limit_per_s, report.age_ms / MS_PER_S, now)
--- a/tests/test_gateway_process_statements.py
+++ b/tests/test_gateway_process_statements.py
@@ -1,4 +1,4 @@
-"""What a server said of itself outlasts its entry, older answers, waits and the last resort."""
+"""Statements of a server outlast its entry, older answers, waits for a connection and retries."""
 
 import asyncio
 import unittest
@@ -26,20 +26,20 @@
         self.assertIs(table.of(ServerProcessId.of(ENTRY._replace(draining=True))), one)
         other = table.of(ServerProcessId.of(ENTRY._replace(incarnation=8)))
         self.assertIsNot(other, one)
-        one.touched_at = other.touched_at = 100.0
+        one.updated_at = other.updated_at = 100.0
         table.forget_old((), 690.0)
         self.assertIs(table.of(ServerProcessId.of(ENTRY)), one)
         table.forget_old({ServerProcessId.of(ENTRY)}, 9000.0)
         self.assertEqual(list(table.rows.values()), [one])
 
-    def test_a_later_end_of_a_rest_holds(self) -> None:
+    def test_the_latest_end_of_a_pause_holds(self) -> None:
         stated = ProcessStatements()
         self.assertTrue(stated.ask_rest(3.0, 100.0))
         self.assertFalse(stated.ask_rest(0.5, 101.0))
         self.assertEqual(stated.refused_until(102.9), 103.0)
         self.assertIsNone(stated.refused_until(103.0))
 
-    def test_a_server_that_leaves_is_noted_once(self) -> None:
+    def test_a_leaving_server_is_recorded_once(self) -> None:
         calls = []
         table = StatementTable(on_leaving=lambda: calls.append(1))
         stated = table.of(ServerProcessId.of(ENTRY))
@@ -48,7 +48,7 @@
         )
         self.assertEqual((stated.leaving_since, calls), (1.0, [1]))
 
-    def test_why_a_server_is_skipped(self) -> None:
+    def test_the_reason_why_a_server_is_skipped(self) -> None:
         server = BackendServer(ENTRY)
         server.stated.limit.answered(3.0, 99.0, 100.0)
         server.stated.no_token_until = 101.0
@@ -62,15 +62,17 @@
 
 
 class WhileARequestWaits(unittest.TestCase):
-    def test_what_is_said_while_its_connection_comes_up_holds(self) -> None:
-        for word in ("leaves", "rests", "limits"):
-            with self.subTest(word):
+    def test_statements_while_its_connection_opens_hold(self) -> None:
+        for statement in ("leaves", "rests", "limits"):
+            with self.subTest(statement):
                 self.assertEqual(
-                    run_virtual(lambda loop, word=word: self._said_meanwhile(loop, word)),
+                    run_virtual(
+                        lambda loop, statement=statement: self._stated_meanwhile(loop, statement)
+                    ),
                     (200, ["not-offered", "answered"]),
                 )
 
-    async def _said_meanwhile(self, loop: VirtualLoop, word: str) -> tuple[int, list[str]]:
+    async def _stated_meanwhile(self, loop: VirtualLoop, statement: str) -> tuple[int, list[str]]:
         path = Path(loop)
         path.world.configure(route(repeatable=False, max_attempts=1))
         first = path.first()
@@ -80,9 +82,9 @@
         await pass_time(0.05)
         registry = path.world.registry
         stated = registry.servers[first.server_id].stated
-        if word == "leaves":
+        if statement == "leaves":
             registry.statement_table.note_leaving(stated, loop.time())
-        elif word == "rests":
+        elif statement == "rests":
             stated.ask_rest(5.0, loop.time())
         else:
             stated.limit.answered(1.0, loop.time(), loop.time())
@@ -92,7 +94,7 @@
 
 
 class OlderAnswers(unittest.TestCase):
-    def test_an_answer_to_an_earlier_request_ends_no_rest(self) -> None:
+    def test_an_answer_to_an_earlier_request_ends_no_pause(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             path.world.configure(route(repeatable=False, max_attempts=1))
@@ -113,7 +115,7 @@
 
         run_virtual(main)
 
-    def test_the_last_resort_spares_a_server_that_asked_for_rest(self) -> None:
+    def test_the_last_resort_skips_a_server_that_asked_for_a_pause(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=2)
             path.world.configure(route())
@@ -133,7 +135,7 @@
 
 
 class NewProcess(unittest.TestCase):
-    def test_another_process_under_the_id_has_said_nothing(self) -> None:
+    def test_another_process_under_the_id_has_no_statements(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             path.world.configure(route())
--- a/tests/test_gateway_server_quotas.py
+++ b/tests/test_gateway_server_quotas.py
@@ -1,4 +1,4 @@
-"""A server's limit over the fleet: names, rights given back, and the bound in any order."""
+"""A server's limit over the whole fleet: quota names, returned grants, the bound under faults."""
 
 import asyncio
 import random
@@ -26,56 +26,56 @@
 
 ENTRY = BackendEntry("s0", "rates", "10.0.0.1:80", "r0-1", 6, incarnation=7)
 CONTACT_S = 4.0
-DAY_S = 16.0
+RUN_S = 16.0
 FORGOTTEN_AFTER_S = 1000.0
-"""Longer than a VM remembers what a server without an entry has stated, in seconds."""
+"""Longer than a VM keeps the statements of a server without an entry, in seconds."""
 
-ASKED = 3.0
-"""How many times its limit is asked for."""
+DEMAND_FACTOR = 3.0
+"""Demand as a multiple of the limit."""
 
 
-class Strike(NamedTuple):
-    """What strikes one VM, and when."""
+class Fault(NamedTuple):
+    """A fault of one VM: its kind, its time in seconds, and the number of the VM."""
 
     kind: str
     at: float
     vm: int
 
 
-class Day(NamedTuple):
-    """What a fleet sends to a server on a day."""
+class Run(NamedTuple):
+    """The requests that a fleet sent to a server in one run, and the names of the faulty VMs."""
 
     sent: list[tuple[float, ModelVm]]
-    struck: set[str]
+    faulty: set[str]
 
-    def by_unstruck(self) -> list[float]:
-        """Return when VMs that nothing struck have sent: a strike excuses its VM."""
-        return [at for at, vm in self.sent if vm.name not in self.struck]
+    def by_faultless(self) -> list[float]:
+        """Return the times of sends by VMs without a fault; a faulty VM may exceed the bound."""
+        return [at for at, vm in self.sent if vm.name not in self.faulty]
 
 
-STRIKES = st.lists(
+FAULTS = st.lists(
     st.builds(
-        Strike,
+        Fault,
         st.sampled_from(("kill", "freeze", "cut", "heal")),
-        st.floats(0.0, DAY_S),
+        st.floats(0.0, RUN_S),
         st.integers(0, 11),
     ),
     max_size=8,
 )
 
 
-async def play(
-    loop: VirtualLoop, rates: tuple[float, float], strikes: list[Strike], vms: int, seed: int
-) -> Day:
-    """Let a fleet of which some VMs are struck send to a server whose limit changes half-way."""
+async def run_fleet(
+    loop: VirtualLoop, rates: tuple[float, float], faults: list[Fault], vms: int, seed: int
+) -> Run:
+    """Let a fleet with faulty VMs send to a server whose limit changes half-way."""
     fleet = ModelFleet(loop, vms, {}, Bounds(), loss=0.05, seed=seed)
     rng = random.Random(seed)
-    everyone = list(fleet.vms.values())
-    struck = set()
-    for strike in strikes:
-        vm = everyone[strike.vm % vms]
-        struck.add(vm.name)
-        loop.call_later(strike.at, _strike, fleet, vm, strike)
+    all_vms = list(fleet.vms.values())
+    faulty = set()
+    for fault in faults:
+        vm = all_vms[fault.vm % vms]
+        faulty.add(vm.name)
+        loop.call_later(fault.at, _inject, fleet, vm, fault)
     sent: list[tuple[float, ModelVm]] = []
     began = loop.time()
 
@@ -85,59 +85,59 @@
             sent.append((loop.time() - began, vm))
 
     asks = []
-    while (now := loop.time() - began) < DAY_S:
-        rate = rates[now > DAY_S / 2]
-        await asyncio.sleep(rng.expovariate(ASKED * rate))
-        ready = [vm for vm in everyone if vm.alive and vm.frozen_until <= loop.time()]
+    while (now := loop.time() - began) < RUN_S:
+        rate = rates[now > RUN_S / 2]
+        await asyncio.sleep(rng.expovariate(DEMAND_FACTOR * rate))
+        ready = [vm for vm in all_vms if vm.alive and vm.frozen_until <= loop.time()]
         if ready:
             asks.append(loop.create_task(ask(rng.choice(ready), rate)))
     await asyncio.gather(*asks)
-    return Day(sent, struck)
+    return Run(sent, faulty)
 
 
-def _strike(fleet: ModelFleet, vm: ModelVm, strike: Strike) -> None:
-    if strike.kind == "kill" and vm.alive:
+def _inject(fleet: ModelFleet, vm: ModelVm, fault: Fault) -> None:
+    if fault.kind == "kill" and vm.alive:
         fleet.kill([vm], 1.0)
-    elif strike.kind == "freeze":
+    elif fault.kind == "freeze":
         fleet.freeze([vm], 3.0)
     else:
-        fleet.cut([vm], strike.vm + 1 if strike.kind == "cut" else 0)
+        fleet.cut([vm], fault.vm + 1 if fault.kind == "cut" else 0)
 
 
-class AnyDay(unittest.TestCase):
+class AnyRun(unittest.TestCase):
     @settings(max_examples=25, deadline=None)
     @given(
         st.tuples(st.floats(0.5, 30.0), st.floats(0.5, 30.0)),
-        STRIKES,
+        FAULTS,
         st.integers(3, 12),
         st.integers(0, 99),
     )
-    def test_vms_that_nothing_strikes_stay_within_the_bound(
-        self, rates: tuple[float, float], strikes: list[Strike], vms: int, seed: int
+    def test_vms_without_faults_stay_within_the_bound(
+        self, rates: tuple[float, float], faults: list[Fault], vms: int, seed: int
     ) -> None:
-        day = run_virtual(lambda loop: play(loop, rates, strikes, vms, seed))
-        most = most_in_window(day.by_unstruck(), 0.0)
+        run = run_virtual(lambda loop: run_fleet(loop, rates, faults, vms, seed))
+        most = most_in_window(run.by_faultless(), 0.0)
         self.assertLessEqual(most, allowed(max(rates)))
 
-    def test_in_calm_the_whole_limit_is_used(self) -> None:
+    def test_without_faults_the_whole_limit_is_used(self) -> None:
         for rate in (0.5, 3.5, 20.0):
-            day = run_virtual(lambda loop, rate=rate: play(loop, (rate, rate), [], 12, 1))
-            self.assertGreaterEqual(len(day.sent) / DAY_S, 0.9 * rate)
+            run = run_virtual(lambda loop, rate=rate: run_fleet(loop, (rate, rate), [], 12, 1))
+            self.assertGreaterEqual(len(run.sent) / RUN_S, 0.9 * rate)
 
     def test_a_lower_limit_holds_soon(self) -> None:
-        day = run_virtual(lambda loop: play(loop, (20.0, 2.0), [], 12, 1))
-        self.assertLessEqual(most_in_window(day.by_unstruck(), DAY_S / 2 + 0.5), allowed(2.0))
+        run = run_virtual(lambda loop: run_fleet(loop, (20.0, 2.0), [], 12, 1))
+        self.assertLessEqual(most_in_window(run.by_faultless(), RUN_S / 2 + 0.5), allowed(2.0))
 
 
-class Rights(unittest.TestCase):
-    def test_each_process_has_a_quota_of_its_own_that_is_no_workspaces(self) -> None:
+class Grants(unittest.TestCase):
+    def test_each_process_has_a_quota_that_is_no_workspaces(self) -> None:
         one, other = server_quota(ENTRY, 3.0), server_quota(ENTRY._replace(incarnation=8), 3.0)
         self.assertNotEqual(one.name, other.name)
         self.assertTrue(is_server_quota(one.name))
         self.assertFalse(is_server_quota("server|s0|7"))
         self.assertEqual(one.hall, "r0-1")
 
-    def test_what_was_not_sent_may_be_sent_by_another(self) -> None:
+    def test_a_returned_grant_can_be_taken_again(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = ModelFleet(loop, 3, {}, Bounds())
             await pass_time(5.0)
@@ -165,25 +165,25 @@
 
         run_virtual(main)
 
-    def test_nothing_is_kept_of_servers_that_are_forgotten(self) -> None:
+    def test_no_quota_is_kept_of_servers_whose_statements_were_dropped(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await StatementFleet.start(loop)
             [server, *_] = fleet.servers()
             server.says["Server-Limit"] = "5"
             await pass_time(4.0)
-            self.assertGreaterEqual(_held(fleet), 1)
+            self.assertGreaterEqual(_server_quota_count(fleet), 1)
             fleet.fleet.store.remove(f"servers/{server.server_id}")
             for vm in fleet.fleet.vms:
                 for stated in vm.gateway.servers.registry.statement_table.rows.values():
-                    stated.touched_at = -FORGOTTEN_AFTER_S
+                    stated.updated_at = -FORGOTTEN_AFTER_S
             await pass_time(3.0)
-            self.assertEqual(_held(fleet), 0)
+            self.assertEqual(_server_quota_count(fleet), 0)
 
         run_virtual(main)
 
 
-def _held(fleet: StatementFleet) -> int:
-    """Return of how many servers the VMs count requests, each VM's added up."""
+def _server_quota_count(fleet: StatementFleet) -> int:
+    """Return the number of servers' quotas that the VMs keep, summed over all VMs."""
     quotas = [vm.gateway.upkeep.workspaces.quotas for vm in fleet.fleet.vms]
     return sum(sum(map(is_server_quota, {*held.used, *held.refused})) for held in quotas)
 
