--- a/tests/statement_fleet.py
+++ b/tests/statement_fleet.py
@@ -1,6 +1,6 @@
-"""Callers of a fleet whose backend servers state limits, that they leave, or ask for rest.
+"""Callers of a fleet whose backend servers state limits, that they are leaving, or ask for a pause.
 
-Owns what arrives at each server, by VM, and the bounds from the servers' own point of view.
+Owns the requests that arrive at each server, by VM, and the bounds as the servers see them.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 from .crash_fleet import Callers, CrashFleet
 
 WINDOW_S = 4.0
-"""Window of the bound on what a server gets, in seconds."""
+"""Window of the bound on the requests to a server, in seconds."""
 
 OBJECTS = 24
 CALLS_PER_S = 80.0
@@ -36,7 +36,7 @@
     async def start(
         cls, loop: VirtualLoop, *, vms: int = 4, servers: int = 8, calls_per_s: float = CALLS_PER_S
     ) -> "StatementFleet":
-        """Return a fleet whose servers know their objects."""
+        """Return a fleet under load whose servers have their objects warm."""
         fleet = await CrashFleet(loop, vms=vms, servers=servers).ready()
         fleet_under_load = cls(fleet, calls_per_s=calls_per_s)
         await pass_time(4.0)
@@ -52,17 +52,17 @@
         return sorted(self.fleet.servers.values(), key=lambda s: -len(s.arrivals))
 
     def served(self, since: float, until: float) -> float:
-        """Return the part of the requests sent in a time that was answered by a server."""
+        """Return the part of the requests sent from `since` to `until` that a server answered."""
         rows = [row for row in self.callers.rows if since <= row[0] < until]
         return sum(row[2] == 200 for row in rows) / max(1, len(rows))
 
 
 class SteadyCallers(Callers):
-    """Callers that ask VM after VM for one of 24 objects, and keep when each was answered how.
+    """Callers that ask VM after VM for one of 24 objects, and record how each request ended.
 
     Attributes:
-        rows: For each request: when it was sent, how long it took in seconds, its status, and
-            when its caller may come back in seconds, None for no time.
+        rows: For each request: when it was sent and how long it took, in seconds, its status, and
+            the time in seconds after which its caller may return, None for no time.
     """
 
     def __init__(self, fleet: CrashFleet, *, pause_s: float) -> None:
@@ -77,45 +77,45 @@
 
 
 def sent_after_told(fleet: CrashFleet, server: ScriptedServer, since: float, bound_s: float) -> int:
-    """Return the requests from VMs that a server had told something for longer than a bound.
+    """Return the requests from VMs to which a server stated something longer ago than a bound.
 
     Args:
         fleet: The fleet.
-        server: The server, which has said it in all answers since some time.
-        since: That time, in seconds.
+        server: The server, which states it in all answers from `since` on.
+        since: Virtual time, in seconds.
         bound_s: Time from the first such answer to a VM, in seconds.
     """
-    told: dict[str, float] = {}
+    first_told_at: dict[str, float] = {}
     for answer in server.answered:
         vm = fleet.asked.get(answer.request_id)
         if vm is not None and answer.at >= since:
-            told.setdefault(vm, answer.at)
+            first_told_at.setdefault(vm, answer.at)
     return sum(
-        at > told.get(fleet.asked.get(request_id, ""), float("inf")) + bound_s
+        at > first_told_at.get(fleet.asked.get(request_id, ""), float("inf")) + bound_s
         for at, request_id in server.arrived
     )
 
 
-def sent_in_rests(fleet: CrashFleet, server: ScriptedServer) -> int:
-    """Return the requests beyond the two that a server may get from a VM that it asked for rest.
+def sent_in_pauses(fleet: CrashFleet, server: ScriptedServer) -> int:
+    """Return the requests beyond two that a server got from a VM that it asked for a pause.
 
-    Counted from half a second after each refusal to the end of the rest that it asked for.
+    They are counted from half a second after each refusal to the end of the pause.
     """
-    beyond = 0
+    excess = 0
     for answer in server.answered:
         vm = fleet.asked.get(answer.request_id)
         if answer.rest_s is None or vm is None:
             continue
-        within = sum(
+        in_pause = sum(
             answer.at + 0.5 < at < answer.at + answer.rest_s and fleet.asked.get(request_id) == vm
             for at, request_id in server.arrived
         )
-        beyond = max(beyond, within - 2)
-    return beyond
+        excess = max(excess, in_pause - 2)
+    return excess
 
 
 def most_in_window(arrivals: Iterable[float], since: float, until: float = float("inf")) -> int:
-    """Return the most arrivals in any window that begins in a time."""
+    """Return the largest number of arrivals in any window that begins from `since` to `until`."""
     times = sorted(at for at in arrivals if since <= at < until)
     return max(
         (bisect_left(times, at + WINDOW_S) - index for index, at in enumerate(times)), default=0
@@ -123,12 +123,12 @@
 
 
 def allowed(limit_per_s: float) -> float:
-    """Return the most requests that a server with a limit may get in a window."""
+    """Return the maximum number of requests that a server with a limit may get in a window."""
     return 1.5 * limit_per_s * WINDOW_S + 5
 
 
 def broken_bounds(**figures: tuple[float, str, float]) -> list[str]:
-    """Return the figures that are beyond their bounds.
+    """Return the figures that exceed their bounds.
 
     Args:
         **figures: Each figure, `<=` or `>=`, and its bound.
--- a/tests/test_gateway_server_limits.py
+++ b/tests/test_gateway_server_limits.py
@@ -1,12 +1,15 @@
-"""Two servers stated limits of 3.3 and 5.1 requests a second and got their usual load.
-
-Nothing read what they stated. They got 8 and 12 requests a second before and after, 33 and 43 in
-4 s where 25 and 36 were allowed, and 119 of the 121 sends to the first were answered first tries:
-no retries, nothing that went around a limit. The lines of all VMs named none.
-
-So a server gets what it states from the whole fleet, whoever heard it; its objects go to other
-servers meanwhile; where all servers are at their limits, callers are refused at once with a time to
-come back; and a server that states a limit no longer gets its usual share again.
+"""Servers that state a limit get no more than that from the whole fleet.
+
+The tests guard against a failure in which nothing read the limits that servers stated. Two servers
+stated limits of 3.3 and 5.1 requests a second and got 8 and 12 requests a second before and after:
+33 and 43 requests in 4 s, where 25 and 36 were allowed. Of the 121 sends to the first server, 119
+were answered first tries, so neither retries nor another path around a limit caused the excess, and
+no VM logged the limits.
+
+A server therefore gets what it states from the whole fleet, whichever VM received the statement,
+and its objects go to other servers meanwhile. If all servers are at their limits, callers are
+refused at once with a time to return. A server that no longer states a limit gets its usual share
+again.
 """
 
 import unittest
@@ -16,11 +19,11 @@
 from .statement_fleet import StatementFleet, allowed, broken_bounds, most_in_window
 
 CONTACT_S = 4.0
-"""Time from the first statement of a limit until it holds over the fleet, in seconds."""
+"""Time from the first statement of a limit until the whole fleet keeps it, in seconds."""
 
 
 class Limits(unittest.TestCase):
-    def test_a_server_gets_what_it_states_and_callers_lose_nothing_by_it(self) -> None:
+    def test_a_server_gets_what_it_states_and_callers_are_still_served(self) -> None:
         broken = {
             "one server": run_virtual(_one_server),
             "all servers": run_virtual(_all_servers),
@@ -28,7 +31,7 @@
         }
         self.assertEqual({case: found for case, found in broken.items() if found}, {})
 
-    def test_what_is_no_limit_limits_nothing(self) -> None:
+    def test_a_value_that_is_no_limit_limits_nothing(self) -> None:
         for text in ("many", "-1", "nan", "1e999"):
             with self.subTest(text=text):
                 run_virtual(lambda loop, text=text: self._no_limit(loop, text))
@@ -46,7 +49,7 @@
 
 
 async def _one_server(loop: VirtualLoop) -> list[str]:
-    """Return what is broken while one server states a limit."""
+    """Return the broken bounds while one server states a limit."""
     fleet = await StatementFleet.start(loop)
     server = fleet.servers()[0]
     server.says["Server-Limit"] = "5"
@@ -61,7 +64,7 @@
 
 
 async def _all_servers(loop: VirtualLoop) -> list[str]:
-    """Return what is broken while all servers state limits far below what is asked for."""
+    """Return the broken bounds while all servers state limits far below the demand."""
     fleet = await StatementFleet.start(loop)
     for server in fleet.servers():
         server.says["Server-Limit"] = "3"
@@ -81,7 +84,7 @@
 
 
 async def _end(loop: VirtualLoop) -> list[str]:
-    """Return what is broken after a server has stated a limit for a while."""
+    """Return the broken bounds after the end of a limit."""
     fleet = await StatementFleet.start(loop)
     server = fleet.servers()[0]
     began = loop.time()
--- a/tests/test_leaving_marks.py
+++ b/tests/test_leaving_marks.py
@@ -1,4 +1,4 @@
-"""Marks of leaving backend servers among the VMs of a hall."""
+"""Marks of leaving backend servers, exchanged among the VMs of a data hall."""
 
 import unittest
 
@@ -24,7 +24,7 @@
 
 
 class Hall:
-    """Three VMs of one hall; the first one alone hears a server's report that it is leaving."""
+    """Three VMs of one data hall; only the first gets a server's report that it is leaving."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -37,7 +37,7 @@
         self.server = next(iter(admission.servers))
 
     def report(self) -> None:
-        """Let the first VM hear the report, by a probe or with an answer."""
+        """Let the first VM get the report, by a probe or with an answer."""
         self.nodes[0].hall.admissions[self.service].leaving(self.server, self.now + LEAVING_S)
 
     def step(self) -> None:
@@ -63,7 +63,7 @@
 
 
 class LeavingMarks(unittest.TestCase):
-    def test_what_the_platform_lists_at_one_vm_reaches_all(self) -> None:
+    def test_a_mark_of_the_platform_at_one_vm_reaches_all(self) -> None:
         hall = Hall()
         hall.pass_time(20.0)
         hall.nodes[0].hall.mark_leaving([hall.server], hall.now + LEAVING_S)
@@ -72,7 +72,7 @@
         hall.pass_time(3 * LEAVING_S)
         self.assertEqual(hall.gives_slots(), [True, True, True])
 
-    def test_a_single_report_ends_at_all_vms(self) -> None:
+    def test_the_mark_of_a_single_report_lapses_at_all_vms(self) -> None:
         hall = Hall()
         hall.pass_time(20.0)
         hall.report()
@@ -89,7 +89,7 @@
         hall.pass_time(LEAVING_S / 2)
         self.assertEqual(hall.listed(), [True, False, False])
 
-    def test_a_server_that_still_leaves_stays_marked_at_all_vms(self) -> None:
+    def test_a_server_that_keeps_reporting_stays_marked_at_all_vms(self) -> None:
         hall = Hall()
         hall.pass_time(20.0)
         hall.report()
@@ -99,7 +99,7 @@
             hall.pass_time(PROBE_S)
             self.assertEqual(hall.gives_slots(), [False, False, False], f"at {hall.now} s")
 
-    def test_the_requests_on_a_server_marked_by_another_vm_are_still_reported(self) -> None:
+    def test_requests_on_a_server_that_another_vm_marked_are_still_reported(self) -> None:
         hall = Hall()
         hall.pass_time(20.0)
         hall.report()
