--- a/sprucewinch/gateway/servers/cold_limit.py
+++ b/sprucewinch/gateway/servers/cold_limit.py
@@ -1,18 +1,18 @@
 """Decides which backend servers count as cold, and how many requests this VM may send them.
 
-A server counts as cold if its entry says so, if it appeared after this VM's start, or if the
+A server counts as cold if its entry says so, if it appears after this VM's start, or if the
 evacuation of its data hall has ended; in each case for the stated time or its service's warm-up,
 plus `COLD_MARGIN_S`.
 
 All VMs together may send a cold server at most the requests a second that the service's rule
-states, times the fleet's factor plus its slack (`cold_over`, `cold_slack`). A part of that bound
-is left as a margin, and the rest is divided among the registered VMs: most of it among the VMs of
-the server's region, the remainder among the others. Requests that do not divide evenly go to the
-first VMs in an order by hash. The bound is divided in advance because VMs that asked each other
-before each send would be too late, and a bound that is not divided is exceeded. If the
-configuration states no bound, or 0, each VM may send a cold server as many requests as the server
-has slots. While less than `_MIN_ANSWERED_PART` of the requests to a service's cold servers are
-answered in time, the fleet sends each of them only `_COLD_TRIALS_PER_S`.
+states, times the fleet's factor plus its slack (`cold_over`, `cold_slack`). `_BOUND_USED_PART` of
+that bound is divided among the registered VMs: most of it among the VMs of the server's region, the
+remainder among the others. Requests that do not divide evenly go to the first VMs in an order by
+hash. The bound is divided in advance because VMs that asked each other before each send would be
+too late, and a bound that is not divided is exceeded. If the configuration states no bound, or 0,
+each VM may send a cold server as many requests as the server has slots. While less than
+`_MIN_ANSWERED_PART` of the requests to a service's cold servers are answered in time, the fleet
+sends each of them only `_COLD_TRIALS_PER_S`.
 
 Owns this VM's sends to cold servers within `_COLD_WINDOW_S` and the part of them that is answered
 in time. Relies on `state` for the configuration, the registered VMs and the outages of the store.
@@ -184,8 +184,8 @@
 
 def _part_at_rank(requests: int, vms: int, rank: int) -> int:
     """Return the part of the VM at a rank, from 0, when requests are divided among VMs."""
-    every, left_over = divmod(requests, max(1, vms))
-    return every + (rank < left_over)
+    share, remainder = divmod(requests, max(1, vms))
+    return share + (rank < remainder)
 
 
 class ColdStart(NamedTuple):
@@ -206,7 +206,7 @@
 
     Args:
         store_view: What this VM holds of the store.
-        lapsed_entries: Tells when a missing entry may be that of a living server.
+        lapsed_entries: Decides when a missing entry may be that of a running server.
     """
 
     def __init__(self, store_view: StoreView, lapsed_entries: LapsedEntries) -> None:
--- a/sprucewinch/gateway/servers/outliers.py
+++ b/sprucewinch/gateway/servers/outliers.py
@@ -321,6 +321,6 @@
         )
 
     def _may_eject_another(self, servers: Sequence[BackendServer], part: float, now: float) -> bool:
-        """Return whether a part of some servers is not exceeded when one more is ejected."""
+        """Return whether one more server can be ejected without exceeding a part of all given."""
         ejected_count = sum(self.ejected(server, now) for server in servers)
         return ejected_count + 1 <= part * len(servers)
--- a/sprucewinch/gateway/servers/pool.py
+++ b/sprucewinch/gateway/servers/pool.py
@@ -8,7 +8,7 @@
 A VM keeps at most its part of the connections that a server accepts: 24 idle connections from each
 of 89 VMs would be more than the 1,770 that one server accepts.
 
-Inputs are the server's address, the time for which the server says that it keeps a connection, in
+Inputs are the server's address, the time for which the server states that it keeps a connection, in
 seconds, how many connections it accepts, and the number of VMs. Owns the idle connections; relies
 on `net.connection`, whose `ConnectFailedError` it passes on. Opened connections show in the metric
 `backend_connections_opened`. Tests: `test_gateway_pool`.
--- a/sprucewinch/gateway/servers/probe.py
+++ b/sprucewinch/gateway/servers/probe.py
@@ -101,7 +101,7 @@
 
     async def probe(self, server: BackendServer) -> None:
         """Probe one server for how long it stays cold; without a clear answer it counts as cold."""
-        if self._is_not_probed(server):
+        if self._declines_requests(server):
             return
         rule = service_rule(self.registry.store_view, server.backend.service)
         if rule is None or not rule.health_path:
@@ -115,7 +115,7 @@
             server.cold_until = self.monotonic() + left_s + COLD_MARGIN_S if left_s else 0.0
         self.events.state("probe", server=server.backend.id, status=result.status, cold_s=left_s)
 
-    def _is_not_probed(self, server: BackendServer) -> bool:
+    def _declines_requests(self, server: BackendServer) -> bool:
         """Return whether a server itself states that it is leaving, paused or limited."""
         now, stated = self.monotonic(), server.stated
         return server.leaving or stated.rest_until > now or stated.is_limited(now)
--- a/sprucewinch/gateway/statements/server_quotas.py
+++ b/sprucewinch/gateway/statements/server_quotas.py
@@ -9,7 +9,7 @@
 with a probability needs every VM to know the demand at all others.
 
 Relies on the statements that this VM knows of the server's process, on `stated_limit` for the rate
-and on `quotas.quota`. Results show in `limited_until` of `/state`, and in the outcome `no-server`
+and on `quotas.quota`. Results show in `no_token_s` of `/state`, and in the outcome `no-server`
 if all servers are skipped. Tests: tests/test_gateway_server_limits.py.
 """
 
--- a/tools/wrong_statement_versions.py
+++ b/tools/wrong_statement_versions.py
@@ -124,7 +124,7 @@
         "BUDGET",
         "probes go to servers that leave, rest or limit themselves",
         f"{_SERVERS}/probe.py",
-        "if self._is_not_probed(server):",
+        "if self._declines_requests(server):",
         "if False:",
         _PROBES,
     ),
--- a/tools/wrong_version_list.py
+++ b/tools/wrong_version_list.py
@@ -312,8 +312,8 @@
         "FAILBACK",
         "the limit on a cold server is not divided",
         f"{_GATEWAY}/servers/cold_limit.py",
-        "every, left_over = divmod(requests, max(1, vms))",
-        "every, left_over = divmod(requests, 1)",
+        "share, remainder = divmod(requests, max(1, vms))",
+        "share, remainder = divmod(requests, 1)",
         ("tests.test_gateway_cold_limit.ColdLimit",),
     ),
     WrongVersion(
