--- a/sprucewinch/gateway/statements/process_statements.py
+++ b/sprucewinch/gateway/statements/process_statements.py
@@ -87,7 +87,7 @@
             until = max(until, self.no_token_until)
         return until if until > now else None
 
-    def ask_rest(self, rest_s: float, now: float) -> bool:
+    def start_pause(self, rest_s: float, now: float) -> bool:
         """Start the pause that the process asks for; returns True if it was not paused before.
 
         The latest end holds: a shorter pause that is asked for meanwhile does not cut it.
--- a/sprucewinch/gateway/statements/stated_limit.py
+++ b/sprucewinch/gateway/statements/stated_limit.py
@@ -58,7 +58,7 @@
         self.own = False
         self.ended_at: Optional[float] = None
 
-    def answered(self, per_s: Optional[float], started: float, now: float) -> bool:
+    def apply_answer(self, per_s: Optional[float], started: float, now: float) -> bool:
         """Apply an answer of the server.
 
         Args:
@@ -77,7 +77,7 @@
         self.own = True
         return changed
 
-    def reported(self, per_s: Optional[float], age_s: float, now: float) -> None:
+    def apply_report(self, per_s: Optional[float], age_s: float, now: float) -> None:
         """Apply a report of another VM.
 
         Args:
--- a/sprucewinch/gateway/statements/statements.py
+++ b/sprucewinch/gateway/statements/statements.py
@@ -82,7 +82,7 @@
         if not answer.statement.by_server:
             return
         limit_per_s = answer.statement.limit_per_s
-        changed = stated.limit.answered(limit_per_s, answer.started, now)
+        changed = stated.limit.apply_answer(limit_per_s, answer.started, now)
         if changed:
             self.events.state(
                 "server-limit", server=backend.id, per_s=limit_per_s, id=answer.request_id
@@ -105,7 +105,7 @@
         self.events.count("server_rests_asked")
         stated.updated_at = now
         jitter_s = self.rng.uniform(0.0, min(_MAX_JITTER_S, _JITTER_PART * rest_s))
-        if stated.ask_rest(rest_s + jitter_s, now):
+        if stated.start_pause(rest_s + jitter_s, now):
             self.events.state(
                 "server-asks-rest", server=backend.id, rest_s=rest_s, id=answer.request_id
             )
@@ -121,7 +121,7 @@
         stated.updated_at = now
         if report.leaving:
             self.table.note_leaving(stated, now)
-        stated.limit.reported(report.limit_per_s, report.age_ms / MS_PER_S, now)
+        stated.limit.apply_report(report.limit_per_s, report.age_ms / MS_PER_S, now)
 
     def _report(
         self,
--- a/tests/test_gateway_probe.py
+++ b/tests/test_gateway_probe.py
@@ -96,8 +96,8 @@
             path.world.configure(route())
             leaving, paused, limited, plain = servers = self._servers(path)
             path.world.registry.statement_table.note_leaving(leaving.stated, loop.time())
-            paused.stated.ask_rest(2.0, loop.time())
-            limited.stated.limit.answered(3.0, loop.time(), loop.time())
+            paused.stated.start_pause(2.0, loop.time())
+            limited.stated.limit.apply_answer(3.0, loop.time(), loop.time())
             for server in servers:
                 await prober_of(path).probe(server)
             return [server.probes for server in path.servers.values()]
--- a/tests/test_gateway_process_statements.py
+++ b/tests/test_gateway_process_statements.py
@@ -34,8 +34,8 @@
 
     def test_the_latest_end_of_a_pause_holds(self) -> None:
         stated = ProcessStatements()
-        self.assertTrue(stated.ask_rest(3.0, 100.0))
-        self.assertFalse(stated.ask_rest(0.5, 101.0))
+        self.assertTrue(stated.start_pause(3.0, 100.0))
+        self.assertFalse(stated.start_pause(0.5, 101.0))
         self.assertEqual(stated.refused_until(102.9), 103.0)
         self.assertIsNone(stated.refused_until(103.0))
 
@@ -50,11 +50,11 @@
 
     def test_the_reason_why_a_server_is_skipped(self) -> None:
         server = BackendServer(ENTRY)
-        server.stated.limit.answered(3.0, 99.0, 100.0)
+        server.stated.limit.apply_answer(3.0, 99.0, 100.0)
         server.stated.no_token_until = 101.0
         reason = unusable_reason(server, 100.5, lambda *_: False, lambda _: 1)
         self.assertIs(reason, UnusableReason.LIMITED)
-        server.stated.ask_rest(1.0, 100.0)
+        server.stated.start_pause(1.0, 100.0)
         reason = unusable_reason(server, 100.5, lambda *_: False, lambda _: 1)
         self.assertIs(reason, UnusableReason.ASKED_REST)
         server.stated.limit = StatedLimit()
@@ -85,9 +85,9 @@
         if statement == "leaves":
             registry.statement_table.note_leaving(stated, loop.time())
         elif statement == "rests":
-            stated.ask_rest(5.0, loop.time())
+            stated.start_pause(5.0, loop.time())
         else:
-            stated.limit.answered(1.0, loop.time(), loop.time())
+            stated.limit.apply_answer(1.0, loop.time(), loop.time())
         reply = await task
         self.assertEqual(first.runs, [])
         return reply.status, [attempt.why for attempt in request.attempts]
@@ -121,7 +121,7 @@
             path.world.configure(route())
             registry = path.world.registry
             for server in registry.servers.values():
-                server.stated.ask_rest(2.0, loop.time())
+                server.stated.start_pause(2.0, loop.time())
             replies = await asyncio.gather(
                 *(path.pipeline.run(path.request(f"q{number}")) for number in range(6))
             )
--- a/tests/test_gateway_server_quotas.py
+++ b/tests/test_gateway_server_quotas.py
@@ -143,7 +143,7 @@
             await pass_time(5.0)
             first, second = list(fleet.vms.values())[:2]
             stated = ProcessStatements()
-            stated.limit.answered(0.5, loop.time(), loop.time())
+            stated.limit.apply_answer(0.5, loop.time(), loop.time())
             quotas = [FleetServerQuotas(vm.quotas, loop.time) for vm in (first, second)]
             grants = [await quotas[0].take(ENTRY, stated) for _ in range(3)]
             self.assertIsNone(grants[-1])
--- a/tests/test_gateway_stated_limit.py
+++ b/tests/test_gateway_stated_limit.py
@@ -21,16 +21,16 @@
         self,
     ) -> None:
         limit = StatedLimit()
-        self.assertTrue(limit.answered(3.0, 9.9, 10.0))
+        self.assertTrue(limit.apply_answer(3.0, 9.9, 10.0))
         self.assertEqual(limit.rate_per_s(500.0), 3.0)
-        self.assertFalse(limit.answered(None, 9.99, 500.0))
+        self.assertFalse(limit.apply_answer(None, 9.99, 500.0))
         self.assertEqual(limit.rate_per_s(500.0), 3.0)
-        self.assertTrue(limit.answered(None, 10.01, 500.0))
+        self.assertTrue(limit.apply_answer(None, 10.01, 500.0))
 
     def test_after_its_end_the_rate_grows_until_there_is_no_limit(self) -> None:
         limit = StatedLimit()
-        limit.answered(3.0, 9.9, 10.0)
-        limit.answered(None, 11.0, 11.1)
+        limit.apply_answer(3.0, 9.9, 10.0)
+        limit.apply_answer(None, 11.0, 11.1)
         rates = [limit.rate_per_s(11.1 + tenth / 10) for tenth in range(30)]
         self.assertEqual(rates, sorted(rates))
         self.assertAlmostEqual(rates[0], 3.0)
@@ -39,41 +39,41 @@
 
     def test_the_lower_of_two_overlapping_answers_holds(self) -> None:
         limit = StatedLimit()
-        limit.answered(3.0, 9.0, 10.0)
-        limit.answered(8.0, 9.5, 10.1)
+        limit.apply_answer(3.0, 9.0, 10.0)
+        limit.apply_answer(8.0, 9.5, 10.1)
         self.assertEqual(limit.rate_per_s(10.1), 3.0)
-        limit.answered(8.0, 10.2, 10.3)
+        limit.apply_answer(8.0, 10.2, 10.3)
         self.assertEqual(limit.rate_per_s(10.3), 8.0)
 
     def test_a_limit_of_zero_still_allows_the_lowest_rate(self) -> None:
         limit = StatedLimit()
-        limit.answered(0.0, 9.9, 10.0)
+        limit.apply_answer(0.0, 9.9, 10.0)
         self.assertEqual(limit.rate_per_s(10.0), MIN_PER_S)
 
 
 class ReportedByOthers(unittest.TestCase):
     def test_it_lapses_after_a_time(self) -> None:
         limit = StatedLimit()
-        limit.reported(3.0, 0.2, 10.0)
+        limit.apply_report(3.0, 0.2, 10.0)
         self.assertEqual(limit.rate_per_s(10.0), 3.0)
         self.assertIsNone(limit.rate_per_s(9.8 + REPORTED_KEPT_S + 0.01))
 
     def test_an_older_report_changes_nothing(self) -> None:
         limit = StatedLimit()
-        limit.answered(3.0, 9.9, 10.0)
-        limit.reported(9.0, 1.0, 10.5)
-        limit.reported(None, 0.4, 10.5)
+        limit.apply_answer(3.0, 9.9, 10.0)
+        limit.apply_report(9.0, 1.0, 10.5)
+        limit.apply_report(None, 0.4, 10.5)
         self.assertEqual(limit.rate_per_s(10.5), 3.0)
-        limit.answered(None, 10.6, 10.7)
-        limit.reported(3.0, 0.5, 10.8)
+        limit.apply_answer(None, 10.6, 10.7)
+        limit.apply_report(3.0, 0.5, 10.8)
         self.assertIsNotNone(limit.ended_at)
 
     def test_a_newer_report_changes_and_ends_what_the_server_stated(self) -> None:
         limit = StatedLimit()
-        limit.answered(3.0, 9.9, 10.0)
-        limit.reported(2.0, 0.0, 11.0)
+        limit.apply_answer(3.0, 9.9, 10.0)
+        limit.apply_report(2.0, 0.0, 11.0)
         self.assertEqual(limit.rate_per_s(100.0), 2.0)
-        limit.reported(None, 0.1, 13.0)
+        limit.apply_report(None, 0.1, 13.0)
         self.assertIsNone(limit.rate_per_s(17.0))
 
 
@@ -110,7 +110,7 @@
         limit = StatedLimit()
         made = [(began + work + way, began, began + work) for began, work, way in answers]
         for arrived, began, stated_at in [*sorted(made), (31.0, 30.0, 30.5), (33.0, 32.0, 32.5)]:
-            limit.answered(server.states(stated_at), began, arrived)
+            limit.apply_answer(server.states(stated_at), began, arrived)
         last = server.states(33.0)
         self.assertEqual(limit.rate_per_s(50.0), last)
 
