--- a/sprucewinch/gateway/servers/usability.py
+++ b/sprucewinch/gateway/servers/usability.py
@@ -3,15 +3,16 @@
 There are two checks, because their inputs change at different rates. The first runs when an item
 of the store changes or a server states that it is leaving: a server that is draining or leaving, or
 whose data hall is evacuated, is not offered to any request. The second runs for each request: an
-offered server is skipped if it has itself asked for no requests (a pause or a rate limit), is in
-back-off after failures, is silent, is ejected as an outlier, or is cold and has used up this VM's
-allowance. In both checks the first reason that holds is returned. Times are monotonic, in seconds.
+offered server is skipped if it declines requests itself (it asked for a pause, or its rate limit is
+used up), is in back-off after failures, is silent, is ejected as an outlier, or is cold and has
+used up this VM's allowance. In both checks the first reason that holds is returned. Times are
+monotonic, in seconds.
 
 The first check and the server's own statements are evaluated again before the first byte of a
 request is sent (`requests.sender`). The other conditions are not: the request itself counts
 towards them by then, and a skipped server may have been tried on purpose. When every server of a
-request is skipped, `server_selection` still tries the first one that is not cold and has not
-asked for no requests. Room is checked elsewhere, as a request may wait for room but not for a
+request is skipped, `server_selection` still tries the first one that is not cold and does not
+decline requests itself. Room is checked elsewhere, as a request may wait for room but not for a
 server to recover.
 
 The module has no limits and no state of its own. It relies on the fields of `BackendServer`, on
--- a/tests/statement_fleet.py
+++ b/tests/statement_fleet.py
@@ -76,7 +76,9 @@
         self.rows.append((sent, took_s, reply.status, reply.retry_after_s))
 
 
-def sent_after_told(fleet: CrashFleet, server: ScriptedServer, since: float, bound_s: float) -> int:
+def sent_after_statement(
+    fleet: CrashFleet, server: ScriptedServer, since: float, bound_s: float
+) -> int:
     """Return the requests from VMs to which a server stated something longer ago than a bound.
 
     Args:
--- a/tests/test_gateway_leaving_and_rest.py
+++ b/tests/test_gateway_leaving_and_rest.py
@@ -19,7 +19,7 @@
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
 from .crash_fleet import CrashVm
-from .statement_fleet import StatementFleet, broken_bounds, sent_after_told, sent_in_pauses
+from .statement_fleet import StatementFleet, broken_bounds, sent_after_statement, sent_in_pauses
 
 DRAIN_S = 2.0
 """Time from a server's statement to a VM until that VM sends it nothing more, in seconds."""
@@ -33,7 +33,7 @@
             "it leaves, its entry says ready": run_virtual(_one_leaves),
             "it leaves, its entry lapses and comes back": run_virtual(_entry_comes_back),
             "all leave": run_virtual(_all_leave),
-            "settings and replicas are reloaded": run_virtual(_read_anew),
+            "settings and replicas are reloaded": run_virtual(_all_reload),
             "one asks for a pause": run_virtual(_one_pauses),
             "all ask for a pause": run_virtual(_all_pause),
         }
@@ -85,8 +85,8 @@
     return _gets_nothing(fleet, server, since)
 
 
-async def _read_anew(loop: VirtualLoop) -> list[str]:
-    """Return the broken bounds when all VMs reload their settings and reload their replicas."""
+async def _all_reload(loop: VirtualLoop) -> list[str]:
+    """Return the broken bounds when all VMs reload their settings and replicas."""
     fleet = await StatementFleet.start(loop)
     leaving, paused = fleet.servers()[:2]
     since = loop.time()
@@ -101,7 +101,7 @@
     await pass_time(4.0)
     known = [len(vm.gateway.servers.registry.servers) for vm in fleet.fleet.vms]
     return broken_bounds(
-        late=(sent_after_told(fleet.fleet, leaving, since, DRAIN_S), "<=", 0),
+        late=(sent_after_statement(fleet.fleet, leaving, since, DRAIN_S), "<=", 0),
         sent_in_pause=(sent_in_pauses(fleet.fleet, paused), "<=", 0),
         served=(fleet.served(since, since + 6.0), ">=", 0.99),
         known=(min(known), ">=", len(fleet.servers())),
@@ -127,7 +127,7 @@
 def _gets_nothing(fleet: StatementFleet, server, since: float) -> list[str]:
     served = fleet.served(since, since + 7.0)
     return broken_bounds(
-        late=(sent_after_told(fleet.fleet, server, since, DRAIN_S), "<=", 0),
+        late=(sent_after_statement(fleet.fleet, server, since, DRAIN_S), "<=", 0),
         served=(served, ">=", 0.99),
     )
 
@@ -147,7 +147,7 @@
     for server in fleet.servers():
         server.says["Server-Leaving"] = "1"
     await pass_time(6.0)
-    late = max(sent_after_told(fleet.fleet, s, since, DRAIN_S) for s in fleet.servers())
+    late = max(sent_after_statement(fleet.fleet, s, since, DRAIN_S) for s in fleet.servers())
     return broken_bounds(late=(late, "<=", 0), **_refusals(fleet, since + DRAIN_S + 1.0))
 
 
