--- a/sprucewinch/gateway/regions/__init__.py
+++ b/sprucewinch/gateway/regions/__init__.py
@@ -1,5 +1,5 @@
-"""Which region serves which objects: policies in force, region reports, shares.
+"""Steering between regions: the policies in force, the reports of regions and the shares.
 
-Owns the shares in force at this VM. Relies on `steering` for the decisions and on `servers` for
-capacity and load. Read `shares` first.
+Owns the shares of the regions in force at this VM. Relies on `steering` for the decisions and on
+`servers` for capacity and load. Read `shares` first.
 """
--- a/sprucewinch/gateway/regions/share_target.py
+++ b/sprucewinch/gateway/regions/share_target.py
@@ -1,20 +1,19 @@
-"""Rule: towards which shares of the regions the callers of this VM's region move.
-
-Question: which part of the callers of one service may run in which region, before the shift cap
-limits how fast that is reached. Owns nothing and has no state. Relies on `steering`: a `Policy`
-wants weights, the guard (`grant`) limits them.
-
-Inputs: a snapshot (capacity in slots, load in requests, latency and distance in milliseconds, age
-of figures in seconds, demand in requests a second), the shares in force, the former target.
-
-Rule: the policy in force turns the snapshot into weights, and the guard turns these into a target
-that no policy can override. A policy that fails leaves the former target as it is, or the shares in
-force where there is none. A fault never falls back to another policy: that would move callers for
-a reason that is not in the figures.
-
-Constants: none of its own; the guard's are in `steering.guard.GuardLimits`. Its result shows as
-`limits` of a service on `/state`; no log event carries it. Tests: `test_gateway_policies`,
-`test_gateway_region_reports`, `test_guard`.
+"""Computes the shares of the regions that the callers of this VM's region move towards.
+
+The target says which fraction of the callers of a service each region should serve; the shift cap
+then limits how fast it is reached (`shares`). The module has no state. It relies on `steering`: a
+`Policy` returns weights, and the guard (`grant`) limits them. Its inputs are the shares in force,
+the previous target and a snapshot: capacity in slots, load in requests, latency and distance in
+milliseconds, age of the measurements in seconds, demand in requests a second.
+
+The policy in force turns the snapshot into weights, and the guard turns these into a target that no
+policy can override. If a policy fails, the previous target stays, or the shares in force if there
+is none. Another policy is never used instead, as that would move callers for a reason that the
+measurements do not show.
+
+There are no constants that decide; those of the guard are in `steering.guard.GuardLimits`. `/state`
+lists the notes as `limits` of each service; no log event contains them. Tests:
+`test_gateway_policies`, `test_gateway_region_reports`, `test_guard`.
 """
 
 from typing import NamedTuple, Optional
@@ -25,11 +24,11 @@
 from ...steering.policy import Policy, PolicyFault
 
 _FAULT_NOTE = "policy-fault:"
-"""Start of the note on a policy that failed; operators read it on `/state`."""
+"""Prefix of the note on a policy that failed; operators read it in `/state`."""
 
 
 class ShareTarget(NamedTuple):
-    """Shares to move towards, and why they differ from what the policy wants.
+    """The shares to move towards, and why they differ from the weights that the policy returned.
 
     Args:
         shares: The target.
@@ -44,20 +43,20 @@
     policy: Policy,
     snapshot: Snapshot,
     current: Shares,
-    former: Optional[Shares],
+    previous_target: Optional[Shares],
     limits: GuardLimits,
 ) -> ShareTarget:
     """Return the target of one service.
 
     Args:
         policy: The policy in force for the service.
-        snapshot: What is known of the regions.
+        snapshot: Measurements of the regions.
         current: Shares in force.
-        former: The target until now; None when there is none.
+        previous_target: The target until now; None if there is none.
         limits: Limits of the guard.
     """
     wanted = policy.weights(snapshot)
     if isinstance(wanted, PolicyFault):
-        return ShareTarget(former or current, (f"{_FAULT_NOTE}{wanted.problem}",))
+        return ShareTarget(previous_target or current, (f"{_FAULT_NOTE}{wanted.problem}",))
     granted = grant(wanted, current, snapshot, limits)
     return ShareTarget(granted.shares, granted.notes)
--- a/sprucewinch/gateway/regions/shares.py
+++ b/sprucewinch/gateway/regions/shares.py
@@ -1,22 +1,23 @@
-"""Rule: which part of the callers of this VM's region is served in which region now.
-
-Question: the shares in force of each service. Owns the shares in force, their targets and the
-shift limiters. Relies on `share_target` for where they move (policy, then guard), on
-`steering.shift.ShiftLimiter` for how fast, on `BackendRegistry` for the slots of each region and on
-`RegionReports` for its load and latency.
-
-Inputs: slots of the usable backend servers by region, reports of the regions, the policies in
-force, monotonic time in seconds.
-
-Rule: the first request of a service starts with its target, as no caller was steered before.
-From then on each tick plans a new target when an input has changed, and moves the shares towards
-the target as far as the shift cap allows. Each VM applies the cap to its own shares: when every
-VM stays under it, the fleet does, without an exchange. A planner with a lease in the store is
-ruled out: the default policy needs nothing but the slots in the store, which all VMs see alike.
-
-Constants: `SHIFT_WINDOW_S`, `_CAP_SAFETY`, `_HOME_MS`, `_AWAY_MS` below; the cap is a setting
-(`Bounds.shift_cap`). The result shows as `shares` of a service on `/state`; no log event carries
-it. Tests: `test_gateway_policies`, `test_gateway_region_reports`.
+"""Distributes the callers of this VM's region over the regions that serve them.
+
+`RegionShares` owns the shares in force of each service, the shares that they move towards (targets)
+and the shift limiters. It relies on `share_target` for the targets (policy, then guard), on
+`steering.shift.ShiftLimiter` for the speed of the change, on `BackendRegistry` for the slots of
+each region and on `RegionReports` for the load and latency of each region. Its inputs are the slots
+of the usable backend servers by region, the reports of the regions, the policies in force and
+monotonic time in seconds.
+
+The first request of a service starts with the service's target, as no caller was steered before.
+After that, each tick computes a new target if an input has changed, and moves the shares towards
+the target as far as the shift cap allows. Each VM applies the cap to its own shares: the cap is a
+fraction of the callers, so if every VM stays below it, the fleet does too, without any messages
+between VMs. A single planner that holds a lease in the store would add a dependency without need:
+the default policy uses only the slots in the store, and all VMs read the same values there.
+
+The constants are `SHIFT_WINDOW_S`, `_SHIFT_CAP_SAFETY_FACTOR`, `_HOME_DISTANCE_MS` and
+`_OTHER_DISTANCE_MS`; the cap is the setting `Bounds.shift_cap`. `/state` lists the result as
+`shares` of each service; no log event contains it. Tests: `test_gateway_policies`,
+`test_gateway_region_reports`.
 """
 
 from typing import NamedTuple
@@ -31,29 +32,29 @@
 from .share_target import share_target
 
 SHIFT_WINDOW_S = 2.0
-"""Window of the shift cap, in seconds: the platform's bound on shifts counts in such windows."""
+"""Window of the shift cap, in seconds; the platform states its bound on shifts for this window."""
 
-_CAP_SAFETY = 0.8
-"""Safety margin on the shift cap: the part of it that changes of shares may use."""
+_SHIFT_CAP_SAFETY_FACTOR = 0.8
+"""Fraction of the shift cap that changes of shares may use; the rest is a safety margin."""
 
-_HOME_MS = 1.0
-"""Distance that policies are given for the callers' own region, in milliseconds one way.
+_HOME_DISTANCE_MS = 1.0
+"""One-way distance to the callers' own region as policies see it, in milliseconds.
 
-Distances between regions are not measured on the platform.
+It is a fixed value because distances between regions are not measured on the platform.
 """
 
-_AWAY_MS = 10.0
-"""Distance that policies are given for every other region, in milliseconds one way.
+_OTHER_DISTANCE_MS = 10.0
+"""One-way distance to every other region as policies see it, in milliseconds.
 
-As `_HOME_MS`; all other regions count as equally far.
+It is a fixed value like `_HOME_DISTANCE_MS`; all other regions are treated as equally distant.
 """
 
 
-class PlanInputs(NamedTuple):
-    """Generations of what a target is planned from; a new target is due when one differs.
+class TargetInputs(NamedTuple):
+    """Generation numbers of the inputs of a target; if one differs, a new target is computed.
 
     Args:
-        store: Generation of what is held of the store; policies are a part of it.
+        store: Generation of this VM's copy of the store, which includes the policies.
         servers: Generation of the backend servers.
         reports: Generation of the region reports, see `RegionReports.generation`.
     """
@@ -63,8 +64,8 @@
     reports: tuple[int, int]
 
 
-_NEVER_PLANNED = PlanInputs(-1, -1, (-1, -1))
-"""Differs from all inputs: generations start at 0."""
+_NO_INPUTS = TargetInputs(-1, -1, (-1, -1))
+"""Differs from all inputs, as generations start at 0."""
 
 
 class RegionShares:
@@ -73,10 +74,11 @@
     Args:
         registry: Backend servers.
         policies: Policies in force.
-        region_reports: Load and latency of the regions, as far as reports have arrived.
+        region_reports: Load and latency of the regions from which reports have arrived.
         regions: Region of each data hall.
         home: Region of this VM's callers.
-        shift_cap: Most callers that may move within a window.
+        shift_cap: Largest fraction of the callers that may change region within
+            `SHIFT_WINDOW_S`.
     """
 
     def __init__(
@@ -94,64 +96,66 @@
         self.region_reports = region_reports
         self.regions = regions
         self.home = home
-        self.order = tuple(dict.fromkeys(regions.values()))
-        self.cap = ShiftCap(shift_cap * _CAP_SAFETY, SHIFT_WINDOW_S, 0.0)
-        self.limits = GuardLimits(planners=max(1, len(self.order)))
+        self.region_order = tuple(dict.fromkeys(regions.values()))
+        self.shift_cap = ShiftCap(shift_cap * _SHIFT_CAP_SAFETY_FACTOR, SHIFT_WINDOW_S, 0.0)
+        self.guard_limits = GuardLimits(planners=max(1, len(self.region_order)))
         self.limiters: dict[str, ShiftLimiter] = {}
         self.targets: dict[str, Shares] = {}
         self.notes: dict[str, tuple[str, ...]] = {}
-        self._planned_from = _NEVER_PLANNED
+        self._target_inputs = _NO_INPUTS
 
     def shares(self, service: str, now: float) -> Shares:
         """Return the shares in force of a service; they add up to 1.
 
         Args:
-            service: Its name.
+            service: Name of the service.
             now: Monotonic time, in seconds.
         """
         limiter = self.limiters.get(service)
         if limiter is None:
-            self._plan(service, now)
+            self._update_target(service, now)
             limiter = self.limiters[service]
         return limiter.current
 
     def tick(self, now: float) -> None:
-        """Plan again when an input has changed, then move all shares towards their targets.
+        """Recompute the targets if an input has changed, then move all shares towards them.
 
         Args:
             now: Monotonic time, in seconds.
         """
-        inputs = PlanInputs(
+        inputs = TargetInputs(
             self.registry.store_view.generation,
             self.registry.generation,
             self.region_reports.generation(now),
         )
-        if self._planned_from != inputs:
-            self._planned_from = inputs
+        if self._target_inputs != inputs:
+            self._target_inputs = inputs
             for service in list(self.limiters):
-                self._plan(service, now)
+                self._update_target(service, now)
         for service, limiter in self.limiters.items():
             limiter.move(self.targets[service], now)
 
-    def _plan(self, service: str, now: float) -> None:
+    def _update_target(self, service: str, now: float) -> None:
         snapshot = self._snapshot(service, now)
         limiter = self.limiters.get(service)
-        current = limiter.current if limiter else self._by_capacity(snapshot)
+        current = limiter.current if limiter else self._shares_by_capacity(snapshot)
         policy = self.policies.policy_for(service)
-        target = share_target(policy, snapshot, current, self.targets.get(service), self.limits)
+        target = share_target(
+            policy, snapshot, current, self.targets.get(service), self.guard_limits
+        )
         self.targets[service] = target.shares
         self.notes[service] = target.notes
         if limiter is None:
-            self.limiters[service] = ShiftLimiter(self.targets[service], self.cap)
+            self.limiters[service] = ShiftLimiter(self.targets[service], self.shift_cap)
 
-    def _by_capacity(self, snapshot: Snapshot) -> Shares:
+    def _shares_by_capacity(self, snapshot: Snapshot) -> Shares:
         weights = {region: m.capacity for region, m in snapshot.regions.items()}
         if sum(weights.values()) <= 0:
             weights = {self.home: 1.0}
-        return make_shares(self.order, weights)
+        return make_shares(self.region_order, weights)
 
     def _snapshot(self, service: str, now: float) -> Snapshot:
-        capacity = dict.fromkeys(self.order, 0.0)
+        capacity = dict.fromkeys(self.region_order, 0.0)
         for server in self.registry.usable(service):
             region = self.regions.get(server.backend.hall)
             if region is not None:
@@ -160,15 +164,18 @@
             service=service,
             client_region=self.home,
             regions={r: self._measures(service, r, slots, now) for r, slots in capacity.items()},
-            distance_ms={r: _HOME_MS if r == self.home else _AWAY_MS for r in self.order},
+            distance_ms={
+                r: _HOME_DISTANCE_MS if r == self.home else _OTHER_DISTANCE_MS
+                for r in self.region_order
+            },
             demand_per_s=self.region_reports.demand_per_s(service, now),
         )
 
     def _measures(self, service: str, region: str, slots: float, now: float) -> RegionMeasures:
-        """Return what is known of a region.
+        """Return the measurements of a region.
 
-        A policy that reads measures gets none where no report has arrived, so that the guard
-        gives the region no further callers; any other policy needs nothing but the slots.
+        Without a report, a policy that reads measurements gets them marked as missing, so that the
+        guard sends no more callers to the region. Any other policy needs only the slots.
         """
         reported = self.region_reports.region_measures(region, service, slots, now)
         if reported is not None:
