--- a/sprucewinch/gateway/composition.py
+++ b/sprucewinch/gateway/composition.py
@@ -31,7 +31,7 @@
 from .quotas.parts import QuotaParts
 from .quotas.quotas import FleetQuotas
 from .regions.policies import PolicyTable
-from .regions.region_reporter import OwnRegion, RegionReporter
+from .regions.region_reporter import RegionReportBuilder, RegionReporter
 from .regions.region_reports import RegionReports
 from .regions.shares import RegionShares
 from .requests.app import GatewayApp
@@ -470,7 +470,7 @@
         regions: Steering between regions.
         requests: Counts the demand at this VM.
     """
-    own = OwnRegion(
+    builder = RegionReportBuilder(
         regions.policies,
         regions.reports,
         state.view,
@@ -482,5 +482,5 @@
         fleet.follow_role,
         fleet.datagrams,
         context.timing,
-        own_report=own.report,
+        own_report=builder.report,
     )
--- a/sprucewinch/gateway/regions/policies.py
+++ b/sprucewinch/gateway/regions/policies.py
@@ -1,16 +1,17 @@
-"""Rule: which policy steers a service.
+"""Selects the steering policy of each service.
 
-Question: the program that turns measures into wanted shares of regions. Owns the compiled programs
-and the choices, both from the store. Relies on `steering.policy` to compile and run programs, and
-on `StoreView` for changes.
+A policy is a program that turns measurements into wanted shares of the regions. `PolicyTable` owns
+the compiled programs and the operators' choices, both read from the store. It relies on
+`steering.policy` to compile and run programs, and on `StoreView` for changes. Its inputs are the
+programs and choices in the store and the default policy of the settings.
 
-Inputs: programs and choices of the store, the default policy of the settings. Rule: the service's
-own choice, else the choice for all services (`*`), else the default; a choice of a program that is
-not there counts as none, as there is nothing to run. A program that cannot be compiled leaves the
-last good one of its name in force.
+The choice for the service itself applies, otherwise the choice for all services (`*`), otherwise
+the default. A choice that names a program that does not exist is treated as if there were no
+choice, as there is nothing to run. If a program cannot be compiled, the last valid one of its name
+stays in force.
 
-Constants: `DEFAULT_POLICY`, `ALL_SERVICES`, `_MEASURED`. The result shows as `policy` of a service
-on `/state`; a program that cannot be used shows in the event `unreadable`. Tests:
+The constants are `DEFAULT_POLICY`, `ALL_SERVICES` and `_MEASURED_FIELDS`. `/state` shows the result
+as `policy` of a service; the event `unreadable` names a program that cannot be used. Tests:
 `test_gateway_policies`, `test_gateway_region_reports`.
 """
 
@@ -22,27 +23,27 @@
 from ..state.store_view import Change, StoreView
 
 DEFAULT_POLICY = "capacity"
-"""Shipped policy of services without a choice: it reads the slots alone, so no reports are sent."""
+"""Shipped policy of services without a choice; it reads only slots, so no reports are needed."""
 
-_MEASURED = ("in_use", "headroom", "latency_ms", "demand_per_s")
-"""Fields of a snapshot that have to be measured."""
+_MEASURED_FIELDS = ("in_use", "headroom", "latency_ms", "demand_per_s")
+"""Fields of a snapshot whose values come from measurements."""
 
 ALL_SERVICES = "*"
-"""Name that a choice carries when it is for every service without one of its own."""
+"""Service name in a choice that applies to every service without its own choice."""
 
 
 class PolicyTable:
     """Programs by name and choices by service.
 
-    A program that cannot be used is reported; the last good one of its name stays in force.
+    A program that cannot be used is reported; the last valid one of its name stays in force.
 
     Args:
-        store_view: What this VM holds of the store.
+        store_view: This VM's copy of the store.
         on_unreadable: Called with the key of a program that cannot be used and the cause.
         default: Shipped policy of services without a choice.
 
     Raises:
-        SettingsError: When no policy of that name is shipped.
+        SettingsError: If no policy of that name is shipped.
     """
 
     def __init__(
@@ -55,7 +56,8 @@
         shipped = shipped_policies()
         if default not in shipped:
             raise SettingsError(
-                f"no policy {default!r} is shipped", f"name one of {', '.join(shipped)}"
+                f"unknown default policy: found {default!r}, expected a shipped policy",
+                f"name one of {', '.join(shipped)}",
             )
         self.on_unreadable = on_unreadable
         self.default = default
@@ -73,15 +75,15 @@
         return self.programs[self.name_for(service)]
 
     @property
-    def reads_measures_anywhere(self) -> bool:
-        """Return whether a policy that may be in force reads measures of load or latency."""
+    def any_policy_reads_measures(self) -> bool:
+        """Return whether any policy that may be in force reads measurements of load or latency."""
         names = {self.default, *self.choices.values()}
         programs = (self.programs[name] for name in names if name in self.programs)
-        return any(reads_measures(program) for program in programs)
+        return any(_reads_measures(program) for program in programs)
 
     def service_reads_measures(self, service: str) -> bool:
-        """Return whether the policy in force for a service reads measures."""
-        return reads_measures(self.policy_for(service))
+        """Return whether the policy in force for a service reads measurements."""
+        return _reads_measures(self.policy_for(service))
 
     def _on_change(self, change: Change) -> None:
         if isinstance(change.after, PolicyProgram):
@@ -98,6 +100,8 @@
             self.on_unreadable(key, str(error))
 
 
-def reads_measures(policy: Policy) -> bool:
-    """Return whether a program names a field that has to be measured."""
-    return isinstance(policy, ProgramPolicy) and any(name in policy.source for name in _MEASURED)
+def _reads_measures(policy: Policy) -> bool:
+    """Return whether a program names a field whose values come from measurements."""
+    return isinstance(policy, ProgramPolicy) and any(
+        name in policy.source for name in _MEASURED_FIELDS
+    )
--- a/sprucewinch/gateway/regions/region_reporter.py
+++ b/sprucewinch/gateway/regions/region_reporter.py
@@ -1,7 +1,7 @@
-"""Sends reports of this VM's region to all VMs, while it is one of the region's store followers.
+"""Sends reports of this VM's region to all VMs while this VM is a store follower of the region.
 
 Owns when a report is made and sent. Relies on `region_reports` for its content and on
-`follow_role` for who sends. Nothing is sent while no policy in force reads measures.
+`follow_role` for which VM sends it. No report is sent while no policy in force reads measurements.
 """
 
 import asyncio
@@ -14,21 +14,24 @@
 from ..state.store_view import StoreView
 from ..timing import Timing
 from .policies import PolicyTable
-from .region_reports import REPORT_S, RegionReport, RegionReports
+from .region_reports import REPORT_INTERVAL_S, RegionReport, RegionReports
 
 Demand = Callable[[str, float], float]
-"""Returns the requests a second that callers send this VM for a service, now (monotonic, s)."""
+"""Returns the requests a second that callers send to this VM for a service.
+
+Takes the service's name and the monotonic time in seconds.
+"""
 
 
-class OwnRegion:
-    """Makes the report of this VM's own region.
+class RegionReportBuilder:
+    """Builds the report of this VM's own region.
 
     Args:
         policies: Policies in force.
-        region_reports: What is known of the region's backend servers.
-        store_view: Registered VMs.
-        gossip: Which of them accept callers.
-        demand: Demand for a service at this VM.
+        region_reports: Measures the region's backend servers.
+        store_view: Lists the registered VMs.
+        gossip: Knows which of them accept callers.
+        demand: Returns the demand for a service at this VM.
     """
 
     def __init__(
@@ -46,22 +49,22 @@
         self.demand = demand
 
     def report(self, now: float) -> Optional[RegionReport]:
-        """Return what this VM sees of its region; None while no policy asks for it.
+        """Return the report of this VM's region; None while no policy reads measurements.
 
-        The region's demand is this VM's own times the number of VMs that accept callers there, as
-        callers spread evenly over them.
+        The demand of the region is estimated as this VM's own demand times the number of VMs that
+        accept callers there, as callers are spread evenly over them.
 
         Args:
             now: Monotonic time, in seconds.
         """
-        if not self.policies.reads_measures_anywhere:
+        if not self.policies.any_policy_reads_measures:
             return None
-        vm_count = self._accepting(now)
+        vm_count = self._accepting_vm_count(now)
         return self.region_reports.measure(
             lambda service: vm_count * self.demand(service, now), now
         )
 
-    def _accepting(self, now: float) -> int:
+    def _accepting_vm_count(self, now: float) -> int:
         return sum(
             member.region == self.region_reports.region
             and self.gossip.accepts_callers(member.name, now)
@@ -73,11 +76,11 @@
     """Sends reports while this VM is elected to follow the store.
 
     Args:
-        region_reports: Holds the reports, this VM's own among them.
-        follow_role: Decides whether this VM reports, and to whom.
+        region_reports: Stores all reports, including those of this VM.
+        follow_role: Decides whether this VM sends reports, and to which VMs.
         datagrams: The endpoint between VMs.
         timing: Sources of time and randomness.
-        own_report: Returns the report to send at a monotonic time; None for none.
+        own_report: Returns the report to send at a monotonic time, in seconds; None to send none.
     """
 
     def __init__(
@@ -97,9 +100,9 @@
         datagrams.register(RegionReport, region_reports.on_region_report)
 
     async def run(self) -> None:
-        """Send reports at regular times while this VM is elected."""
+        """Send a report at regular intervals while this VM is elected to follow the store."""
         while True:
-            await asyncio.sleep(self.timing.jittered(REPORT_S))
+            await asyncio.sleep(self.timing.jittered(REPORT_INTERVAL_S))
             now = self.timing.monotonic()
             report = self.own_report(now) if self.follow_role.is_elected(now) else None
             if report is not None:
--- a/tests/test_gateway_region_reports.py
+++ b/tests/test_gateway_region_reports.py
@@ -6,7 +6,7 @@
 
 from sprucewinch.errors import SettingsError
 from sprucewinch.gateway.regions.policies import PolicyTable
-from sprucewinch.gateway.regions.region_reports import REPORT_MAX_AGE_S, RegionReport, ServiceReport
+from sprucewinch.gateway.regions.region_reports import MAX_REPORT_AGE_S, RegionReport, ServiceReport
 from sprucewinch.gateway.resources import PolicyChoice
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
@@ -80,13 +80,13 @@
         _tell(steered, east=_FULL, west=_EMPTY)
         steered.run(_GUARD_STALE_S)
         before = steered.share("east")
-        steered.run(REPORT_MAX_AGE_S + 60.0)
+        steered.run(MAX_REPORT_AGE_S + 60.0)
         self.assertAlmostEqual(steered.share("east"), before, places=2)
 
     def test_the_default_policy_asks_for_no_measures(self) -> None:
-        self.assertFalse(Steered().policies.reads_measures_anywhere)
+        self.assertFalse(Steered().policies.any_policy_reads_measures)
         for policy, asks in (("headroom", True), ("latency", True), ("nearest", False)):
-            self.assertIs(_choose(policy).policies.reads_measures_anywhere, asks, policy)
+            self.assertIs(_choose(policy).policies.any_policy_reads_measures, asks, policy)
 
     def test_a_default_that_is_not_shipped_is_refused_with_a_remedy(self) -> None:
         with self.assertRaisesRegex(SettingsError, "name one of capacity"):
@@ -120,12 +120,14 @@
                 measured = RegionReport(vm.name, vm.region, (ServiceReport("s", 1, 2, 3),))
                 vm.own_report = measured
             await pass_time(15.0)
-            counts = [vm.region_reports.received for vm in fleet.vms]
+            counts = [vm.region_reports.received_count for vm in fleet.vms]
             begun = list(counts)
             await pass_time(10.0)
-            told = [m.region_reports.received - b for m, b in zip(fleet.vms, begun, strict=True)]
+            told = [
+                m.region_reports.received_count - b for m, b in zip(fleet.vms, begun, strict=True)
+            ]
             self.assertTrue(all(24 <= count <= 36 for count in told), told)
-            self.assertTrue(all(len(m.region_reports.held) == 3 for m in fleet.vms))
+            self.assertTrue(all(len(m.region_reports.newest) == 3 for m in fleet.vms))
 
         run_virtual(play)
 
