--- a/tests/test_gateway_policies.py
+++ b/tests/test_gateway_policies.py
@@ -1,4 +1,4 @@
-"""Policies as the store holds them: loaded, swapped, faulty, and the shares that follow."""
+"""Policies in the store: loading, replacing and faults, and the shares that result."""
 
 import unittest
 
@@ -14,17 +14,17 @@
 
 
 class Steered:
-    """Region shares over two servers in the east and six in the west."""
+    """Region shares with two servers in the east and six in the west."""
 
     def __init__(self, home: str = "east") -> None:
         self.world = World()
-        self.troubles: list[str] = []
+        self.unreadable_keys: list[str] = []
         self.world.configure(route())
         for number, hall in enumerate(("east-a", "east-b", *["west-a"] * 6)):
             backend = BackendEntry(f"s{number}", "rates", f"10.0.0.{number}:80", hall, 6)
             self.world.say(f"servers/s{number}", backend)
         self.policies = PolicyTable(
-            self.world.store_view, lambda key, cause: self.troubles.append(key)
+            self.world.store_view, lambda key, cause: self.unreadable_keys.append(key)
         )
         self.region_reports = RegionReports(self.world.registry, "vm0", home)
         self.shares = RegionShares(
@@ -41,31 +41,31 @@
         return self.shares.shares("rates", self.now).share(region)
 
     def run(self, seconds: float) -> list:
-        """Tick for some seconds; returns the shares after each tick."""
-        seen = []
+        """Tick five times a second; returns the shares after each tick."""
+        history = []
         for _ in range(int(seconds * 5)):
             self.now += 0.2
             self.shares.tick(self.now)
-            seen.append(self.shares.shares("rates", self.now))
-        return seen
+            history.append(self.shares.shares("rates", self.now))
+        return history
 
 
 class Policies(unittest.TestCase):
-    def test_the_default_keeps_at_home_what_home_can_bear(self) -> None:
-        poor, rich = Steered("east"), Steered("west")
-        self.assertTrue(0.4 < poor.share("east") < 0.8)
-        self.assertGreater(rich.share("west"), 0.99)
+    def test_the_default_keeps_callers_at_home_up_to_its_capacity(self) -> None:
+        small_home, large_home = Steered("east"), Steered("west")
+        self.assertTrue(0.4 < small_home.share("east") < 0.8)
+        self.assertGreater(large_home.share("west"), 0.99)
 
     def test_a_loaded_policy_takes_effect_and_moves_under_the_cap(self) -> None:
         steered = Steered()
         before = steered.shares.shares("rates", 0.0)
         steered.world.say("policies/all-west", PolicyProgram("all-west", _WEST))
         steered.world.say("policy-of/rates", PolicyChoice("rates", "all-west"))
-        seen = [before, *steered.run(60.0)]
-        self.assertGreater(seen[-1].share("west"), 0.99)
-        window = 10
-        for index in range(len(seen) - window):
-            moved = moved_part(seen[index], seen[index + window])
+        history = [before, *steered.run(60.0)]
+        self.assertGreater(history[-1].share("west"), 0.99)
+        ticks_per_window = 10
+        for index in range(len(history) - ticks_per_window):
+            moved = moved_part(history[index], history[index + ticks_per_window])
             self.assertLessEqual(moved, BOUNDS.shift_cap)
 
     def test_a_choice_that_is_withdrawn_or_unknown_falls_back(self) -> None:
@@ -82,7 +82,7 @@
         good = steered.policies.programs["mine"]
         steered.world.say("policies/mine", PolicyProgram("mine", "import os"))
         self.assertIs(steered.policies.programs["mine"], good)
-        self.assertEqual(steered.troubles, ["policies/mine"])
+        self.assertEqual(steered.unreadable_keys, ["policies/mine"])
 
     def test_a_program_that_fails_leaves_the_shares_as_they_are(self) -> None:
         steered = Steered()
