--- a/sprucewinch/gateway/lifecycle/__init__.py
+++ b/sprucewinch/gateway/lifecycle/__init__.py
@@ -1,5 +1,5 @@
-"""The life of the process while it runs: reload, regular upkeep, stop.
+"""The life cycle of the process: reload of the settings, periodic upkeep and graceful stop.
 
-Owns the rule of a stop and that of a reload. Relies on the parts of `composition` and on
-`listeners`; `daemon` alone uses it. Read `shutdown` first.
+Owns how a VM stops and how it reloads its settings. Relies on the parts of `composition` and on
+`listeners`; only `daemon` uses it. Read `shutdown` first.
 """
--- a/sprucewinch/gateway/lifecycle/shutdown.py
+++ b/sprucewinch/gateway/lifecycle/shutdown.py
@@ -1,23 +1,25 @@
-"""Rule: in which order a VM stops, and how long each step may take.
-
-Question: what a VM still does for callers between the order to stop and its kill. Owns the order of
-the steps and their times (`stop_times`). Relies on the callers' application, the listeners and the
-heartbeats for the steps.
-
-Inputs: the grace time (setting `grace_s`, in seconds: from the order to stop until the process is
-killed), requests in flight, connections not yet ended, monotonic time in seconds.
-
-Rule: tell all VMs at once; go on serving callers that still hold this VM's address, each connection
-ending with its next answer; then accept no more and wait until every connection has ended; give
-what is still in flight its final answer shortly before the grace time ends. The
-wait is for connections: to end with the last request in flight let 3,995,638 of 8,000,000 bytes of
-an answer reach a caller that read slowly (docs/FINDINGS.md). It ends `_STOP_MARGIN_S` before the
-grace time does, and what a caller has not read by the end of the process is cut off. `in_flight`
-does not show that, as a request counts as over once its answer is in the connection's buffer.
-
-Constants: `_LINGER_S`, `_STOP_MARGIN_S`, `_FINAL_ANSWERS_S`, `_STOP_POLL_S`. The result shows in
-the events `stopping` and `stop`, each with `in_flight`. Tests: `test_gateway_shutdown`,
-`test_process_gateway`, `test_formats_lines`.
+"""Stops a VM gracefully: the order of the steps and the time for each.
+
+Owns what a VM still does for callers between the signal to stop and the end of the process, and the
+deadlines of the steps (`stop_times`). Relies on the callers' application, the listeners and the
+heartbeats for the steps. Its inputs are the grace period (setting `grace_s`, in seconds: the time
+from the signal to stop until the process is killed), the requests in flight, the open connections
+and monotonic time in seconds.
+
+The VM first announces the stop to all VMs. It goes on serving callers that still have its address
+cached, and closes each connection after its next answer. Then it accepts no more connections and
+waits until all have ended. Requests that are still in flight shortly before the grace period ends
+get a final answer.
+
+The wait is for connections and not for requests: when it ended with the last request in flight,
+only 3,995,638 of the 8,000,000 bytes of an answer reached a caller that read slowly
+(docs/FINDINGS.md). The count `in_flight` does not show this, as a request is complete once its
+answer is in the connection's buffer. The wait ends `_STOP_MARGIN_S` before the grace period does,
+and whatever a caller has not read when the process ends is cut off.
+
+The constants are `_STOP_ACCEPTING_AFTER_S`, `_STOP_MARGIN_S`, `_FINAL_ANSWERS_TIMEOUT_S` and
+`_POLL_INTERVAL_S`. The events `stopping` and `stop`, each with `in_flight`, report a stop. Tests:
+`test_gateway_shutdown`, `test_process_gateway`, `test_formats_lines`.
 """
 
 import asyncio
@@ -29,59 +31,63 @@
 from ..membership.heartbeats import Heartbeats
 from ..requests.app import GatewayApp
 
-_LINGER_S = 3.2
-"""How long a stopping VM goes on serving callers that still hold its address, in seconds.
+_STOP_ACCEPTING_AFTER_S = 3.2
+"""Time for which a stopping VM accepts connections from callers that have its address cached.
 
-Callers hold an address for `membership.directory.LOOKUP_TTL_S` (1 s) at most, as the directory
-tells them.
+In seconds. The directory tells callers to cache an address for at most
+`membership.directory.LOOKUP_TTL_S` (1 s).
 """
 
 _STOP_MARGIN_S = 0.7
-"""Safety margin on the grace time, in seconds: for final answers and the end of the process."""
+"""Part of the grace period kept for final answers and the end of the process, in seconds."""
 
-_FINAL_ANSWERS_S = 0.3
-"""How long the final answers of requests that a stop gives up may take, in seconds.
+_FINAL_ANSWERS_TIMEOUT_S = 0.3
+"""Time for the final answers to requests that a stop cancels, in seconds.
 
-A part of `_STOP_MARGIN_S`.
+It is a part of `_STOP_MARGIN_S`.
 """
 
-_STOP_POLL_S = 0.05
-"""Time between two looks at what a stop waits for, in seconds."""
+_POLL_INTERVAL_S = 0.05
+"""Time between two checks of the condition that a stop waits for, in seconds."""
 
 
 class StopTimes(NamedTuple):
-    """When each step of a stop ends at the latest, as monotonic times in seconds.
+    """Deadlines of the steps of a stop, as monotonic times in seconds.
 
     Args:
-        linger_until: Callers are served up to here.
-        closed_by: Connections have ended, or what is in flight is given up.
-        answered_by: Final answers of what was given up are out.
+        accept_until: Until then, new connections are accepted.
+        closed_by: By then, all connections have ended, or the requests in flight are cancelled.
+        answered_by: By then, the final answers to the cancelled requests have been sent.
     """
 
-    linger_until: float
+    accept_until: float
     closed_by: float
     answered_by: float
 
 
 def stop_times(now: float, grace_s: float) -> StopTimes:
-    """Return the times of a stop.
+    """Return the deadlines of a stop.
 
     Args:
-        now: Monotonic time of the order to stop, in seconds.
-        grace_s: Time from the order until the process is killed, in seconds.
+        now: Monotonic time of the signal to stop, in seconds.
+        grace_s: Time from the signal until the process is killed, in seconds.
     """
     closed_by = now + grace_s - _STOP_MARGIN_S
-    return StopTimes(min(closed_by, now + _LINGER_S), closed_by, closed_by + _FINAL_ANSWERS_S)
+    return StopTimes(
+        min(closed_by, now + _STOP_ACCEPTING_AFTER_S),
+        closed_by,
+        closed_by + _FINAL_ANSWERS_TIMEOUT_S,
+    )
 
 
 class Shutdown:
-    """Stops one VM; answers that are read by `StopTimes.closed_by` are whole.
+    """Stops one VM; answers that callers have read by `StopTimes.closed_by` are complete.
 
     Args:
         app: The callers' application.
         listeners: All listeners of the VM.
-        heartbeats: Tell other VMs that this one accepts no callers.
-        events: Takes the lines.
+        heartbeats: Tell other VMs that this one accepts no more callers.
+        events: Receives the events.
         monotonic: Source of time, in seconds.
     """
 
@@ -101,32 +107,32 @@
         self.monotonic = monotonic
 
     async def run(self, grace_s: float) -> None:
-        """Go through the steps of a stop.
+        """Run the steps of a stop.
 
         Args:
             grace_s: Time from now until the process is killed, in seconds.
         """
         times = stop_times(self.monotonic(), grace_s)
         self._announce()
-        await self._until(lambda: False, times.linger_until)
+        await self._wait_until(lambda: False, times.accept_until)
         self.listeners.stop_accepting()
-        await self._until(lambda: self.listeners.closed, times.closed_by)
-        await self._give_up(times.answered_by)
+        await self._wait_until(lambda: self.listeners.closed, times.closed_by)
+        await self._answer_cancelled(times.answered_by)
         self.events.state("stop", in_flight=self.app.in_flight)
 
     def _announce(self) -> None:
-        """Announce the stop: to callers by closing connections, to VMs by a heartbeat."""
+        """Announce the stop: to callers by closing connections, to other VMs by a heartbeat."""
         self.app.stop()
         self.events.state("stopping", in_flight=self.app.in_flight)
         self.heartbeats.announce()
 
-    async def _give_up(self, end: float) -> None:
-        """Give requests that are still in flight their final answer."""
+    async def _answer_cancelled(self, deadline: float) -> None:
+        """Cancel the requests that are still in flight, and wait for their final answers."""
         if self.app.in_flight:
             self.app.give_up_all()
-            await self._until(lambda: self.app.in_flight == 0, end)
+            await self._wait_until(lambda: self.app.in_flight == 0, deadline)
 
-    async def _until(self, holds: Callable[[], bool], end: float) -> None:
-        """Wait until something holds, at the longest until some monotonic time, in seconds."""
-        while not holds() and self.monotonic() < end:
-            await asyncio.sleep(_STOP_POLL_S)
+    async def _wait_until(self, condition: Callable[[], bool], deadline: float) -> None:
+        """Wait until a condition holds or a deadline passes, a monotonic time in seconds."""
+        while not condition() and self.monotonic() < deadline:
+            await asyncio.sleep(_POLL_INTERVAL_S)
--- a/tests/test_gateway_shutdown.py
+++ b/tests/test_gateway_shutdown.py
@@ -1,4 +1,4 @@
-"""Times of a stop's steps."""
+"""Deadlines of the steps of a graceful stop."""
 
 import unittest
 
@@ -9,9 +9,9 @@
 
 
 class StopTimesCases(unittest.TestCase):
-    def test_a_usual_grace_time_leaves_time_for_callers_and_for_final_answers(self) -> None:
+    def test_a_usual_grace_period_leaves_time_for_callers_and_for_final_answers(self) -> None:
         times = stop_times(100.0, 6.0)
-        self.assertAlmostEqual(times.linger_until, 103.2)
+        self.assertAlmostEqual(times.accept_until, 103.2)
         self.assertAlmostEqual(times.closed_by, 105.3)
         self.assertAlmostEqual(times.answered_by, 105.6)
 
@@ -20,7 +20,7 @@
         self, now: float, grace_s: float
     ) -> None:
         times = stop_times(now, grace_s)
-        self.assertLessEqual(times.linger_until, times.closed_by)
+        self.assertLessEqual(times.accept_until, times.closed_by)
         self.assertLess(times.closed_by, times.answered_by)
         self.assertLess(times.answered_by, now + grace_s)
 
