--- a/sprucewinch/gateway/lifecycle/reload.py
+++ b/sprucewinch/gateway/lifecycle/reload.py
@@ -1,18 +1,18 @@
-"""Rule: which settings are in force after a reload.
+"""Reloads the settings of a running process.
 
-Question: what a process does when its settings are looked at again, on SIGHUP or by the regular
-upkeep. Owns nothing but the outcome's line. Relies on the function that reads the settings and on
-the one that puts them in force.
+A reload happens on SIGHUP and at regular intervals from `upkeep`. `Reloader` owns the event that
+reports the outcome. It relies on one function that reads the settings and on another that puts them
+in force.
 
-Rule: settings that have changed and can be used are taken; `daemon.Gateway` puts a part of them in
-force at once (limits on cold servers and retries, grace time, time of look-up answers, address of
-the store) and leaves the others until the next start, though the line says `taken` of all. Settings
-that cannot be used leave the last good ones, with the cause in a line, as a process that steers by
-old settings is better than one that ends. Unchanged settings are named in a line only when a signal
-has asked.
+Settings that have changed and are valid are accepted. `daemon.Gateway` puts a part of them in force
+at once (limits on cold servers and retries, grace period, TTL of look-up answers, address of the
+store) and leaves the others until the next start, although the outcome `taken` covers all of them.
+If the settings are invalid, the last valid ones stay in force and the event gives the cause, as a
+process that steers by old settings is better than one that ends. Unchanged settings are reported
+only if a signal asked for the reload.
 
-Constants: none. The result shows in the event `reload` (`taken`, `refused`, `unchanged`). Tests:
-`test_formats_lines`, `test_process_gateway`.
+There are no constants. The result is the event `reload` with the outcome `taken`, `refused` or
+`unchanged`. Tests: `test_formats_lines`, `test_process_gateway`.
 """
 
 from collections.abc import Callable
@@ -24,13 +24,13 @@
 
 
 class Reloader:
-    """Looks at the settings again.
+    """Reloads the settings.
 
     Args:
-        reread: Returns the settings as they are now, or None when they are unchanged; raises a
-            `SettingsError` when they cannot be used.
+        reread: Returns the settings as they are now, or None if they are unchanged; raises a
+            `SettingsError` if they are invalid.
         apply: Puts settings in force.
-        events: Takes the outcome's line.
+        events: Receives the event with the outcome.
     """
 
     def __init__(
@@ -44,12 +44,15 @@
         self.events = events
 
     def reload(self) -> None:
-        """Look at the settings because a signal asks for it; writes a line in any case."""
+        """Reload the settings on a signal; reports the outcome in any case."""
         if not self.reload_if_changed():
             self.events.state("reload", outcome="unchanged")
 
     def reload_if_changed(self) -> bool:
-        """Put changed settings in force; returns False when they are unchanged."""
+        """Put changed settings in force; returns False if they are unchanged.
+
+        Invalid settings are reported and return True.
+        """
         try:
             settings = self.reread()
         except SettingsError as error:
--- a/sprucewinch/gateway/lifecycle/upkeep.py
+++ b/sprucewinch/gateway/lifecycle/upkeep.py
@@ -1,6 +1,7 @@
-"""Regular upkeep: moves shares, drops lapsed entries, closes old connections, looks at settings.
+"""Periodic upkeep: moves shares, drops expired entries, closes old connections, reloads settings.
 
-Owns when each of these is done. Relies on the parts that do them; decides nothing itself.
+Owns the interval of each of these tasks. Relies on the parts that perform them; it decides nothing
+itself.
 """
 
 import asyncio
@@ -9,19 +10,19 @@
 from ..composition import Regions, Servers, State, Workspaces
 from ..statements.server_quotas import forget_unstated
 
-_SWEEP_S = 1.0
+_SWEEP_INTERVAL_S = 1.0
 """Time between two sweeps, in seconds."""
 
 
 class Upkeep:
-    """Runs the regular upkeep.
+    """Runs the periodic upkeep.
 
     Args:
-        state: The parts that hold the store's items.
-        servers: Backend servers.
-        workspaces: Keys and limits of workspaces.
-        regions: Steering between regions.
-        reload_if_changed: Looks at the settings.
+        state: The parts that keep a copy of the store's items.
+        servers: The parts that track backend servers.
+        workspaces: The parts that check keys and limits of workspaces.
+        regions: The parts that steer between regions.
+        reload_if_changed: Reloads the settings if they have changed.
         monotonic: Source of time, in seconds.
         tick_s: Time between two ticks, in seconds.
     """
@@ -46,12 +47,12 @@
         self.tick_s = tick_s
 
     async def run(self) -> None:
-        """Tick until cancelled, and sweep every so many ticks."""
+        """Tick until cancelled, and sweep after each `_SWEEP_INTERVAL_S`."""
         swept_at = self.monotonic()
         while True:
             now = self.monotonic()
             self._tick(now)
-            if now - swept_at > _SWEEP_S:
+            if now - swept_at > _SWEEP_INTERVAL_S:
                 swept_at = now
                 self._sweep()
             await asyncio.sleep(self.tick_s)
@@ -66,18 +67,18 @@
         self.workspaces.quotas.sweep()
 
     def _sweep(self) -> None:
-        """Close old connections, forget servers that are gone, look at the settings."""
+        """Close old connections, forget removed servers and reload changed settings."""
         self.servers.pool.sweep()
         self.servers.outliers.drop_gone()
         registry = self.servers.registry
         registry.forget_told(self.monotonic())
         forget_unstated(self.workspaces.quotas, registry.statement_table)
-        self._share_connections()
+        self._limit_connections()
         self.reload_if_changed()
 
-    def _share_connections(self) -> None:
-        """Limit the connections of this VM to its part of what each backend server accepts."""
+    def _limit_connections(self) -> None:
+        """Limit this VM's connections to its part of what each backend server accepts."""
         configuration = self.state.view.configuration
         if configuration is not None and configuration.services:
-            least = min(rule.connections for rule in configuration.services.values())
-            self.servers.pool.share(least, self.servers.registry.vm_count())
+            min_connections = min(rule.connections for rule in configuration.services.values())
+            self.servers.pool.share(min_connections, self.servers.registry.vm_count())
--- a/sprucewinch/gateway/telemetry/__init__.py
+++ b/sprucewinch/gateway/telemetry/__init__.py
@@ -1,5 +1,5 @@
-"""What bounds and sums up the decision log: the rate of lines and the histograms of latency.
+"""Support for the decision log: the limit on its rate of lines and the latency histograms.
 
-Owns the rule of the log rate. Relies on nothing else of the gateway; `decision_log` alone uses it.
-Read `line_rate` first.
+Owns the limit on the rate of lines. Relies on nothing else of the gateway; only `decision_log` uses
+it. Read `line_rate` first.
 """
--- a/sprucewinch/gateway/telemetry/latency_histograms.py
+++ b/sprucewinch/gateway/telemetry/latency_histograms.py
@@ -1,4 +1,4 @@
-"""Time from a request's arrival to its answer, as a histogram for each route.
+"""Histograms of the time from a request's arrival to its answer, one for each route.
 
 Owns the histograms and their lines on `/metrics`. Relies on `hdrh`.
 """
@@ -9,29 +9,30 @@
 """Microseconds in a second; the histograms count in microseconds."""
 
 _US_PER_MS = 1000
-"""Microseconds in a millisecond; lines are in milliseconds."""
+"""Microseconds in a millisecond; the lines on `/metrics` are in milliseconds."""
 
-_HIGHEST_US = 600_000_000
-"""Longest time that a histogram holds: ten minutes, in microseconds.
+_MAX_LATENCY_US = 600_000_000
+"""Largest latency that a histogram can record: ten minutes, in microseconds.
 
-Twice the longest wait that a caller may ask for (`MAX_WAIT_S` in `requests.outcome.hold_time`).
+It is twice the longest wait that a caller may ask for (`MAX_WAIT_S` in
+`requests.outcome.hold_time`).
 """
 
-_DIGITS = 2
-"""Significant digits that a histogram keeps."""
+_SIGNIFICANT_DIGITS = 2
+"""Decimal digits of precision of a histogram."""
 
-_QUANTILES = (50, 90, 99)
-"""Percentiles that are shown; others read them by these numbers."""
+_PERCENTILES = (50, 90, 99)
+"""Percentiles on `/metrics`; monitoring reads them by these numbers."""
 
 
 class LatencyHistograms:
-    """One histogram for each route that has had an answer."""
+    """Latency histograms of all routes that have answered a request."""
 
     def __init__(self) -> None:
         self.by_route: dict[str, HdrHistogram] = {}
 
     def observe(self, route: str, seconds: float) -> None:
-        """Count one answer.
+        """Record the latency of one answer.
 
         Args:
             route: Name of the route.
@@ -39,14 +40,14 @@
         """
         histogram = self.by_route.get(route)
         if histogram is None:
-            histogram = self.by_route[route] = HdrHistogram(1, _HIGHEST_US, _DIGITS)
+            histogram = self.by_route[route] = HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
         histogram.record_value(max(1, int(seconds * _US_PER_S)))
 
     def lines(self) -> list[str]:
-        """Return the quantiles of all routes as lines of name and value, in milliseconds."""
+        """Return the percentiles of all routes as lines of name and value, in milliseconds."""
         lines = []
         for route, histogram in sorted(self.by_route.items()):
-            for quantile in _QUANTILES:
-                value = histogram.get_value_at_percentile(quantile) / _US_PER_MS
-                lines.append(f'latency_ms{{route="{route}",quantile="{quantile}"}} {value:g}')
+            for percentile in _PERCENTILES:
+                value = histogram.get_value_at_percentile(percentile) / _US_PER_MS
+                lines.append(f'latency_ms{{route="{route}",quantile="{percentile}"}} {value:g}')
         return lines
--- a/sprucewinch/gateway/telemetry/line_rate.py
+++ b/sprucewinch/gateway/telemetry/line_rate.py
@@ -1,28 +1,27 @@
-"""Rule: whether a line of the decision log is written, or dropped and counted.
+"""Limits the rate of lines in the decision log.
 
-Question: how many lines a process writes when more happens than a log can take. Owns a token
-bucket. Relies on nothing; time comes with each call.
+`LineRate` decides whether a line is written, or dropped and counted, when more happens than a log
+can take. It is a token bucket and relies on nothing; the time is passed to each call. Its inputs
+are the monotonic time in seconds and whether the line is a plain one, which means that the first
+backend server answered the request.
 
-Inputs: monotonic time in seconds, and whether the line is a plain one: a request that its first
-server answered.
+The bucket holds `_MAX_BURST_LINES` lines and gains `_LINES_PER_S`. Each line takes one token. A
+plain line is written only while more than half of the bucket is left, so that refusals, retries and
+changes of state still have room when plain answers fill the log. Sampling by request would not do,
+as it drops lines even when there is room for all of them.
 
-Rule: a bucket holds `_BURST` lines and gains `_LINES_PER_S`. A line takes one; a plain one only
-while more than half of the bucket is left, so that refusals, repeats and changes of state still
-have room when plain answers fill the log. Sampling by request is ruled out: it drops lines when
-there is room for all of them.
-
-Constants: `_LINES_PER_S`, `_BURST`, `_PLAIN_RESERVE`. A dropped line shows in the counter
-`lines_dropped` on `/metrics`. Tests: `test_gateway_decision_log`.
+The constants are `_LINES_PER_S`, `_MAX_BURST_LINES` and `_PLAIN_RESERVE_LINES`. The counter
+`lines_dropped` on `/metrics` counts the dropped lines. Tests: `test_gateway_decision_log`.
 """
 
 _LINES_PER_S = 150.0
-"""Lines a second that are written in the long run."""
+"""Sustained rate of lines, in lines a second."""
 
-_BURST = 300.0
-"""Lines that may be written at once: two seconds' worth."""
+_MAX_BURST_LINES = 300.0
+"""Largest burst of lines: the sustained rate for two seconds."""
 
-_PLAIN_RESERVE = _BURST / 2
-"""Lines that have to be left beside a plain one."""
+_PLAIN_RESERVE_LINES = _MAX_BURST_LINES / 2
+"""Tokens that a plain line must leave in the bucket."""
 
 
 class LineRate:
@@ -35,20 +34,20 @@
     __slots__ = ("_refilled_at", "_tokens")
 
     def __init__(self, now: float) -> None:
-        self._tokens = _BURST
+        self._tokens = _MAX_BURST_LINES
         self._refilled_at = now
 
     def admits(self, now: float, *, plain: bool) -> bool:
-        """Take one line from the bucket; returns False when the line has to be dropped.
+        """Take one token; returns False if the line must be dropped.
 
         Args:
             now: Monotonic time, in seconds.
-            plain: True for the line of a request that its first server answered.
+            plain: True for the line of a request that the first backend server answered.
         """
         gained = (now - self._refilled_at) * _LINES_PER_S
-        self._tokens = min(_BURST, self._tokens + gained)
+        self._tokens = min(_MAX_BURST_LINES, self._tokens + gained)
         self._refilled_at = now
-        reserve = _PLAIN_RESERVE if plain else 0.0
+        reserve = _PLAIN_RESERVE_LINES if plain else 0.0
         if self._tokens < reserve + 1:
             return False
         self._tokens -= 1
