--- a/sprucewinch/gateway/__init__.py
+++ b/sprucewinch/gateway/__init__.py
@@ -1,8 +1,8 @@
-"""The routed request path, which runs on the platform: one process on each entry VM.
+"""The routed request path, which runs on the platform as one process on each entry VM.
 
-Owns start and stop, listeners, settings and the decision log; its folders own the rest: `requests`
-(a request's way), `regions` (shares of regions), `servers` (what is known of backend servers),
-`following` (who follows the store), `membership` (who is there), `state` (the store's items as held
-here). A folder uses those named after it, never those before. Read `daemon` first, then
-`requests.pipeline`.
+Owns start and stop, listeners, settings and the decision log. Its subpackages own the rest:
+`requests` (processing of a request), `regions` (shares of the regions), `servers` (state of the
+backend servers), `following` (which VMs follow the store), `membership` (which VMs are present) and
+`state` (this VM's copy of the store's items). A subpackage imports those named after it, never
+those before it. Read `daemon` first, then `requests.pipeline`.
 """
--- a/sprucewinch/gateway/composition.py
+++ b/sprucewinch/gateway/composition.py
@@ -1,8 +1,9 @@
-"""The composition root of the gateway: every part, with what it gets in its constructor.
+"""Composition root of the gateway: creates every part and passes it its dependencies.
 
-Owns the order in which parts are made (`make_parts`): state, membership and following, servers,
-regions, requests. Each function shows what its parts depend on. Relies on every folder of the
-gateway but `lifecycle`; `daemon`, `lifecycle`, `vm_state` and `vm_metrics` use its types.
+Owns the order in which the parts are created (`make_parts`): state, membership and following,
+servers, crashes, workspaces, regions, requests. The parameters of each function show what its parts
+depend on. Relies on every folder of the gateway except `lifecycle`; `daemon`, `lifecycle`,
+`vm_state` and `vm_metrics` use its types.
 """
 
 import random
@@ -60,15 +61,15 @@
 
 
 class Context(NamedTuple):
-    """What every part may need.
+    """Dependencies that are common to all parts.
 
     Args:
         settings: Settings of this process.
-        adapter: The platform's translation.
+        adapter: Adapter to the platform.
         clock: Source of time.
         rng: Source of randomness.
-        events: Lines and counters.
-        ready: Returns whether callers may be sent here.
+        events: Decision log and counters.
+        ready: Returns whether callers may be sent to this VM.
     """
 
     settings: GatewaySettings
@@ -90,7 +91,7 @@
 
 
 class State(NamedTuple):
-    """The store's items held here, the loops that call the store, and its outages."""
+    """The client of the store, this VM's copy of its items, and the store's outages."""
 
     store: Store
     view: StoreView
@@ -98,7 +99,7 @@
 
 
 class Fleet(NamedTuple):
-    """The other VMs: who is there, and who follows the store."""
+    """The parts that communicate with other VMs: membership and following the store."""
 
     datagrams: Datagrams
     gossip: Gossip
@@ -113,7 +114,7 @@
 
 
 class Servers(NamedTuple):
-    """Backend servers."""
+    """The parts that track backend servers."""
 
     registry: BackendRegistry
     outliers: OutlierDetector
@@ -124,7 +125,7 @@
 
 
 class Crashes(NamedTuple):
-    """Requests that crash backend servers."""
+    """The parts that quarantine requests that crash backend servers."""
 
     quarantine: Quarantine
     reporter: CrashReporter
@@ -132,7 +133,7 @@
 
 
 class Workspaces(NamedTuple):
-    """Workspaces: their keys and their limits."""
+    """The parts that check the keys and quotas of workspaces."""
 
     admission: WorkspaceAdmission
     quotas: FleetQuotas
@@ -140,7 +141,7 @@
 
 
 class Regions(NamedTuple):
-    """Steering between regions."""
+    """The parts that steer between regions."""
 
     policies: PolicyTable
     reports: RegionReports
@@ -148,14 +149,14 @@
 
 
 class Requests(NamedTuple):
-    """A request's way."""
+    """The parts that process requests."""
 
     pipeline: Pipeline
     app: GatewayApp
 
 
 class Parts(NamedTuple):
-    """All parts of one VM but its listeners and those of `lifecycle`."""
+    """All parts of one VM except its listeners and those of `lifecycle`."""
 
     state: State
     fleet: Fleet
@@ -164,19 +165,19 @@
     workspaces: Workspaces
     regions: Regions
     requests: Requests
-    reporter: RegionReporter
+    region_reporter: RegionReporter
 
 
 def make_parts(context: Context, incarnation: int, unreadable: Callable[[str, str], None]) -> Parts:
-    """Return all parts, each made from those before it.
+    """Create all parts, each from those before it.
 
     Args:
-        context: What every part may need.
-        incarnation: Number of this process, higher than that of any earlier one of this VM.
-        unreadable: Takes the key of an item that cannot be read, and the cause.
+        context: Common dependencies.
+        incarnation: Number of this process, higher than that of any earlier process of this VM.
+        unreadable: Called with the key of an item that cannot be read and the cause.
 
     Raises:
-        SettingsError: When the settings name a policy that is not shipped.
+        SettingsError: If the settings name a policy that is not shipped.
     """
     state = make_state(context, unreadable)
     fleet = make_fleet(context, state, incarnation)
@@ -185,16 +186,16 @@
     workspaces = make_workspaces(context, state, fleet)
     regions = make_regions(context, state, servers, unreadable)
     requests = make_requests(context, state, servers, crashes, workspaces, regions)
-    reporter = make_reporter(context, state, fleet, regions, requests)
-    return Parts(state, fleet, servers, crashes, workspaces, regions, requests, reporter)
+    region_reporter = make_region_reporter(context, state, fleet, regions, requests)
+    return Parts(state, fleet, servers, crashes, workspaces, regions, requests, region_reporter)
 
 
 def make_state(context: Context, unreadable: Callable[[str, str], None]) -> State:
-    """Return the parts that hold the store's items.
+    """Create the store client and the parts that keep a copy of the store's items.
 
     Args:
-        context: What every part may need.
-        unreadable: Takes the key of an item that cannot be read, and the cause.
+        context: Common dependencies.
+        unreadable: Called with the key of an item that cannot be read and the cause.
     """
     settings, adapter = context.settings, context.adapter
     return State(
@@ -205,12 +206,12 @@
 
 
 def make_fleet(context: Context, state: State, incarnation: int) -> Fleet:
-    """Return the parts that deal with other VMs.
+    """Create the parts that communicate with other VMs.
 
     Args:
-        context: What every part may need.
-        state: The parts that hold the store's items.
-        incarnation: Number of this process, higher than that of any earlier one of this VM.
+        context: Common dependencies.
+        state: The parts that keep a copy of the store's items.
+        incarnation: Number of this process, higher than that of any earlier process of this VM.
     """
     settings, timing = context.settings, context.timing
     datagrams = Datagrams(context.monotonic, context.events)
@@ -247,7 +248,7 @@
 
 
 def own_member(settings: GatewaySettings) -> Member:
-    """Return what registers this VM in the store."""
+    """Return the entry with which this VM registers itself in the store."""
     return Member(
         settings.name,
         settings.hall,
@@ -258,12 +259,12 @@
 
 
 def make_servers(context: Context, state: State, fleet: Fleet) -> Servers:
-    """Return the parts that know backend servers, and let them receive other VMs' reports.
+    """Create the parts that track backend servers, and register them for other VMs' reports.
 
     Args:
-        context: What every part may need.
-        state: The parts that hold the store's items.
-        fleet: The other VMs.
+        context: Common dependencies.
+        state: The parts that keep a copy of the store's items.
+        fleet: The parts that communicate with other VMs.
     """
     settings = context.settings
     reports = PeerReports(fleet.datagrams, fleet.follow_role)
@@ -299,12 +300,12 @@
 
 
 def make_crashes(context: Context, state: State, fleet: Fleet) -> Crashes:
-    """Return the parts that deal with requests that crash servers.
+    """Create the parts that quarantine requests that crash backend servers.
 
     Args:
-        context: What every part may need.
-        state: The parts that hold the store's items.
-        fleet: The other VMs.
+        context: Common dependencies.
+        state: The parts that keep a copy of the store's items.
+        fleet: The parts that communicate with other VMs.
     """
     name = context.settings.name
     quarantine = Quarantine(
@@ -329,12 +330,12 @@
 
 
 def make_workspaces(context: Context, state: State, fleet: Fleet) -> Workspaces:
-    """Return the parts that keep workspaces' keys and limits.
+    """Create the parts that check the keys and quotas of workspaces.
 
     Args:
-        context: What every part may need.
-        state: The parts that hold the store's items.
-        fleet: The other VMs.
+        context: Common dependencies.
+        state: The parts that keep a copy of the store's items.
+        fleet: The parts that communicate with other VMs.
     """
     settings, monotonic, view = context.settings, context.monotonic, state.view
     owners = _quota_owners(context, state, fleet)
@@ -368,16 +369,16 @@
 def make_regions(
     context: Context, state: State, servers: Servers, unreadable: Callable[[str, str], None]
 ) -> Regions:
-    """Return the parts that steer between regions.
+    """Create the parts that steer between regions.
 
     Args:
-        context: What every part may need.
-        state: The parts that hold the store's items.
-        servers: Backend servers.
-        unreadable: Takes the key of a policy that cannot be used, and the cause.
+        context: Common dependencies.
+        state: The parts that keep a copy of the store's items.
+        servers: The parts that track backend servers.
+        unreadable: Called with the key of a policy that cannot be used and the cause.
 
     Raises:
-        SettingsError: When the settings name a policy that is not shipped.
+        SettingsError: If the settings name a policy that is not shipped.
     """
     settings = context.settings
     policies = PolicyTable(state.view, unreadable, default=settings.policy)
@@ -401,15 +402,15 @@
     workspaces: Workspaces,
     regions: Regions,
 ) -> Requests:
-    """Return the parts that a request passes.
+    """Create the parts that process requests.
 
     Args:
-        context: What every part may need.
-        state: The parts that hold the store's items.
-        servers: Backend servers.
-        crashes: Requests that crash servers.
-        workspaces: Keys and limits of workspaces.
-        regions: Steering between regions.
+        context: Common dependencies.
+        state: The parts that keep a copy of the store's items.
+        servers: The parts that track backend servers.
+        crashes: The parts that quarantine requests that crash backend servers.
+        workspaces: The parts that check the keys and quotas of workspaces.
+        regions: The parts that steer between regions.
     """
     settings = context.settings
     server_quotas = FleetServerQuotas(workspaces.quotas, context.monotonic)
@@ -458,17 +459,17 @@
     )
 
 
-def make_reporter(
+def make_region_reporter(
     context: Context, state: State, fleet: Fleet, regions: Regions, requests: Requests
 ) -> RegionReporter:
-    """Return the part that reports this region's load to all VMs.
+    """Create the part that reports this region's load to all VMs.
 
     Args:
-        context: What every part may need.
-        state: The parts that hold the store's items.
-        fleet: The other VMs.
-        regions: Steering between regions.
-        requests: Counts the demand at this VM.
+        context: Common dependencies.
+        state: The parts that keep a copy of the store's items.
+        fleet: The parts that communicate with other VMs.
+        regions: The parts that steer between regions.
+        requests: The parts that process requests; they count the demand at this VM.
     """
     builder = RegionReportBuilder(
         regions.policies,
--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -1,8 +1,9 @@
-"""One entry VM of the routed request path: start, loops, settings in force, stop.
+"""One entry VM of the routed request path: start, background loops, settings in force, stop.
 
-Owns the process's life: the order of start and stop, listeners, supervised loops and the settings
-in force. Relies on `composition` for the parts, on `lifecycle` for reload, upkeep and the stop,
-on `process_signals`, and on the adapter for what the platform decides. Read `Gateway.run` first.
+Owns the life cycle of the process: the order of start and stop, the listeners, the supervised loops
+and the settings in force. Relies on `composition` for the parts, on `lifecycle` for reload, upkeep
+and graceful stop, on `process_signals`, and on the adapter for what depends on the platform. Read
+`Gateway.run` first.
 """
 
 import asyncio
@@ -29,12 +30,12 @@
 from .vm_state import vm_state
 
 _MS_PER_S = 1000
-"""Milliseconds in a second: an incarnation is the time of day of the start, in milliseconds."""
+"""Milliseconds in a second; an incarnation is the wall-clock time of the start in milliseconds."""
 
 _TICK_S = 0.2
-"""Time between two ticks, and between a loop's failure and its next run, in seconds.
+"""Time between two ticks, and between the failure of a loop and its next run, in seconds.
 
-A tenth of the shift cap's window, so shares move in small steps.
+It is a tenth of the shift cap's window, so that shares move in small steps.
 """
 
 
@@ -42,15 +43,15 @@
     """One entry VM.
 
     Args:
-        settings: Its settings.
-        adapter: The platform's translation.
-        reread: Returns the settings as they are now, or None when they are unchanged.
-        stop_asked: Returns whether the process was told to stop before the gateway ran.
+        settings: Settings of this VM.
+        adapter: Adapter to the platform.
+        reread: Returns the settings as they are now, or None if they are unchanged.
+        stop_asked: Returns whether the process received a signal to stop before `run`.
         clock: Source of time.
         rng: Source of randomness.
 
     Raises:
-        SettingsError: When the settings name a policy that is not shipped.
+        SettingsError: If the settings name a policy that is not shipped.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         self.parts = parts = make_parts(self.context, self.incarnation, self._unreadable)
         self.state, self.fleet, self.servers = parts.state, parts.fleet, parts.servers
         self.crashes, self.regions = parts.crashes, parts.regions
-        self.requests, self.reporter = parts.requests, parts.reporter
+        self.requests, self.region_reporter = parts.requests, parts.region_reporter
         self.listeners = Listeners(settings.max_files)
         self.state.view.listeners.append(self.events.learned)
         self.state.view.listeners.append(self.listeners.on_change)
@@ -116,13 +117,14 @@
         )
 
     def ready(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether callers may be sent to this VM."""
         return self.state.view.has_configuration and not self.stopping.is_set()
 
     async def run(self) -> None:
-        """Serve until told to stop, then stop as `lifecycle.shutdown` says.
+        """Serve until a signal to stop arrives, then stop as `lifecycle.shutdown` describes.
 
-        A process that was told to stop before this runs serves no request and ends at once.
+        A process that received a signal to stop before this call serves no request and ends at
+        once.
         """
         self.signals.take()
         if self.stop_asked():
@@ -141,11 +143,12 @@
         self.events.state("unreadable", key=key, cause=cause)
 
     def _apply_settings(self, settings: GatewaySettings) -> None:
-        """Put a part of changed settings in force; the others count from the next start on.
+        """Put a part of changed settings in force; the others apply from the next start.
 
-        In force at once: limits on cold servers and retries, grace time, time of look-up answers,
-        address of the store. From the next start on: shift cap, policy, memory, descriptors,
-        heartbeat of the servers, width of the link, data halls, addresses to listen on.
+        Limits on cold servers and retries, the grace period, the TTL of look-up answers and the
+        address of the store apply at once. Shift cap, policy, memory, file descriptors, heartbeat
+        interval of the servers, link bandwidth, data halls and listen addresses apply from the
+        next start.
         """
         self.settings = settings
         self.context = self.context._replace(settings=settings)
@@ -182,7 +185,7 @@
             self.servers.start_asks.run,
             self.fleet.heartbeats.run,
             self.fleet.notices.run,
-            self.reporter.run,
+            self.region_reporter.run,
             self.crashes.reporter.run,
             self.crashes.store.run,
             self._tick_loop,
@@ -191,11 +194,11 @@
             self._tasks.append(asyncio.ensure_future(supervised))
 
     async def _tick_loop(self) -> None:
-        """Run the upkeep; the line of a fault names the loop by this method."""
+        """Run the upkeep; the event `fault` identifies the loop by the name of this method."""
         await self.upkeep.run()
 
     def _loop_failed(self, loop: Step, error: Exception) -> None:
-        """Count and log a failure of one part, which must not end the process."""
+        """Count and log the failure of one loop, which must not end the process."""
         self.events.count("loop_faults")
         self.events.state("fault", loop=loop.__qualname__, error=repr(error))
 
