--- a/sprucewinch/gateway/datagrams.py
+++ b/sprucewinch/gateway/datagrams.py
@@ -1,8 +1,8 @@
-"""The UDP endpoint through which entry VMs send each other typed messages.
+"""UDP endpoint through which entry VMs send each other typed messages.
 
-Owns the socket, encoding and dispatch: each part registers the type of message that it handles.
-Relies on `net.address` and msgspec; knows none of the messages. A lost datagram is not repeated:
-each message is either sent again in its turn or only saves time.
+Owns the socket, the encoding and the dispatch: each part registers the type of message that it
+handles. Relies on `net.address` and msgspec; it contains no message types. A lost datagram is not
+retransmitted: each message is either sent again at its next interval or only saves time.
 """
 
 import asyncio
@@ -18,11 +18,11 @@
 T = TypeVar("T", bound=msgspec.Struct)
 
 Handler = Callable[[T, float], None]
-"""Takes a message and the monotonic time of its arrival, in seconds."""
+"""Receives a message and the monotonic time of its arrival, in seconds."""
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """Sends messages and passes those that arrive to their handlers.
+    """Sends messages and passes received ones to their handlers.
 
     Args:
         monotonic: Source of time, in seconds.
@@ -38,17 +38,17 @@
         self._decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder()
 
     def register(self, kind: type[T], handler: Handler[T]) -> None:
-        """Pass messages of a type to a handler from now on.
+        """Register the handler of a type of message.
 
         Args:
-            kind: A struct with a tag of its own.
-            handler: Takes each message.
+            kind: A struct with a unique tag.
+            handler: Called with each message of this type.
         """
         self._handlers[kind] = handler
         self._decoder = msgspec.msgpack.Decoder(Union[tuple(self._handlers)])
 
     async def listen(self, address: str) -> None:
-        """Receive at an address.
+        """Bind to an address and start to receive.
 
         Args:
             address: `IP:PORT`, UDP.
@@ -60,10 +60,10 @@
         )
 
     def send(self, message: msgspec.Struct, addresses: Iterable[str]) -> None:
-        """Send a message to some VMs; nothing is sent before `listen`.
+        """Send a message to VMs; nothing is sent before `listen`.
 
         Args:
-            message: A struct of a type that others have registered.
+            message: A struct of a type that the recipients have registered.
             addresses: `IP:PORT` of each VM.
         """
         data = msgspec.msgpack.encode(message)
@@ -72,10 +72,10 @@
                 self.transport.sendto(data, tuple(parse_address(address)))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Pass a message to its handler; one that cannot be read is counted and dropped.
+        """Pass a message to its handler; one that cannot be decoded is counted and dropped.
 
-        There is no line: a VM of another version may send types that are unknown here, many a
-        second, and that is no fault of either VM. The counter shows it.
+        No event is logged: a VM of another version may send types that are unknown here, many of
+        them a second, and that is no fault of either VM. The counter shows it.
         """
         try:
             message = self._decoder.decode(data)
@@ -90,4 +90,4 @@
         handler(message, self.monotonic())
 
     def error_received(self, _exc: Exception) -> None:
-        """Ignore that a datagram was not received: `gossip` sees that the VM's heartbeats stop."""
+        """Ignore an undelivered datagram; `gossip` notices that the VM's heartbeats stop."""
--- a/sprucewinch/gateway/decision_log.py
+++ b/sprucewinch/gateway/decision_log.py
@@ -1,8 +1,9 @@
-"""Structured lines for decisions, bounded in number, and the counters beside them.
+"""Structured log of the gateway's decisions, limited in rate, and its counters.
 
-Owns the shape of the lines of requests and of learnt changes, and all counters. Relies on
-`telemetry.line_rate` for which lines are written and on `telemetry.latency_histograms` for the
-quantiles. Names of events, fields and counters are read by others, so they stay.
+Owns the format of the lines about requests and about changes in the store, and all counters. Relies
+on `telemetry.line_rate` to decide which lines are written and on `telemetry.latency_histograms` for
+the quantiles. Operators and tools read events, fields and counters by name, so the names must not
+change.
 """
 
 from collections import Counter
@@ -20,21 +21,21 @@
 from .telemetry.line_rate import LineRate
 
 _MS_PER_S = 1000
-"""Milliseconds in a second; times in lines are in milliseconds."""
+"""Milliseconds in a second; durations in lines are in milliseconds."""
 
 _TIME_DIGITS = 3
-"""Decimal places of a line's time of day, in seconds: a millisecond."""
+"""Decimal places of the wall-clock time in seconds, which give it to the millisecond."""
 
 
 class DecisionLog(EventLog, RequestLog):
-    """Writes lines and counts.
+    """Writes lines and keeps the counters.
 
-    Lines beyond the rate are dropped and counted, plain answers first.
+    Lines beyond the rate limit are dropped and counted, plain answers first.
 
     Args:
-        emit: Takes one line.
-        monotonic: Source of time, in seconds.
-        wall: Source of the time of day, in seconds since the epoch.
+        emit: Writes one line.
+        monotonic: Source of monotonic time, in seconds.
+        wall: Source of wall-clock time, in seconds since the epoch.
     """
 
     def __init__(
@@ -53,15 +54,15 @@
         self.line_rate = LineRate(monotonic())
 
     def state(self, event: str, **inputs: Any) -> None:
-        """Write a line for a change of what the process is or holds."""
+        """Write a line about a change of the process's state."""
         self._line(event, inputs, plain=False)
 
     def count(self, counter: str) -> None:
-        """Count one more of something."""
+        """Increment a counter by one."""
         self.counters[counter] += 1
 
     def learned(self, change: Change) -> None:
-        """Write a line for a change of what is held of the store."""
+        """Write a line about a change in this VM's copy of the store."""
         after = change.after
         if isinstance(after, RouteConfiguration):
             self.configuration_version = after.version
@@ -71,7 +72,7 @@
         self.state("fact", key=change.key, word=word, revision=change.revision)
 
     def replied(self, request: ClientRequest, reply: Reply, seconds: float) -> None:
-        """Write a line for a request's final answer and count it."""
+        """Write a line about a request's final answer and count it."""
         outcome = reply.refusal.value if reply.refusal else "answered"
         self.counters[f"requests_{outcome}"] += 1
         route = reply.route.name if reply.route else ""
@@ -81,7 +82,7 @@
         self._request(request, outcome, reply.status, route, seconds, plain=plain)
 
     def left(self, request: ClientRequest, seconds: float) -> None:
-        """Write a line for a caller that left before its answer."""
+        """Write a line about a request whose caller disconnected before the answer."""
         self.counters["requests_left"] += 1
         self._request(request, "left", 0, "", seconds, plain=False)
 
@@ -95,8 +96,8 @@
         *,
         plain: bool,
     ) -> None:
-        for send in request.attempts[1:]:
-            self.counters[f"repeats_after_{send.verdict.value}"] += 1
+        for attempt in request.attempts[1:]:
+            self.counters[f"repeats_after_{attempt.verdict.value}"] += 1
         inputs = {
             "id": request.id,
             "outcome": outcome,
@@ -106,8 +107,8 @@
             "ms": round(seconds * _MS_PER_S, 1),
             "version": self.configuration_version,
             "sends": [
-                [s.server_id, s.verdict.value, s.why, round(s.seconds * _MS_PER_S, 1)]
-                for s in request.attempts
+                [a.server_id, a.verdict.value, a.why, round(a.seconds * _MS_PER_S, 1)]
+                for a in request.attempts
             ],
         }
         if request.blocked is not None and not request.attempts:
@@ -127,7 +128,7 @@
         """Return counters, gauges and latency quantiles as lines of name and value.
 
         Args:
-            gauges: Further values by name.
+            gauges: Gauge values by name.
         """
         lines = [f"{name} {count}" for name, count in sorted(self.counters.items())]
         lines += [f"{name} {value:g}" for name, value in sorted((gauges or {}).items())]
--- a/sprucewinch/gateway/events.py
+++ b/sprucewinch/gateway/events.py
@@ -1,7 +1,7 @@
-"""Events and counters, as the parts of the gateway that cause them use them.
+"""Interface through which the parts of the gateway report events and counters.
 
-Owns the interface; `decision_log` implements it. Stands at the bottom, so that a part may report
-what it decides without knowing what writes the lines. Relies on nothing.
+Owns the interface, which `decision_log` implements. It is in the lowest layer, so that any part can
+report what it decides without depending on the log. Relies on nothing.
 """
 
 import abc
@@ -9,31 +9,31 @@
 
 
 class EventLog(abc.ABC):
-    """Takes structured lines for changes of state, and counts."""
+    """Receives structured events about changes of state, and counts."""
 
     @abc.abstractmethod
     def state(self, event: str, **inputs: Any) -> None:
-        """Write a line for a change of what the process is or holds.
+        """Write a line about a change of the process's state.
 
         Args:
-            event: Name of the event; others read it, so it stays.
-            **inputs: What decided it, by name of the field.
+            event: Name of the event; operators and tools read it, so it must not change.
+            **inputs: Inputs of the decision, by field name.
         """
 
     @abc.abstractmethod
     def count(self, counter: str) -> None:
-        """Raise a counter by one.
+        """Increment a counter by one.
 
         Args:
-            counter: Name of the metric; others read it, so it stays.
+            counter: Name of the metric; operators and tools read it, so it must not change.
         """
 
 
 class NoEvents(EventLog):
-    """Drops everything; for a part that is used alone."""
+    """Discards all events and counts; for parts that are used without a log."""
 
     def state(self, event: str, **inputs: Any) -> None:
-        """Drop a line."""
+        """Discard an event."""
 
     def count(self, counter: str) -> None:
-        """Drop a count."""
+        """Discard a count."""
--- a/sprucewinch/gateway/header_names.py
+++ b/sprucewinch/gateway/header_names.py
@@ -1,28 +1,29 @@
 """Names of the headers and cookies that callers, VMs and backend servers exchange.
 
-Owns the list of names that a platform may choose; an adapter gives them. Relies on nothing.
+Owns the set of names that a platform may choose; a platform's adapter supplies them. Relies on
+nothing.
 """
 
 from typing import NamedTuple
 
 
 class HeaderNames(NamedTuple):
-    """Names of headers and cookies on the wire; lower case.
+    """Names of headers and cookies on the wire, in lower case.
 
     Args:
-        request_id: Names one attempt of a caller; echoed in the answer.
-        deadline_ms: What is left of the caller's time, in milliseconds.
-        affinity: Cookie that names the object a request is about.
-        expected: Backend server that alone may run the request.
-        signature: Set by a backend server on each answer of its own.
+        request_id: Identifies one attempt of a caller; echoed in the answer.
+        deadline_ms: Time left until the caller's deadline, in milliseconds.
+        affinity: Cookie that identifies the object that a request concerns.
+        expected: The only backend server that may run the request.
+        signature: Set by a backend server on each of its own answers.
         not_run: Set by a backend server that did not run the request.
-        limit: Requests a second that a backend server takes from all VMs together.
-        leaving: 1 when a backend server leaves.
-        load: A backend server's load: running, waiting, slots.
-        cold_ms: In answers to probes, how much longer a server is cold, in milliseconds.
-        instance: In answers to probes, the server's id.
-        api_key: A caller's API key; never passed on.
-        workspace: Name of the caller's workspace, set on what goes to a backend server.
+        limit: Requests a second that a backend server accepts from all VMs together.
+        leaving: 1 if a backend server is about to leave.
+        load: Load of a backend server: requests running and waiting, and slots.
+        cold_ms: In answers to probes, the time for which the server stays cold, in milliseconds.
+        instance: In answers to probes, the id of the server.
+        api_key: The caller's API key; never forwarded.
+        workspace: Name of the caller's workspace, set on requests to backend servers.
     """
 
     request_id: str = "sprucewinch-request-id"
--- a/sprucewinch/gateway/internal_apps.py
+++ b/sprucewinch/gateway/internal_apps.py
@@ -1,8 +1,8 @@
-"""Small ASGI applications for other VMs and operators: changes of the store, metrics, state.
+"""ASGI applications for other VMs and for operators: changes of the store, metrics, state.
 
-Owns what is answered on the ports between VMs and for metrics, and the encoded form of the large
-items that peers ask for. Relies on the replica for the changes and on the functions it is given for
-texts. An adapter's own applications use `send_bytes`.
+Owns the answers on the port between VMs and on the metrics port, and the encoded form of the large
+items that peers request. Relies on the replica for the changes and on the functions passed to it
+for texts. The applications of a platform's adapter also use `send_bytes`.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,18 +16,18 @@
 from .state.store_view import StoreView
 
 _MAX_ENCODED = 4
-"""Encoded items kept for peers at the most. Large ones are configurations and policies, of which
-peers ask for the newest."""
+"""Number of encoded items cached for peers. Large items are configurations and policies, and peers
+request only the newest of them."""
 
 
 async def send_bytes(send: Send, status: int, body: bytes, kind: str = "text/plain") -> None:
-    """Send a whole answer.
+    """Send a complete answer.
 
     Args:
-        send: ASGI's way to the caller.
+        send: ASGI's send function.
         status: HTTP status.
-        body: The body.
-        kind: Its media type.
+        body: Body of the answer.
+        kind: Media type of the body.
     """
     headers = [
         (b"content-type", kind.encode()),
@@ -37,18 +37,18 @@
     await send({"type": "http.response.body", "body": body})
 
 
-_MOST_DIGITS = 19
-"""Digits of the largest revision that the store can count, a signed number of 64 bits."""
+_MAX_REVISION_DIGITS = 19
+"""Digits of the largest revision of the store, which is a signed 64-bit number."""
 
 
 class EncodedItems:
-    """Items as they are sent to peers, each encoded once: all VMs of a region ask for the same."""
+    """Cache of encoded items, as all VMs of a region request the same ones."""
 
     def __init__(self) -> None:
         self._kept: dict[str, tuple[int, bytes]] = {}
 
     def encode(self, item: Item) -> bytes:
-        """Return an item's bytes for a peer."""
+        """Return an item encoded for a peer."""
         revision, data = self._kept.get(item.key, (0, b""))
         if revision == item.revision:
             return data
@@ -61,10 +61,10 @@
 
 
 class DeltaApp:
-    """Sends other VMs the changes of the store after a revision that they name, and large items.
+    """Serves other VMs the changes of the store after a given revision, and single large items.
 
     Args:
-        store_view: What this VM holds of the store.
+        store_view: This VM's copy of the store.
     """
 
     def __init__(self, store_view: StoreView) -> None:
@@ -81,7 +81,7 @@
         await send_bytes(send, HTTPStatus.OK, body, "application/msgpack")
 
     def _answer(self, path: str, query: Mapping[str, str]) -> Optional[bytes]:
-        """Return the answer's body; None when there is no such thing here."""
+        """Return the body of the answer; None if the path or the item is unknown."""
         if path == DELTA_PATH:
             return self._delta(query.get("after", "0"), query.get("most"))
         if path == ITEM_PATH:
@@ -96,26 +96,26 @@
         return encode_delta(self.store_view.replica.since(revision, most_bytes=most_bytes))
 
     def _item(self, key: str, revision: str) -> Optional[bytes]:
-        """Return an item of a revision or a newer one."""
+        """Return an item of the given revision or a newer one, encoded; None if there is none."""
         item = self.store_view.replica.items.get(key)
-        least = _whole_number(revision)
-        if item is None or least is None or item.revision < least:
+        min_revision = _whole_number(revision)
+        if item is None or min_revision is None or item.revision < min_revision:
             return None
         return self.encoded.encode(item)
 
 
 def _whole_number(text: str) -> Optional[int]:
-    """Return a number of a query; None when it is none, or too long for any revision."""
-    if not text.isascii() or not text.isdigit() or len(text) > _MOST_DIGITS:
+    """Parse a number in a query; None if it is malformed or too long for any revision."""
+    if not text.isascii() or not text.isdigit() or len(text) > _MAX_REVISION_DIGITS:
         return None
     return int(text)
 
 
 class TextApp:
-    """Shows texts that are made for each request.
+    """Serves texts that are generated for each request.
 
     Args:
-        texts: What makes the text of each path.
+        texts: Functions that generate the text of each path.
     """
 
     def __init__(self, texts: Mapping[str, Callable[[], str]]) -> None:
--- a/sprucewinch/gateway/listeners.py
+++ b/sprucewinch/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""The HTTP listeners of one VM, with limits that follow the configuration.
+"""HTTP listeners of one VM, with limits that follow the configuration.
 
 Owns the listeners and the limits that they share. Relies on `net.http_server` for what a listener
 refuses, and on `StoreView` for changes of the limits on callers.
@@ -12,80 +12,80 @@
 from .resources import RouteConfiguration
 from .state.store_view import Change
 
-_CONNECTIONS_PART = 0.5
-"""Part of the descriptors that callers' connections may take.
+_CALLER_CONNECTIONS_FRACTION = 0.5
+"""Fraction of the file descriptors that connections of callers may use.
 
 The rest is for connections to backend servers, the store and other VMs.
 """
 
-_FIRST_HEADER_BYTES = 65_536
-"""Most bytes of headers before a configuration is known."""
+_INITIAL_MAX_HEADER_BYTES = 65_536
+"""Limit on the headers of a request before a configuration is known, in bytes."""
 
-_HEADER_SLACK_BYTES = 1024
-"""Safety margin on the header limit that callers are told, in bytes."""
+_HEADER_MARGIN_BYTES = 1024
+"""Safety margin on the header limit stated to callers, in bytes."""
 
-_HEADER_SLACK_S = 1.0
-"""Safety margin on the header time that callers are told, in seconds."""
+_HEADER_MARGIN_S = 1.0
+"""Safety margin on the header timeout stated to callers, in seconds."""
 
-_IDLE_SLACK_S = 5.0
-"""Safety margin on the idle time of a kept connection that callers are told, in seconds."""
+_IDLE_MARGIN_S = 5.0
+"""Safety margin on the idle timeout of a persistent connection stated to callers, in seconds."""
 
-_LOOK_S = 0.005
-"""Time between two looks at whether a listener has started, in seconds."""
+_START_POLL_INTERVAL_S = 0.005
+"""Time between two checks whether a listener has started, in seconds."""
 
 
 class Listeners:
-    """Starts listeners and keeps their limits.
+    """Starts listeners and updates their limits.
 
     Args:
-        max_files: Descriptors that the process may open.
+        max_files: File descriptors that the process may open.
     """
 
     def __init__(self, max_files: int) -> None:
-        connections = int(max_files * _CONNECTIONS_PART)
-        self.limits = ListenerLimits(_FIRST_HEADER_BYTES, connections, connections)
+        connections = int(max_files * _CALLER_CONNECTIONS_FRACTION)
+        self.limits = ListenerLimits(_INITIAL_MAX_HEADER_BYTES, connections, connections)
         self.servers: list[uvicorn.Server] = []
         self.tasks: list[asyncio.Task] = []
 
     async def serve(self, address: str, app: AsgiApp) -> None:
-        """Listen at an address, and return once callers can connect.
+        """Listen on an address, and return once callers can connect.
 
         Args:
             address: `IP:PORT`.
-            app: Answers.
+            app: Application that answers the requests.
 
         Raises:
-            SettingsError: When the address cannot be listened on.
+            SettingsError: If the address cannot be bound.
         """
         server = make_listener(app, self.limits)
         bound = bind("listen address", address)
         self.servers.append(server)
         self.tasks.append(asyncio.ensure_future(server.serve(sockets=[bound])))
         while not server.started:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_START_POLL_INTERVAL_S)
 
     def stop_accepting(self) -> None:
-        """Refuse new connections and end those that rest; requests in flight go on."""
+        """Refuse new connections and close idle ones; requests in flight continue."""
         for server in self.servers:
             server.should_exit = True
 
     @property
     def closed(self) -> bool:
-        """Return whether every connection has ended, with all that was written to it read."""
+        """Return whether every connection has ended and all data written to it has been read."""
         return all(task.done() for task in self.tasks)
 
     def on_change(self, change: Change) -> None:
-        """Follow the limits on callers; a connection may be idle a little longer than stated.
+        """Apply changed limits on callers, each with a margin beyond what callers are told.
 
         Args:
-            change: Any change of what is held of the store.
+            change: Any change of this VM's copy of the store.
         """
         if not isinstance(change.after, RouteConfiguration):
             return
         limits = change.after.limits
         self.limits.change(
-            header_bytes=limits.header_bytes + _HEADER_SLACK_BYTES,
-            header_s=limits.header_s + _HEADER_SLACK_S,
+            header_bytes=limits.header_bytes + _HEADER_MARGIN_BYTES,
+            header_s=limits.header_s + _HEADER_MARGIN_S,
         )
         for server in self.servers:
-            keep_alive(server, limits.idle_s + _IDLE_SLACK_S)
+            keep_alive(server, limits.idle_s + _IDLE_MARGIN_S)
--- a/sprucewinch/gateway/platform_adapter.py
+++ b/sprucewinch/gateway/platform_adapter.py
@@ -1,7 +1,7 @@
-"""What differs from platform to platform, as one interface that an adapter implements.
+"""Interface to everything that differs between platforms; an adapter implements it.
 
-Owns the interface. Relies on the types of the gateway's own side; the platform's own names stay in
-the adapter.
+Owns the interface. Relies on types of the gateway; the names that a platform uses occur only in its
+adapter.
 """
 
 import abc
@@ -20,8 +20,8 @@
     """Translates between a platform and the gateway.
 
     Attributes:
-        names: Names of headers and cookies on the platform's wire.
-        decoder: Reads the platform's items in the store.
+        names: Names of headers and cookies on the platform.
+        decoder: Decodes the platform's items in the store.
     """
 
     names: HeaderNames
@@ -32,16 +32,16 @@
         """Return a client of the platform's store.
 
         Args:
-            settings: Name the store's address.
+            settings: Settings with the address of the store.
             monotonic: Source of time, in seconds.
         """
 
     @abc.abstractmethod
     def probed_incarnation(self, body: bytes) -> Optional[int]:
-        """Return which process of a backend server has answered a probe; None when not stated.
+        """Return the incarnation of the backend server that answered a probe; None if not stated.
 
         Args:
-            body: Body of its answer.
+            body: Body of the answer.
         """
 
     @abc.abstractmethod
@@ -49,7 +49,7 @@
         """Return the application that answers look-ups.
 
         Args:
-            directory: Knows the answers.
+            directory: Provides the answers.
             monotonic: Source of time, in seconds.
         """
 
@@ -58,5 +58,5 @@
         """Return the application that answers readiness checks.
 
         Args:
-            ready: Returns whether callers may be sent here.
+            ready: Returns whether callers may be sent to this VM.
         """
--- a/sprucewinch/gateway/timing.py
+++ b/sprucewinch/gateway/timing.py
@@ -1,14 +1,15 @@
-"""Sources of time and randomness of a loop.
+"""Sources of time and randomness for background loops.
 
-Owns the pair that each loop gets in its constructor, so that tests steer both. Relies on nothing.
+Owns the pair that each loop gets in its constructor, so that tests can control both. Relies on
+nothing.
 """
 
 import random
 from collections.abc import Callable
 from typing import NamedTuple
 
-_JITTER = 0.1
-"""Fraction of a pause by which it is shortened or lengthened at most."""
+_MAX_JITTER = 0.1
+"""Largest fraction of an interval by which jitter shortens or lengthens it."""
 
 
 class Timing(NamedTuple):
@@ -23,5 +24,5 @@
     rng: random.Random
 
     def jittered(self, seconds: float) -> float:
-        """Return a pause of about some seconds, so that VMs that start together drift apart."""
-        return seconds * self.rng.uniform(1 - _JITTER, 1 + _JITTER)
+        """Return an interval in seconds with jitter, so VMs that start together drift apart."""
+        return seconds * self.rng.uniform(1 - _MAX_JITTER, 1 + _MAX_JITTER)
--- a/sprucewinch/gateway/vm_metrics.py
+++ b/sprucewinch/gateway/vm_metrics.py
@@ -1,7 +1,8 @@
-"""What a VM shows on `/metrics`: its counters, gauges and latency quantiles.
+"""Metrics that a VM serves on `/metrics`: counters, gauges and latency quantiles.
 
 Owns the list of gauges; the counters and quantiles belong to `decision_log`. Relies on the parts of
-`composition`; changes nothing. Names of gauges are read by others, so they stay.
+`composition` and changes nothing. Operators and tools read gauges by name, so the names must not
+change.
 """
 
 from .composition import Context, Parts
@@ -32,7 +33,10 @@
 
 
 def _statement_gauges(parts: Parts, now: float) -> dict[str, float]:
-    """Return how many backend servers state something, as far as this VM was told."""
+    """Return the numbers of backend servers that are leaving, limited or resting.
+
+    They include only the statements that have reached this VM.
+    """
     rows = parts.servers.registry.statement_table.rows.values()
     return {
         "servers_leaving": sum(stated.leaving_since is not None for stated in rows),
