--- a/sprucewinch/gateway/resources.py
+++ b/sprucewinch/gateway/resources.py
@@ -1,18 +1,18 @@
-"""What the store holds, decoded: routes, workspaces, backend servers, VMs, policies, evacuations.
+"""Decoded items of the store: routes, workspaces, backend servers, VMs, policies and evacuations.
 
-Owns the types of the resources, free of any platform's names. Relies on nothing; the adapter and
-`state.own_items` make them, every part of the gateway reads them.
+Owns the types of the resources, which contain no names of a platform. Relies on nothing; the
+adapter and `state.own_items` create them, and every part of the gateway reads them.
 """
 
 from typing import NamedTuple, Optional, Union
 
 
 class Part(NamedTuple):
-    """One part of a route's split.
+    """A service that receives a part of a route's requests.
 
     Args:
-        service: Service.
-        weight: Its part of the requests, relative to the other parts.
+        service: Name of the service.
+        weight: Weight of the service relative to the other parts of the route.
     """
 
     service: str
@@ -20,22 +20,21 @@
 
 
 class Route(NamedTuple):
-    """One route.
+    """A route: which services answer the requests for a host and path prefix.
 
     Args:
-        name: Its name.
-        host: Host it belongs to, in lower case.
-        prefix: Start of the paths, begins and ends with a slash.
-        parts: Services that share its requests; one for a plain route.
-        repeatable: True when a request may run more than once.
-        timeout_s: Longest time to hold a request, in seconds; None when unlimited.
-        latency_target_s: Time within which an answer is in time, in seconds; None when not
-            stated.
-        max_attempts: Most backend servers that may run one request.
-        priority: Rank, 0 the highest.
-        regions: Regions that may run it; empty for all.
-        affinity: True when a backend server that has lately seen the object is faster.
-        public: True when its requests need no API key.
+        name: Name of the route.
+        host: Host that it matches, in lower case.
+        prefix: Prefix of the paths that it matches; begins and ends with a slash.
+        parts: Services that share its requests; a single one if the route is not split.
+        repeatable: True if a request may run more than once.
+        timeout_s: Longest time for which a request is held, in seconds; None for no limit.
+        latency_target_s: Latency within which an answer is on time, in seconds; None if not stated.
+        max_attempts: Largest number of backend servers that may run one request.
+        priority: Priority of its requests; 0 is the highest.
+        regions: Regions that may run its requests; empty for all.
+        affinity: True if a backend server that has recently seen the object answers faster.
+        public: True if its requests need no API key.
     """
 
     name: str
@@ -53,14 +52,14 @@
 
 
 class ServiceRule(NamedTuple):
-    """Limits of one service.
+    """Health check and limits of one service.
 
     Args:
-        name: Its name.
-        health_path: Path on which its backend servers answer probes; empty for none.
+        name: Name of the service.
+        health_path: Path on which its backend servers answer probes; empty for no probes.
         connections: Connections that one backend server accepts from all VMs together.
-        warmup_s: How long a backend server stays cold after its start, in seconds.
-        cold_per_s: Requests a second that a cold backend server bears.
+        warmup_s: Time for which a backend server stays cold after its start, in seconds.
+        cold_per_s: Requests a second that a cold backend server can handle.
     """
 
     name: str
@@ -71,14 +70,15 @@
 
 
 class Workspace(NamedTuple):
-    """One workspace: who its callers are, how much they may send, and where it may run.
+    """A workspace: the API keys of its callers, its rate limit and its regions.
 
     Args:
-        name: Its name, which backend servers get instead of the key.
-        keys: Digests of its API keys, see `key_digests`; the keys themselves are not held.
-        priority: Rank, 0 the highest; it goes before the rank of the route.
+        name: Name of the workspace, which backend servers get instead of the key.
+        keys: Digests of its API keys, see `key_digests`; the keys themselves are not stored.
+        priority: Priority of its requests, 0 the highest; it takes precedence over the priority
+            of the route.
         rate_per_s: Requests a second that it may send to the whole fleet; 0 for no limit.
-        burst: Requests beyond that rate.
+        burst: Requests that it may send beyond that rate.
         regions: Regions that may run its requests; empty for all.
     """
 
@@ -94,10 +94,10 @@
     """Limits on what a caller may send.
 
     Args:
-        header_bytes: Most bytes of a request's headers.
-        body_bytes: Most bytes of a request's body.
+        header_bytes: Largest size of a request's headers, in bytes.
+        body_bytes: Largest size of a request's body, in bytes.
         header_s: Longest time for the headers to arrive, in seconds.
-        idle_s: Longest idle time of a kept connection, in seconds.
+        idle_s: Longest idle time of a persistent connection, in seconds.
     """
 
     header_bytes: int = 16_384
@@ -110,11 +110,11 @@
     """One version of the routed configuration.
 
     Args:
-        version: Grows with every change, in uneven steps.
+        version: Version number; increases with every change, not always by one.
         routes: All routes.
         services: Service rules by name.
         limits: Limits on callers.
-        workspaces: All workspaces; none when requests need no API key.
+        workspaces: All workspaces; empty if requests need no API key.
     """
 
     version: int
@@ -125,18 +125,18 @@
 
 
 class BackendEntry(NamedTuple):
-    """A backend server, as the store lists it.
+    """The entry of a backend server in the store.
 
     Args:
-        id: Its name; a server that starts again may keep it.
+        id: Id of the server; a server that restarts may keep it.
         service: Service that it runs.
         address: `IP:PORT`.
-        hall: Data hall.
-        capacity: Requests that it works on at once.
-        draining: True when it is about to leave.
-        cold_for_s: How much longer it is cold, in seconds.
-        incarnation: Which of the processes with this id it is, higher than that of any earlier one;
-            None when the entry does not say so.
+        hall: Data hall of the server.
+        capacity: Requests that it processes at the same time.
+        draining: True if it is about to leave.
+        cold_for_s: Time for which it stays cold, in seconds.
+        incarnation: Number of the process with this id, higher than that of any earlier process;
+            None if the entry does not state it.
     """
 
     id: str
@@ -150,12 +150,12 @@
 
 
 class Member(NamedTuple):
-    """One entry VM, as it registers itself.
+    """The entry with which an entry VM registers itself.
 
     Args:
-        name: Its name.
-        hall: Data hall.
-        region: Region.
+        name: Name of the VM.
+        hall: Data hall of the VM.
+        region: Region of the VM.
         caller_address: `IP:PORT` for callers.
         peer_address: `IP:PORT` for other entry VMs, TCP and UDP.
     """
@@ -168,11 +168,11 @@
 
 
 class PolicyProgram(NamedTuple):
-    """A steering policy's program.
+    """The program of a steering policy.
 
     Args:
-        name: Its name.
-        source: Its text.
+        name: Name of the policy.
+        source: Source text of the program.
     """
 
     name: str
@@ -180,10 +180,10 @@
 
 
 class PolicyChoice(NamedTuple):
-    """Which policy steers a service.
+    """The operators' choice of the policy that steers a service.
 
     Args:
-        service: Service, or `*` for all that have no choice of their own.
+        service: Name of the service, or `*` for all services without their own choice.
         policy: Name of the policy.
     """
 
@@ -192,19 +192,19 @@
 
 
 class Evacuation(NamedTuple):
-    """The operators' order to send nothing to the backend servers of a data hall."""
+    """An operators' instruction to send no requests to the backend servers of a data hall."""
 
     hall: str
 
 
 class CrashEvidence(NamedTuple):
-    """One backend server that ended under a quarantined request.
+    """A crash of a backend server while it ran a request that is now quarantined.
 
     Args:
-        server: Its id.
-        incarnation: Which process of it; 0 when that is not known.
-        vms: VMs that saw it.
-        age_s: How long before the quarantine, in seconds.
+        server: Id of the server.
+        incarnation: Number of its process; 0 if unknown.
+        vms: VMs that observed the crash.
+        age_s: Time from the crash to the quarantine, in seconds.
     """
 
     server: str
@@ -214,16 +214,17 @@
 
 
 class QuarantinedRequest(NamedTuple):
-    """A request that is refused, as it crashes the backend servers that run it.
+    """A request that is refused because it crashes the backend servers that run it.
 
     Args:
-        fingerprint: Names the request, in hexadecimal digits.
-        target_hash: Hash of what it is for, likewise.
-        what: Its method and path.
-        since: Time of day of the quarantine at the VM that wrote it, in seconds since the epoch.
-        crashes: The evidence.
-        trials: How often it has been tried again.
-        trials_left: How often it may still be.
+        fingerprint: Identifies the request, in hexadecimal digits.
+        target_hash: Hash of the target of the request, in hexadecimal digits.
+        what: Method and path of the request.
+        since: Wall-clock time of the quarantine at the VM that wrote it, in seconds since the
+            epoch.
+        crashes: The crashes that led to the quarantine.
+        trials: Number of trials so far, in which the request was run again.
+        trials_left: Number of trials that remain.
     """
 
     fingerprint: str
@@ -235,7 +236,7 @@
     trials_left: int = 0
 
     def on_trial(self) -> "QuarantinedRequest":
-        """Return what the store holds once a trial is taken."""
+        """Return the entry that the store contains after a trial has been taken."""
         return self._replace(trials=self.trials + 1, trials_left=self.trials_left - 1)
 
 
--- a/sprucewinch/gateway/settings.py
+++ b/sprucewinch/gateway/settings.py
@@ -1,33 +1,35 @@
-"""The settings of one entry VM, and the limits that the fleet keeps together.
+"""Settings of one entry VM, and the limits that the whole fleet keeps.
 
-Owns the types of the settings. Relies on nothing; an adapter fills them from a settings file.
+Owns the types of the settings. Relies on nothing; an adapter creates them from a settings file.
 """
 
 from typing import NamedTuple, Optional
 
 
 class Bounds(NamedTuple):
-    """Figures that the fleet has to keep together; the platform's settings give them.
+    """Limits that apply to the whole fleet; the platform's settings state them.
 
-    The defaults stand for a settings file that leaves one out. They are the bounds that both sites
-    state, but for `retry_slack`, `cold_over` and `cold_slack`, which are stricter.
+    A default applies if the settings file omits the value. The defaults are the bounds that both
+    deployments so far state, except for `retry_slack`, `cold_over` and `cold_slack`, which are
+    stricter.
 
     Args:
-        grace_s: Time from the order to stop until the process is killed, in seconds.
-        lookup_ttl_s: Longest time that callers keep a look-up answer, in seconds.
-        shift_cap: Most callers of a region that may change region from one window to the next.
-        retry_ratio: Repeats allowed for each request, over all VMs.
+        grace_s: Time from the signal to stop until the process is killed, in seconds.
+        lookup_ttl_s: Longest time for which callers cache a look-up answer, in seconds.
+        shift_cap: Largest fraction of a region's callers that may change region from one window to
+            the next.
+        retry_ratio: Retries allowed for each request, over all VMs.
         retry_window_s: Window of the retry limit, in seconds.
-        retry_slack: Repeats allowed beyond the ratio in a window, over all VMs.
-        cold_over: Factor on a cold backend server's rate that is still borne.
-        cold_slack: Requests beyond that factor in one second.
-        config_s: Time after which a configuration has to be in force at every VM that reaches the
+        retry_slack: Retries allowed beyond the ratio in a window, over all VMs.
+        cold_over: Factor on the rate of a cold backend server up to which it may get requests.
+        cold_slack: Requests allowed beyond that factor in one second.
+        config_s: Time within which a configuration must be in force at every VM that can reach the
             store, in seconds.
-        key_trust_s: Time without word from the store after which a VM accepts no API key any more,
-            in seconds; None to go on accepting those that it knows.
+        key_trust_s: Time without contact to the store after which a VM accepts no API key, in
+            seconds; None to keep accepting the keys that it knows.
         quota_window_s: Window of the limit on a workspace, in seconds.
-        quota_over: Part of a workspace's limit that may be passed in a window.
-        quota_slack: Requests beyond that in a window.
+        quota_over: Fraction of a workspace's limit by which it may be exceeded in a window.
+        quota_slack: Requests allowed beyond that in a window.
     """
 
     grace_s: float = 6.0
@@ -49,22 +51,23 @@
     """Settings of one entry VM.
 
     Args:
-        name: Its name.
-        hall: Its data hall.
-        region: Its region.
+        name: Name of the VM.
+        hall: Data hall of the VM.
+        region: Region of the VM.
         regions: Region of each data hall.
         caller_address: `IP:PORT` for requests.
         ready_address: `IP:PORT` for readiness checks.
-        directory_address: `IP:PORT` for look-ups; empty when it serves none.
+        directory_address: `IP:PORT` for look-ups; empty if the VM answers none.
         peer_address: `IP:PORT` for other entry VMs, TCP and UDP.
         metrics_address: `IP:PORT` for counters and histograms.
         store_address: `IP:PORT` of the platform's store.
-        server_heartbeat_s: How often backend servers renew their entries there, in seconds.
-        max_files: Descriptors that the process may open.
+        server_heartbeat_s: Interval at which backend servers renew their entries in the store, in
+            seconds.
+        max_files: File descriptors that the process may open.
         memory_bytes: Memory that the process may use, in bytes.
-        link_mbps: Width of the VM's link, in Mbit/s; 0 when unknown.
+        link_mbps: Bandwidth of the VM's network link, in Mbit/s; 0 if unknown.
         policy: Shipped policy of services for which operators have chosen none.
-        bounds: Figures that the fleet keeps together.
+        bounds: Limits that apply to the whole fleet.
     """
 
     name: str
--- a/sprucewinch/gateway/vm_state.py
+++ b/sprucewinch/gateway/vm_state.py
@@ -1,8 +1,8 @@
-"""What a VM shows operators of itself on `/state`: what it holds, how old that is, its shares.
+"""State of a VM that `/state` shows to operators.
 
-Owns the shape of that JSON, which the command line reads: names and order of its fields stay.
-Relies on the parts of `composition`; changes nothing. The result of the region rules shows here
-alone: `policy`, `shares` and `limits` of each service.
+Owns the format of that JSON, which the command line reads, so the names and the order of its fields
+must not change. Relies on the parts of `composition` and changes nothing. The results of steering
+between regions are visible only here: `policy`, `shares` and `limits` of each service.
 """
 
 from typing import Any, NamedTuple, Optional
@@ -12,38 +12,38 @@
 from .composition import Context, Crashes, Parts, Regions, Servers, Workspaces
 from .statements.process_statements import ProcessStatements, ServerProcessId
 
-_HIGHEST_AGE_S = 1e9
-"""Age shown when the store has never answered, in seconds: JSON has no infinity."""
+_MAX_AGE_S = 1e9
+"""Age shown if the store has never answered, in seconds; JSON cannot represent infinity."""
 
 _SHARE_DIGITS = 4
-"""Decimal places of a share: a hundredth of a per cent."""
+"""Decimal places of a share, which give it to a hundredth of a per cent."""
 
 _LOAD_DIGITS = 2
 """Decimal places of a server's load, in requests."""
 
-_AGE_DIGITS = 3
-"""Decimal places of an age in seconds: a millisecond."""
+_TIME_DIGITS = 3
+"""Decimal places of a time in seconds, which give it to the millisecond."""
 
 _MS_PER_S = 1000
 """Milliseconds in a second."""
 
-_SHOWN_NAMES = {"hall": "zone"}
-"""Names of fields in `/state` where they differ from the field's own; operators read them."""
+_STATE_NAMES = {"hall": "zone"}
+"""Names in `/state` of the fields that have another name here; operators read them."""
 
 
 class BackendState(NamedTuple):
     """One backend server as this VM sees it.
 
     Args:
-        id: Its name.
+        id: Id of the server.
         service: Service that it runs.
-        hall: Its data hall.
-        in_flight: This VM's requests there.
-        load: Requests that it probably holds, of all VMs.
-        cold: True while it has just started or lost what it kept warm.
-        draining: True when it is about to leave.
-        paused: True while nothing is sent there, as it rests or is silent.
-        latency_ms: Mean time of a request there, in milliseconds; 0 when unknown.
+        hall: Data hall of the server.
+        in_flight: Requests that this VM has in flight there.
+        load: Estimated requests that it is working on, from all VMs.
+        cold: True while it has just started or has lost its warm caches.
+        draining: True if it is about to leave.
+        paused: True while nothing is sent to it, as it is resting or silent.
+        latency_ms: Mean latency of its requests, in milliseconds; 0 if unknown.
     """
 
     id: str
@@ -56,19 +56,19 @@
     paused: bool
     latency_ms: float
 
-    def shown(self) -> dict[str, Any]:
-        """Return its row of `/state`, where the data hall is called `zone`."""
-        return {_SHOWN_NAMES.get(name, name): value for name, value in self._asdict().items()}
+    def to_row(self) -> dict[str, Any]:
+        """Return the row of `/state`, in which the data hall is called `zone`."""
+        return {_STATE_NAMES.get(name, name): value for name, value in self._asdict().items()}
 
 
 class ServiceState(NamedTuple):
-    """One service's steering at this VM.
+    """Steering of one service at this VM.
 
     Args:
-        service: Its name.
+        service: Name of the service.
         policy: Policy in force.
         shares: Share of each region in the callers of this VM's region.
-        limits: Why the target differs from what the policy wants, see `ShareTarget.notes`.
+        limits: Why the target differs from the policy's weights, see `ShareTarget.notes`.
     """
 
     service: str
@@ -78,17 +78,18 @@
 
 
 class QuarantinedState(NamedTuple):
-    """One request that is refused, as it crashes servers.
+    """One quarantined request, which is refused because it crashes backend servers.
 
     Args:
-        fingerprint: Names it; operators let it go by this.
-        what: Its method and path.
-        age_s: Time since it has been refused here, or since its last trial, in seconds.
-        trial_in_s: Time until it is tried again, in seconds; an hour when only operators may let
-            it go.
-        trials: Trials so far.
-        stored: True when the store holds it, so that it outlasts this VM.
-        crashes: Servers that ended under it: id, process, VMs that saw it, age in seconds then.
+        fingerprint: Identifies the request; operators release it by this.
+        what: Method and path of the request.
+        age_s: Time since this VM began to refuse it, or since its last trial, in seconds.
+        trial_in_s: Time until its next trial, in seconds; an hour if only operators can release
+            it.
+        trials: Number of trials so far.
+        stored: True if the store contains it, so that it outlasts this VM.
+        crashes: Servers that crashed while running it: id, incarnation, VMs that observed it, and
+            age in seconds at the time of the quarantine.
     """
 
     fingerprint: str
@@ -101,16 +102,16 @@
 
 
 class WorkspaceState(NamedTuple):
-    """One workspace with a limit, as far as this VM has to do with it; never its keys.
+    """The quota of one workspace at this VM; its keys are never shown.
 
     Args:
-        workspace: Its name.
+        workspace: Name of the workspace.
         rate_per_s: Requests a second that it may send to the whole fleet.
-        burst: Requests beyond that rate.
-        used: Requests that were admitted here since the start, but for those given back.
-        refused: Requests that were refused here for its limit.
-        part: Part of its limit that this VM holds for its data hall, from 0 to 1.
-        left: Requests that it may still give of that part.
+        burst: Requests that it may send beyond that rate.
+        used: Requests admitted by this VM since its start, except those given back.
+        refused: Requests refused by this VM because of the limit.
+        part: Fraction of the limit that this VM manages for its data hall, from 0 to 1.
+        left: Requests that this VM may still grant from that part.
     """
 
     workspace: str
@@ -123,18 +124,18 @@
 
 
 class StatementState(NamedTuple):
-    """What one process of a backend server has stated, as far as this VM was told.
+    """Statements of one process of a backend server that this VM has received.
 
     Args:
         server: Id of the server.
-        incarnation: Which process of it; 0 when that is not known.
-        limit_per_s: Requests a second that it takes from all VMs; None for no limit.
-        by_server: True when it has told this VM itself, False when other VMs have.
-        limit_since_s: Time since this VM was first told of the limit, in seconds.
-        limit_age_s: Time since the server last stated it, in seconds.
-        no_token_s: Time for which it gets nothing from here, as its limit is used, in seconds.
-        leaving_s: Time since this VM was told that it leaves, in seconds; None when it does not.
-        rests_s: Time for which it wants nothing from this VM, in seconds.
+        incarnation: Number of its process; 0 if unknown.
+        limit_per_s: Requests a second that it accepts from all VMs; None for no limit.
+        by_server: True if the server stated the limit to this VM, False if other VMs reported it.
+        limit_since_s: Time since this VM first received the limit, in seconds.
+        limit_age_s: Time since the server last stated the limit, in seconds.
+        no_token_s: Time for which this VM sends it nothing, as its limit is used up, in seconds.
+        leaving_s: Time since this VM learned that it is leaving, in seconds; None if it is not.
+        rests_s: Time for which it wants no requests from this VM, in seconds.
     """
 
     server: str
@@ -149,22 +150,23 @@
 
 
 class VmState(NamedTuple):
-    """Everything that an operator asks of one VM.
+    """The state of one VM for operators.
 
     Args:
-        name: Its name.
-        region: Its region.
-        ready: True when callers may be sent here.
-        configuration_version: Version in force; 0 before the first.
-        store_revision: Revision of the store that is held.
-        store_age_s: Time since that was last confirmed, in seconds.
-        evacuated: Data halls that get nothing.
-        members: Whether each registered VM accepts callers.
-        services: Steering by service.
-        backend_servers: All that are known.
-        quarantined: Requests that are refused, as they crash servers.
-        workspaces: Those with a limit that were asked for here, or of which it holds a part.
-        statements: Backend servers that leave, rest or limit themselves by their own word.
+        name: Name of the VM.
+        region: Region of the VM.
+        ready: True if callers may be sent to this VM.
+        configuration_version: Version of the configuration in force; 0 before the first.
+        store_revision: Revision of this VM's copy of the store.
+        store_age_s: Time since that revision was last confirmed, in seconds.
+        evacuated: Data halls to which no requests are sent.
+        members: Whether each registered VM accepts callers, by name.
+        services: Steering of each service.
+        backend_servers: All known backend servers.
+        quarantined: Requests that are refused because they crash backend servers.
+        workspaces: Workspaces with a limit that have sent requests to this VM, or of whose limit
+            this VM manages a part.
+        statements: Statements of backend servers that are leaving, resting or limited.
     """
 
     name: str
@@ -182,11 +184,11 @@
     statements: tuple[StatementState, ...]
 
     def to_json(self) -> str:
-        """Return it as a JSON object."""
+        """Return the state as a JSON object."""
         table = {
             **self._asdict(),
             "services": [service._asdict() for service in self.services],
-            "backend_servers": [server.shown() for server in self.backend_servers],
+            "backend_servers": [server.to_row() for server in self.backend_servers],
             "quarantined": [request._asdict() for request in self.quarantined],
             "workspaces": [workspace._asdict() for workspace in self.workspaces],
             "statements": [statement._asdict() for statement in self.statements],
@@ -195,7 +197,7 @@
 
 
 def vm_state(context: Context, parts: Parts) -> VmState:
-    """Return the state of a VM."""
+    """Return the current state of a VM."""
     now = context.monotonic()
     view = parts.state.view
     return VmState(
@@ -204,7 +206,7 @@
         ready=context.ready(),
         configuration_version=view.configuration.version if view.configuration else 0,
         store_revision=view.replica.at,
-        store_age_s=round(min(now - view.confirmed_at, _HIGHEST_AGE_S), _AGE_DIGITS),
+        store_age_s=round(min(now - view.confirmed_at, _MAX_AGE_S), _TIME_DIGITS),
         evacuated=tuple(sorted(view.evacuated)),
         members={n: parts.fleet.gossip.accepts_callers(n, now) for n in sorted(view.members)},
         services=_services(parts.regions),
@@ -240,7 +242,7 @@
 
 
 def _seconds(seconds: float) -> float:
-    return round(max(0.0, seconds), _AGE_DIGITS)
+    return round(max(0.0, seconds), _TIME_DIGITS)
 
 
 def _workspaces(workspaces: Workspaces) -> tuple[WorkspaceState, ...]:
@@ -269,8 +271,8 @@
         QuarantinedState(
             fingerprint=held.request.fingerprint,
             what=held.request.what,
-            age_s=round(now - held.since, _AGE_DIGITS),
-            trial_in_s=round(held.retry_after_s(now), _AGE_DIGITS),
+            age_s=round(now - held.since, _TIME_DIGITS),
+            trial_in_s=round(held.retry_after_s(now), _TIME_DIGITS),
             trials=held.request.trials,
             stored=held.revision > 0,
             crashes=tuple(crash._asdict() for crash in held.request.crashes),
