--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -1,4 +1,4 @@
-"""A routed request path on a virtual clock, with scripted backend servers."""
+"""Fakes for the routed request path: a virtual clock, a store view and scripted servers."""
 
 import itertools
 import random
@@ -69,7 +69,7 @@
 
 
 class FreeQuotas(Quotas):
-    """Admits all, and keeps what was given back; `decision` replaces the answer."""
+    """Admits every request and records the calls; a test may replace `decision`."""
 
     def __init__(self) -> None:
         self.decision = QuotaDecision(QuotaEnd.ADMITTED)
@@ -87,8 +87,8 @@
         """Hold nothing."""
 
 
-class FreeServerQuotas(ServerQuotas):
-    """Lets all requests pass."""
+class UnlimitedServerQuotas(ServerQuotas):
+    """Admits every request to every server."""
 
     async def take(self, _backend: BackendEntry, _stated: ProcessStatements) -> ServerGrant:
         return UNLIMITED
@@ -97,8 +97,8 @@
         """Hold nothing."""
 
 
-class RecordedReports(ReportSender):
-    """Keeps what would be sent to other VMs."""
+class RecordingReportSender(ReportSender):
+    """Records the reports instead of sending them to other VMs."""
 
     def __init__(self) -> None:
         self.overloads: list[OverloadReport] = []
@@ -116,10 +116,10 @@
 
 
 class World:
-    """What a VM holds of the store, fed by a test.
+    """A VM's copy of the store, which the test changes, with its registry of backend servers.
 
     Args:
-        vms: How many VMs are registered.
+        vms: Number of registered VMs.
         name: Name of this VM.
     """
 
@@ -129,7 +129,7 @@
         self.revision = 0
         self._numbers = itertools.count()
         self.outages = StoreOutages(heartbeat_s=1.5)
-        self.reports = RecordedReports()
+        self.reports = RecordingReportSender()
         self.registry = BackendRegistry(
             self.store_view, BOUNDS, name, REGIONS, self.outages, self.reports
         )
@@ -140,7 +140,7 @@
             self.say(f"members/vm{number}", member)
 
     def say(self, key: str, fact: Resource, now: float = 0.0) -> None:
-        """Let the store list a resource."""
+        """Add or replace a resource in the store."""
         self.revision += 1
         token = str(next(self._numbers)).encode()
         self.decoder.table[token] = fact
@@ -148,13 +148,13 @@
         self.store_view.apply(Delta((item,), (), self.revision), now)
 
     def drop(self, key: str, now: float = 0.0) -> None:
-        """Let the store remove a key."""
+        """Remove a key from the store."""
         self.revision += 1
         removal = Removal(key, self.revision)
         self.store_view.apply(Delta((), (removal,), self.revision), now)
 
     def configure(self, *routes: Route, version: int = 1) -> None:
-        """Put routes in force."""
+        """Put a configuration with these routes in force."""
         configuration = RouteConfiguration(version, routes, {"rates": RULE})
         self.say("configuration", configuration)
 
@@ -176,12 +176,12 @@
 
 
 class Path:
-    """A pipeline with scripted servers.
+    """A pipeline with scripted backend servers.
 
     Args:
-        loop: The virtual loop.
-        servers: How many backend servers.
-        halls: Their data halls, in turn.
+        loop: The virtual event loop.
+        servers: Number of backend servers.
+        halls: Data halls to which the servers are assigned in turn.
     """
 
     def __init__(
@@ -206,7 +206,7 @@
         self.ranker = ServerRanker(self.world.registry, self.shares, REGIONS)
         self.pool = ConnectionPool(NAMES.request_id, loop.time)
         self.outliers = OutlierDetector(self.world.registry)
-        feedback, server_quotas = self._feedback(), FreeServerQuotas()
+        feedback, server_quotas = self._feedback(), UnlimitedServerQuotas()
         self.choice = ServerChoice(
             self.ranker,
             ServerSelector(self.world.registry, self.outliers),
@@ -250,7 +250,7 @@
         return AttemptFeedback(registry, self.outliers, quarantine, statements, time, NoEvents())
 
     def add(self, server_id: str, address: str, hall: str = "east-a") -> ScriptedServer:
-        """Start a backend server and let the store list it."""
+        """Start a backend server and add it to the store."""
         server = self.servers[server_id] = ScriptedServer(self.loop, server_id)
         self.addresses[server_id] = address
         self.loop.listen(address, server.accept)
@@ -276,23 +276,23 @@
         return ClientRequest(**{**plain, **changes})
 
     def first(self, key: str = "lane-1") -> ScriptedServer:
-        """Return the server that is an object's first choice."""
+        """Return the first server in the ranking for an object."""
         ranking = self.ranker.place("rates", key, (), self.loop.time())
         return self.servers[ranking.servers[0].backend.id]
 
     def stop(self, server: ScriptedServer) -> None:
-        """End a backend server: nobody listens any more, open connections are reset."""
+        """Stop a backend server: close its listener and reset its open connections."""
         del self.loop.listeners[self.addresses[server.server_id]]
         server.reset()
 
     def silence(self, server: ScriptedServer) -> None:
-        """Let new connections to a backend server hang."""
+        """Make new connections to a backend server hang."""
         self.loop.listeners[self.addresses[server.server_id]].silent = True
 
     def delay(self, server: ScriptedServer, seconds: float) -> None:
-        """Let new connections to a backend server come up later, by some seconds."""
+        """Delay the establishment of new connections to a backend server, in seconds."""
         self.loop.listeners[self.addresses[server.server_id]].late_s = seconds
 
     def runs(self, request_id: str) -> int:
-        """Return how often a request has run."""
+        """Return how many times a request has run."""
         return sum(r.request_id == request_id for s in self.servers.values() for r in s.runs)
--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -1,4 +1,4 @@
-"""The real program of the folder `platform/` as a process, beside stand-ins in the test."""
+"""The program in the folder `platform/` as a real process, with stand-ins for store and servers."""
 
 import asyncio
 import functools
@@ -18,9 +18,9 @@
 __all__ = ["CONFIGURATION", "HOST", "ROOT", "GatewayCase"]
 
 HOST = "quotes.example"
-_START_S = 30.0
-_POLL_S = 0.02
-_TOLD_LINES = 5
+_CONDITION_TIMEOUT_S = 30.0
+_POLL_INTERVAL_S = 0.02
+_REPORTED_LINES = 5
 
 CONFIGURATION: dict[str, Any] = {
     "Version": "r3",
@@ -59,7 +59,7 @@
 
 
 class GatewayCase(unittest.IsolatedAsyncioTestCase):
-    """A test with real processes, a store and backend servers."""
+    """A test case with real gateway processes, a store and backend servers."""
 
     vm_count = 1
     servers = 2
@@ -109,20 +109,20 @@
         self.store.put(f"servers/{backend.server_id}", json.dumps(row).encode())
 
     async def until(self, condition, what: str) -> None:
-        """Wait until an asynchronous condition holds."""
+        """Wait until an asynchronous condition holds; fails after `_CONDITION_TIMEOUT_S`."""
         try:
-            async with asyncio.timeout(_START_S):
+            async with asyncio.timeout(_CONDITION_TIMEOUT_S):
                 while not await condition():
-                    await asyncio.sleep(_POLL_S)
+                    await asyncio.sleep(_POLL_INTERVAL_S)
         except TimeoutError:
-            told = "".join(
-                f"\n{vm.name} at {vm.ip}: {vm.fate}; last lines: {vm.lines[-_TOLD_LINES:]}"
+            vm_reports = "".join(
+                f"\n{vm.name} at {vm.ip}: {vm.fate}; last lines: {vm.lines[-_REPORTED_LINES:]}"
                 for vm in self.vms
             )
-            self.fail(f"waited in vain for {what}{told}")
+            self.fail(f"timed out waiting for {what}{vm_reports}")
 
     async def ready(self, vm: EntryVm) -> bool:
-        """Return whether a VM says that it is ready."""
+        """Return whether a VM answers its readiness check."""
         try:
             async with self.session.get(vm.ready_url) as response:
                 return response.status == 200
@@ -130,7 +130,7 @@
             return False
 
     async def named(self, vm: EntryVm) -> set[str]:
-        """Return the addresses that a VM's directory names."""
+        """Return the addresses in the answer of a VM's directory."""
         url = (
             f"http://{vm.addresses['Directory']}/sprucewinch/resolve?Name=x&Region=east&Zone=east-a"
         )
@@ -142,7 +142,7 @@
     async def ask(
         self, vm: EntryVm, path: str, request_id: str, method: str = "GET", **options: Any
     ) -> tuple[int, bytes, dict[str, str]]:
-        """Send a request and return status, body and headers."""
+        """Send a request; returns status, body and headers."""
         headers = {
             "Host": HOST,
             "X-Request-Id": request_id,
@@ -151,15 +151,15 @@
         }
         url = f"http://{vm.addresses['Front']}{path}"
         async with self.session.request(method, url, headers=headers, **options) as response:
-            named = {name.lower(): value for name, value in response.headers.items()}
-            return response.status, await response.read(), named
+            lower_headers = {name.lower(): value for name, value in response.headers.items()}
+            return response.status, await response.read(), lower_headers
 
-    async def operate(self, *words: str) -> tuple[int, str]:
+    async def operate(self, *arguments: str) -> tuple[int, str]:
         """Run an operators' command; returns its exit status and what it prints."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "platform/operate.py",
-            *words,
+            *arguments,
             f"--store={self.store_address}",
             cwd=ROOT,
             stdout=asyncio.subprocess.PIPE,
@@ -169,5 +169,5 @@
         return process.returncode or 0, output.decode()
 
     def runs(self, request_id: str) -> int:
-        """Return how often a request has run."""
+        """Return how many times a request has run."""
         return sum(r.request_id == request_id for b in self.backends for r in b.runs)
--- a/tests/test_gateway_datagrams.py
+++ b/tests/test_gateway_datagrams.py
@@ -1,4 +1,4 @@
-"""The endpoint between entry VMs: what is dropped, what reaches its handler, who sent it."""
+"""The UDP endpoint between entry VMs: dropped datagrams, dispatch to handlers and the sender."""
 
 import asyncio
 import socket
@@ -32,13 +32,13 @@
 
 
 class Unknown(msgspec.Struct, array_like=True, frozen=True, tag="of-a-later-version"):
-    """A message that no VM of this version handles."""
+    """A message type that no VM of this version handles."""
 
     value: int
 
 
 class Events(EventLog):
-    """Keeps counts; the endpoint writes no lines."""
+    """Records counts and fails on an event, as the endpoint reports none."""
 
     def __init__(self) -> None:
         self.counted: list[str] = []
@@ -51,7 +51,7 @@
 
 
 class Endpoint:
-    """An endpoint that has a handler for each of some types of message."""
+    """An endpoint with a handler for each of the given types of message."""
 
     def __init__(self, kinds: tuple[type, ...]) -> None:
         self.now = 10.0
@@ -64,8 +64,8 @@
     def _handler(self, kind: type) -> Any:
         return lambda message, now: self.received.append((kind, message, now))
 
-    def arrives(self, data: bytes, sender: tuple[str, int] = _SENDER) -> None:
-        """Hand over a datagram as the event loop does."""
+    def receive(self, data: bytes, sender: tuple[str, int] = _SENDER) -> None:
+        """Deliver a datagram as the event loop does."""
         self.datagrams.datagram_received(data, sender)
 
 
@@ -74,18 +74,25 @@
 
 
 def _free_port() -> int:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as found:
-        found.bind(("127.0.0.1", 0))
-        return found.getsockname()[1]
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+        probe.bind(("127.0.0.1", 0))
+        return probe.getsockname()[1]
 
 
 class Dropped(unittest.TestCase):
-    def test_unreadable_datagrams_are_counted_and_reach_nobody(self) -> None:
-        whole = msgspec.msgpack.encode(_MESSAGES[0])
-        for data in (b"", b"\xc1", b"hello", whole[:-1], whole + b"\x00", b"\x93\xa4beat\xc0\xc0"):
+    def test_unreadable_datagrams_are_counted_and_reach_no_handler(self) -> None:
+        complete = msgspec.msgpack.encode(_MESSAGES[0])
+        for data in (
+            b"",
+            b"\xc1",
+            b"hello",
+            complete[:-1],
+            complete + b"\x00",
+            b"\x93\xa4beat\xc0\xc0",
+        ):
             with self.subTest(data=data):
                 endpoint = _endpoint()
-                endpoint.arrives(data)
+                endpoint.receive(data)
                 self.assertEqual(endpoint.events.counted, [_UNREADABLE])
                 self.assertEqual(endpoint.received, [])
                 self.assertIsNone(endpoint.datagrams.last_sender)
@@ -93,31 +100,31 @@
     @given(st.binary(max_size=64))
     def test_no_bytes_raise(self, data: bytes) -> None:
         endpoint = _endpoint()
-        endpoint.arrives(data)
+        endpoint.receive(data)
         self.assertEqual(len(endpoint.events.counted) + len(endpoint.received), 1)
 
-    def test_unknown_types_are_counted_and_reach_nobody(self) -> None:
+    def test_unknown_types_are_counted_and_reach_no_handler(self) -> None:
         endpoint = _endpoint()
-        endpoint.arrives(msgspec.msgpack.encode(Unknown(1)))
+        endpoint.receive(msgspec.msgpack.encode(Unknown(1)))
         self.assertEqual(endpoint.events.counted, [_UNREADABLE])
         self.assertEqual(endpoint.received, [])
         self.assertIsNone(endpoint.datagrams.last_sender)
 
     def test_a_type_without_a_handler_here_is_unknown(self) -> None:
         endpoint = Endpoint((ProgressNotice,))
-        endpoint.arrives(msgspec.msgpack.encode(_MESSAGES[0]))
+        endpoint.receive(msgspec.msgpack.encode(_MESSAGES[0]))
         self.assertEqual(endpoint.events.counted, [_UNREADABLE])
 
     def test_an_endpoint_without_any_handler_drops_everything(self) -> None:
         for message in _MESSAGES:
             endpoint = Endpoint(())
-            endpoint.arrives(msgspec.msgpack.encode(message))
+            endpoint.receive(msgspec.msgpack.encode(message))
             self.assertEqual(endpoint.events.counted, [_UNREADABLE])
 
-    def test_what_follows_an_unreadable_datagram_is_handled(self) -> None:
+    def test_a_message_after_an_unreadable_datagram_is_handled(self) -> None:
         endpoint = _endpoint()
-        endpoint.arrives(b"\xc1")
-        endpoint.arrives(msgspec.msgpack.encode(_MESSAGES[1]))
+        endpoint.receive(b"\xc1")
+        endpoint.receive(msgspec.msgpack.encode(_MESSAGES[1]))
         self.assertEqual([message for _, message, _ in endpoint.received], [_MESSAGES[1]])
 
 
@@ -126,19 +133,19 @@
         endpoint = _endpoint()
         for message in _MESSAGES:
             endpoint.now += 1.0
-            endpoint.arrives(msgspec.msgpack.encode(message))
-        wanted = [(type(m), m, 11.0 + at) for at, m in enumerate(_MESSAGES)]
-        self.assertEqual(endpoint.received, wanted)
+            endpoint.receive(msgspec.msgpack.encode(message))
+        expected = [(type(m), m, 11.0 + at) for at, m in enumerate(_MESSAGES)]
+        self.assertEqual(endpoint.received, expected)
         self.assertEqual(endpoint.events.counted, [])
 
     def test_the_last_sender_is_that_of_the_newest_handled_message(self) -> None:
         endpoint = _endpoint()
         data = msgspec.msgpack.encode(_MESSAGES[1])
-        endpoint.arrives(data, ("10.0.0.2", 7000))
+        endpoint.receive(data, ("10.0.0.2", 7000))
         self.assertEqual(endpoint.datagrams.last_sender, "10.0.0.2:7000")
-        endpoint.arrives(data, ("10.0.0.3", 7001))
+        endpoint.receive(data, ("10.0.0.3", 7001))
         self.assertEqual(endpoint.datagrams.last_sender, "10.0.0.3:7001")
-        endpoint.arrives(b"\xc1", ("10.0.0.4", 7002))
+        endpoint.receive(b"\xc1", ("10.0.0.4", 7002))
         self.assertEqual(endpoint.datagrams.last_sender, "10.0.0.3:7001")
 
 
--- a/tests/test_gateway_decision_log.py
+++ b/tests/test_gateway_decision_log.py
@@ -1,4 +1,4 @@
-"""Lines of the decision log: what they say of a request, and that their number is bounded."""
+"""Lines of the decision log: what they say about a request, and the limit on their rate."""
 
 import json
 import unittest
@@ -12,7 +12,7 @@
 
 
 class Lines:
-    """A decision log whose lines are kept."""
+    """A decision log that records its lines."""
 
     def __init__(self) -> None:
         self.rows: list[dict[str, Any]] = []
@@ -25,7 +25,7 @@
 
 
 class Requests(unittest.TestCase):
-    def test_a_line_says_what_decided_a_refusal(self) -> None:
+    def test_a_line_gives_the_reason_of_a_refusal(self) -> None:
         async def main(loop: VirtualLoop) -> dict[str, Any]:
             path = Path(loop, servers=1)
             path.world.configure(route())
@@ -43,7 +43,7 @@
         self.assertGreater(row["blocked"]["load"], 12)
         self.assertGreaterEqual(row["blocked"]["told_s"], 0)
 
-    def test_a_line_says_what_became_of_each_send(self) -> None:
+    def test_a_line_gives_the_result_of_each_attempt(self) -> None:
         async def main(loop: VirtualLoop) -> dict[str, Any]:
             path = Path(loop)
             path.world.configure(route())
@@ -55,27 +55,27 @@
             return lines.rows[0]
 
         row = run_virtual(main)
-        self.assertEqual([send[1:3] for send in row["sends"]][0], ["not-run", "unreachable"])
-        self.assertEqual([send[1] for send in row["sends"]][1], "answered")
+        self.assertEqual([attempt[1:3] for attempt in row["sends"]][0], ["not-run", "unreachable"])
+        self.assertEqual([attempt[1] for attempt in row["sends"]][1], "answered")
 
 
-class LineRates(unittest.TestCase):
+class LineRateLimit(unittest.TestCase):
     def test_plain_lines_leave_room_for_others(self) -> None:
         rate = LineRate(0.0)
         plain = sum(rate.admits(0.0, plain=True) for _ in range(1000))
         others = sum(rate.admits(0.0, plain=False) for _ in range(1000))
         self.assertEqual((plain, others), (150, 150))
 
-    def test_the_bucket_fills_again_and_no_further_than_a_burst(self) -> None:
+    def test_the_bucket_refills_up_to_one_burst(self) -> None:
         rate = LineRate(0.0)
-        first = sum(rate.admits(0.0, plain=False) for _ in range(1000))
-        later = sum(rate.admits(1.0, plain=False) for _ in range(1000))
-        much_later = sum(rate.admits(1000.0, plain=False) for _ in range(1000))
-        self.assertEqual((first, later, much_later), (300, 150, 300))
+        at_start = sum(rate.admits(0.0, plain=False) for _ in range(1000))
+        after_1_s = sum(rate.admits(1.0, plain=False) for _ in range(1000))
+        after_1000_s = sum(rate.admits(1000.0, plain=False) for _ in range(1000))
+        self.assertEqual((at_start, after_1_s, after_1000_s), (300, 150, 300))
 
 
-class Volume(unittest.TestCase):
-    def test_lines_are_bounded_and_what_is_dropped_is_counted(self) -> None:
+class RateAndReport(unittest.TestCase):
+    def test_the_rate_of_lines_is_limited_and_dropped_lines_are_counted(self) -> None:
         lines = Lines()
         for number in range(10_000):
             lines.now += 0.001
--- a/tests/test_process_gateway.py
+++ b/tests/test_process_gateway.py
@@ -1,4 +1,4 @@
-"""The program on the consortium's platform as a real process: requests, signals, peers."""
+"""The platform's gateway program as a real process: requests, signals, operators, peers."""
 
 import asyncio
 import contextlib
@@ -13,8 +13,11 @@
 from .gateway_process import CONFIGURATION, HOST, ROOT, GatewayCase
 
 _LARGE_BYTES = 8_000_000
-_AFTER_LINGER_S = 3.9
-"""Later than a stopping process with nothing left to do ends, sooner than it is killed."""
+_READ_DELAY_S = 3.9
+"""Delay before a slow caller reads, in seconds.
+
+It is longer than a stop without open connections takes, and shorter than the grace period.
+"""
 
 
 class Requests(GatewayCase):
@@ -38,10 +41,10 @@
 
     async def _lines_and_metrics(self) -> None:
         vm = self.vms[0]
-        told = {line["id"]: line for line in vm.lines if line["event"] == "request"}
-        self.assertEqual(told["q1"]["outcome"], "answered")
-        self.assertEqual(told["q3"]["outcome"], "no-route")
-        self.assertEqual(told["q1"]["sends"][0][1], "answered")
+        lines_by_id = {line["id"]: line for line in vm.lines if line["event"] == "request"}
+        self.assertEqual(lines_by_id["q1"]["outcome"], "answered")
+        self.assertEqual(lines_by_id["q3"]["outcome"], "no-route")
+        self.assertEqual(lines_by_id["q1"]["sends"][0][1], "answered")
         async with self.session.get(f"http://{vm.ip}:9464/metrics") as response:
             text = await response.text()
         self.assertIn("requests_answered 2", text)
@@ -72,7 +75,7 @@
         )
         await self.until(self._running, "the request to run")
         vm.signal(signal.SIGTERM)
-        await asyncio.sleep(_AFTER_LINGER_S)
+        await asyncio.sleep(_READ_DELAY_S)
         head = await reader.readuntil(b"\r\n\r\n")
         self.assertTrue(head.startswith(b"HTTP/1.1 200"))
         self.assertEqual(len(await reader.readexactly(_LARGE_BYTES)), _LARGE_BYTES)
@@ -80,11 +83,11 @@
 
     async def _open_slow_reader(self, vm) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         host, port = vm.addresses["Front"].split(":")
-        raw = socket.socket()
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
-        raw.setblocking(False)
-        await asyncio.get_running_loop().sock_connect(raw, (host, int(port)))
-        return await asyncio.open_connection(sock=raw, limit=65_536)
+        client_socket = socket.socket()
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
+        client_socket.setblocking(False)
+        await asyncio.get_running_loop().sock_connect(client_socket, (host, int(port)))
+        return await asyncio.open_connection(sock=client_socket, limit=65_536)
 
     async def _running(self) -> bool:
         return self.runs("slow") == 1
@@ -92,14 +95,14 @@
     async def _unready(self, vm) -> bool:
         return not await self.ready(vm)
 
-    async def test_what_a_stop_gives_up_gets_an_honest_final_answer(self) -> None:
+    async def test_requests_cancelled_by_a_stop_get_a_final_answer(self) -> None:
         vm = self.vms[0]
         for backend in self.backends:
             backend.work_s = 30.0
         work = asyncio.create_task(self.ask(vm, "/held/1", "slow", "POST", data=b"x"))
         await self.until(self._running, "the request to run")
         vm.signal(signal.SIGTERM)
-        reader, writer = await self._half_a_request(vm)
+        reader, writer = await self._send_incomplete_request(vm)
         self.addCleanup(writer.close)
         status, _, _ = await work
         self.assertEqual(status, 502)
@@ -108,15 +111,17 @@
         self.assertIn(b"retry-after: ", head)
         self.assertEqual(await vm.ended(), 0)
 
-    async def _half_a_request(self, vm) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Send a request's head and a part of its body."""
+    async def _send_incomplete_request(
+        self, vm
+    ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Send the head of a request and a part of its body."""
         host, port = vm.addresses["Front"].split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         head = f"POST /book/x HTTP/1.1\r\nhost: {HOST}\r\nx-request-id: half\r\n"
         writer.write(f"{head}content-length: 100\r\n\r\nhalf".encode())
         return reader, writer
 
-    async def test_being_told_to_stop_again_until_the_end_changes_nothing(self) -> None:
+    async def test_repeated_stop_signals_until_the_end_change_nothing(self) -> None:
         vm = self.vms[0]
         ending = asyncio.create_task(vm.ended())
         while not ending.done():
@@ -136,12 +141,12 @@
     async def _cancelled(self) -> bool:
         return sum(backend.cancelled for backend in self.backends) == 1
 
-    async def test_settings_are_taken_over_with_and_without_a_signal(self) -> None:
+    async def test_settings_are_reloaded_with_and_without_a_signal(self) -> None:
         vm = self.vms[0]
-        good = vm.settings.read_text()
+        valid = vm.settings.read_text()
         vm.signal(signal.SIGHUP)
         await self.until(lambda: self._reloaded(vm, "unchanged"), "the first reload")
-        vm.settings.write_text(good.replace('"BudgetSlack": 60', '"BudgetSlack": 30'))
+        vm.settings.write_text(valid.replace('"BudgetSlack": 60', '"BudgetSlack": 30'))
         await self.until(lambda: self._reloaded(vm, "taken"), "the change without a signal")
         vm.settings.write_text("{")
         vm.signal(signal.SIGHUP)
@@ -151,7 +156,7 @@
     async def _reloaded(self, vm, outcome: str) -> bool:
         return any(line.get("outcome") == outcome for line in vm.lines if line["event"] == "reload")
 
-    async def test_headers_that_do_not_arrive_are_given_up(self) -> None:
+    async def test_incomplete_headers_time_out(self) -> None:
         host, port = self.vms[0].addresses["Front"].split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         self.addCleanup(writer.close)
@@ -161,10 +166,10 @@
 
 
 class Operators(GatewayCase):
-    async def _run(self, *words: str) -> tuple[int, str]:
+    async def _run(self, *arguments: str) -> tuple[int, str]:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
-            *words,
+            *arguments,
             cwd=ROOT,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
@@ -178,8 +183,8 @@
         program = Path(self.folder.name) / "mine.txt"
         program.write_text("def shares(snapshot):\n    return {'east': 1}\n")
         store = f"--store={self.store_address}"
-        for words in (("load", "mine", str(program)), ("use", "rates", "mine")):
-            status, output = await self._run("platform/operate.py", *words, store)
+        for arguments in (("load", "mine", str(program)), ("use", "rates", "mine")):
+            status, output = await self._run("platform/operate.py", *arguments, store)
             self.assertEqual(status, 0, output)
 
         async def in_force() -> bool:
@@ -204,22 +209,22 @@
 class Peers(GatewayCase):
     vm_count = 3
 
-    async def test_the_directory_names_who_is_there(self) -> None:
+    async def test_the_directory_lists_the_vms_that_accept_callers(self) -> None:
         first, second, third = self.vms
-        everybody = {vm.addresses["Front"] for vm in self.vms}
-        await self.until(lambda: self._names(first, everybody), "all VMs to be named")
+        all_addresses = {vm.addresses["Front"] for vm in self.vms}
+        await self.until(lambda: self._lists(first, all_addresses), "all VMs to be listed")
         third.signal(signal.SIGKILL)
-        left = everybody - {third.addresses["Front"]}
-        await self.until(lambda: self._names(first, left), "the killed VM to be dropped")
+        remaining = all_addresses - {third.addresses["Front"]}
+        await self.until(lambda: self._lists(first, remaining), "the killed VM to be dropped")
         second.signal(signal.SIGTERM)
         await self.until(
-            lambda: self._names(first, {first.addresses["Front"]}), "the leaving one to be dropped"
+            lambda: self._lists(first, {first.addresses["Front"]}), "the stopping VM to be dropped"
         )
 
-    async def _names(self, vm, addresses: set[str]) -> bool:
+    async def _lists(self, vm, addresses: set[str]) -> bool:
         return await self.named(vm) == addresses
 
-    async def test_a_vm_that_starts_while_the_store_is_down_denies_nothing(self) -> None:
+    async def test_a_vm_that_starts_while_the_store_is_down_answers_503(self) -> None:
         vm = self.vms[0]
         await vm.kill()
         self.store.fault = Fault.BUSY
--- a/tests/test_process_gateway_start.py
+++ b/tests/test_process_gateway_start.py
@@ -1,8 +1,8 @@
-"""Signals that reach the platform's program while it starts, before its gateway runs.
+"""Signals that reach the platform's program during its start, before its gateway runs.
 
-A process says by `-X importtime` how far its imports have come, so that a signal meets a chosen
-part of the start. What comes before the program's first line, the interpreter's own start, no
-program can cover.
+The process reports its imports by `-X importtime`, so that the test can send a signal at a chosen
+moment of the start. The start of the interpreter itself, before the first line of the program,
+cannot be covered by any program.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 
 _PROGRAMS = (PROGRAM, "tools/soak_vm.py")
 _MOMENTS = ("asyncio", "consortium", "sprucewinch.gateway.daemon")
-"""Modules whose import has just ended when the signal is sent: the first, one between, the last."""
+"""Modules after whose import the signal is sent: the first, one in the middle and the last."""
 
-_START_S = 30.0
+_START_TIMEOUT_S = 30.0
 
 
 class Starting(unittest.IsolatedAsyncioTestCase):
@@ -28,17 +28,17 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         ip = self.enterContext(own_address())
-        nobody = f"{ip}:{free_port(ip)}"
-        self.vm = EntryVm("vm1", ip, nobody, free_port(ip), Path(folder.name))
+        unused_address = f"{ip}:{free_port(ip)}"
+        self.vm = EntryVm("vm1", ip, unused_address, free_port(ip), Path(folder.name))
 
     def moments(self) -> Iterator[tuple[str, str]]:
-        """Return each program with each moment of its start."""
+        """Return every combination of program and moment of the start."""
         return ((program, moment) for program in _PROGRAMS for moment in _MOMENTS)
 
-    async def _signalled(
+    async def _start_and_signal(
         self, program: str, moment: str, number: signal.Signals
     ) -> asyncio.subprocess.Process:
-        """Start a process, and send it a signal once it has imported some module."""
+        """Start a program, and send it a signal once it has imported a module."""
         process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-X", "importtime", program),
             cwd=ROOT,
@@ -55,7 +55,7 @@
         return process
 
     async def _until_line(self, stream: asyncio.StreamReader, end: str) -> None:
-        async with asyncio.timeout(_START_S):
+        async with asyncio.timeout(_START_TIMEOUT_S):
             async for line in stream:
                 if " ".join(line.decode().split()).endswith(end):
                     return
@@ -69,9 +69,9 @@
     async def test_a_reload_before_the_gateway_runs_does_not_end_the_process(self) -> None:
         for program, moment in self.moments():
             with self.subTest(program=program, moment=moment):
-                process = await self._signalled(program, moment, signal.SIGHUP)
+                process = await self._start_and_signal(program, moment, signal.SIGHUP)
                 assert process.stdout is not None
-                async with asyncio.timeout(_START_S):
+                async with asyncio.timeout(_START_TIMEOUT_S):
                     line = await process.stdout.readline()
                 self.assertIn(b'"event":"start"', line)
                 await self._kill(process)
@@ -80,9 +80,9 @@
         for program, moment in self.moments():
             for number in (signal.SIGTERM, signal.SIGINT):
                 with self.subTest(program=program, moment=moment, signal=number.name):
-                    process = await self._signalled(program, moment, number)
+                    process = await self._start_and_signal(program, moment, number)
                     assert process.stdout is not None
-                    async with asyncio.timeout(_START_S):
+                    async with asyncio.timeout(_START_TIMEOUT_S):
                         lines = (await process.stdout.read()).splitlines()
                         self.assertEqual(await process.wait(), 0)
                     self.assertIn(b'"event":"stop"', lines[-1])
--- a/tests/test_process_signals.py
+++ b/tests/test_process_signals.py
@@ -1,8 +1,8 @@
-"""A process's signals call their actions, and none meets its default before the process has ended.
+"""Signals call their actions, and never have their default effect before the process has ended.
 
-A gateway that was told to stop over and over ended with -15 instead of 0 on a busy machine. To
-ignore a signal it first let the event loop drop its handler, which sets the signal's default, and
-the next SIGTERM came between the two calls.
+A gateway that received SIGTERM repeatedly on a busy machine ended with status -15 instead of 0. To
+ignore a signal, it first let the event loop remove its handler, which restores the default action,
+and the next SIGTERM arrived between the two calls.
 """
 
 import asyncio
@@ -21,19 +21,19 @@
     BootTimeEventLoop,
     uvloop.new_event_loop,
 )
-_NUMBERS = (signal.SIGTERM, signal.SIGHUP)
-_ACTED_S = 5.0
+_SIGNALS = (signal.SIGTERM, signal.SIGHUP)
+_SIGNAL_TIMEOUT_S = 5.0
 
 
 class Signals(unittest.TestCase):
     def setUp(self) -> None:
-        for number in _NUMBERS:
+        for number in _SIGNALS:
             self.addCleanup(signal.signal, number, signal.getsignal(number))
         self.acted: list[signal.Signals] = []
 
     def signals(self) -> ProcessSignals:
-        """Return handlers that note each signal."""
-        return ProcessSignals({number: self._action(number) for number in _NUMBERS})
+        """Return handlers that record each signal."""
+        return ProcessSignals({number: self._action(number) for number in _SIGNALS})
 
     def _action(self, number: signal.Signals) -> Callable[[], None]:
         def act() -> None:
@@ -45,29 +45,29 @@
     async def _send(self, number: signal.Signals) -> None:
         self.changed.clear()
         os.kill(os.getpid(), number)
-        async with asyncio.timeout(_ACTED_S):
+        async with asyncio.timeout(_SIGNAL_TIMEOUT_S):
             await self.changed.wait()
 
-    async def _signalled(self) -> None:
+    async def _take_and_ignore(self) -> None:
         self.changed = asyncio.Event()
         signals = self.signals()
         signals.take()
-        for number in (*_NUMBERS, *_NUMBERS):
+        for number in (*_SIGNALS, *_SIGNALS):
             await self._send(number)
         signals.ignore()
-        for number in _NUMBERS:
+        for number in _SIGNALS:
             os.kill(os.getpid(), number)
         await asyncio.sleep(0)
 
-    def test_each_does_what_it_is_for_until_all_are_ignored(self) -> None:
+    def test_each_signal_calls_its_action_until_all_are_ignored(self) -> None:
         for loop in _LOOPS:
             with self.subTest(loop=loop.__name__):
                 self.acted.clear()
                 with asyncio.Runner(loop_factory=loop) as runner:
-                    runner.run(self._signalled())
-                self.assertEqual(self.acted, [*_NUMBERS, *_NUMBERS])
+                    runner.run(self._take_and_ignore())
+                self.assertEqual(self.acted, [*_SIGNALS, *_SIGNALS])
 
-    def test_signals_of_others_change_nothing(self) -> None:
+    def test_other_signals_change_nothing(self) -> None:
         others: list[int] = []
         before = signal.signal(signal.SIGUSR1, lambda number, _frame: others.append(number))
         self.addCleanup(signal.signal, signal.SIGUSR1, before)
@@ -84,17 +84,17 @@
             runner.run(main())
         self.assertEqual((others, self.acted), ([signal.SIGUSR1], [signal.SIGTERM]))
 
-    def test_none_is_set_to_its_default_up_to_the_end_of_the_loop(self) -> None:
+    def test_no_signal_gets_its_default_action_before_the_loop_ends(self) -> None:
         for loop in _LOOPS:
             with (
                 self.subTest(loop=loop.__name__),
                 mock.patch("signal.signal", wraps=signal.signal) as change,
             ):
                 with asyncio.Runner(loop_factory=loop) as runner:
-                    runner.run(self._signalled())
+                    runner.run(self._take_and_ignore())
                 handlers = [call.args[1] for call in change.call_args_list]
                 self.assertNotIn(signal.SIG_DFL, handlers)
-                for number in _NUMBERS:
+                for number in _SIGNALS:
                     self.assertEqual(signal.getsignal(number), signal.SIG_IGN)
 
 
