--- a/sprucewinch/gateway/composition.py
+++ b/sprucewinch/gateway/composition.py
@@ -168,39 +168,41 @@
     region_reporter: RegionReporter
 
 
-def make_parts(context: Context, incarnation: int, unreadable: Callable[[str, str], None]) -> Parts:
+def make_parts(
+    context: Context, incarnation: int, on_unreadable: Callable[[str, str], None]
+) -> Parts:
     """Create all parts, each from those before it.
 
     Args:
         context: Common dependencies.
         incarnation: Number of this process, higher than that of any earlier process of this VM.
-        unreadable: Called with the key of an item that cannot be read and the cause.
+        on_unreadable: Called with the key of an item that cannot be read and the cause.
 
     Raises:
         SettingsError: If the settings name a policy that is not shipped.
     """
-    state = make_state(context, unreadable)
+    state = make_state(context, on_unreadable)
     fleet = make_fleet(context, state, incarnation)
     servers = make_servers(context, state, fleet)
     crashes = make_crashes(context, state, fleet)
     workspaces = make_workspaces(context, state, fleet)
-    regions = make_regions(context, state, servers, unreadable)
+    regions = make_regions(context, state, servers, on_unreadable)
     requests = make_requests(context, state, servers, crashes, workspaces, regions)
     region_reporter = make_region_reporter(context, state, fleet, regions, requests)
     return Parts(state, fleet, servers, crashes, workspaces, regions, requests, region_reporter)
 
 
-def make_state(context: Context, unreadable: Callable[[str, str], None]) -> State:
+def make_state(context: Context, on_unreadable: Callable[[str, str], None]) -> State:
     """Create the store client and the parts that keep a copy of the store's items.
 
     Args:
         context: Common dependencies.
-        unreadable: Called with the key of an item that cannot be read and the cause.
+        on_unreadable: Called with the key of an item that cannot be read and the cause.
     """
     settings, adapter = context.settings, context.adapter
     return State(
         store=adapter.store(settings, context.monotonic),
-        view=StoreView(adapter.decoder, unreadable),
+        view=StoreView(adapter.decoder, on_unreadable),
         outages=StoreOutages(settings.server_heartbeat_s),
     )
 
@@ -367,7 +369,7 @@
 
 
 def make_regions(
-    context: Context, state: State, servers: Servers, unreadable: Callable[[str, str], None]
+    context: Context, state: State, servers: Servers, on_unreadable: Callable[[str, str], None]
 ) -> Regions:
     """Create the parts that steer between regions.
 
@@ -375,13 +377,13 @@
         context: Common dependencies.
         state: The parts that keep a copy of the store's items.
         servers: The parts that track backend servers.
-        unreadable: Called with the key of a policy that cannot be used and the cause.
+        on_unreadable: Called with the key of a policy that cannot be used and the cause.
 
     Raises:
         SettingsError: If the settings name a policy that is not shipped.
     """
     settings = context.settings
-    policies = PolicyTable(state.view, unreadable, default=settings.policy)
+    policies = PolicyTable(state.view, on_unreadable, default=settings.policy)
     reports = RegionReports(servers.registry, settings.name, settings.region)
     shares = RegionShares(
         servers.registry,
--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -74,7 +74,7 @@
         self.context = Context(
             settings, adapter, self.clock, rng or random.Random(), self.events, self.ready
         )
-        self.parts = parts = make_parts(self.context, self.incarnation, self._unreadable)
+        self.parts = parts = make_parts(self.context, self.incarnation, self._report_unreadable)
         self.state, self.fleet, self.servers = parts.state, parts.fleet, parts.servers
         self.crashes, self.regions = parts.crashes, parts.regions
         self.requests, self.region_reporter = parts.requests, parts.region_reporter
@@ -138,7 +138,7 @@
         await self.shutdown.run(self.settings.bounds.grace_s)
         self.signals.ignore()
 
-    def _unreadable(self, key: str, cause: str) -> None:
+    def _report_unreadable(self, key: str, cause: str) -> None:
         self.events.count("items_unreadable")
         self.events.state("unreadable", key=key, cause=cause)
 
--- a/sprucewinch/gateway/datagrams.py
+++ b/sprucewinch/gateway/datagrams.py
@@ -37,14 +37,14 @@
         self._handlers: dict[type, Handler[Any]] = {}
         self._decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder()
 
-    def register(self, kind: type[T], handler: Handler[T]) -> None:
+    def register(self, message_type: type[T], handler: Handler[T]) -> None:
         """Register the handler of a type of message.
 
         Args:
-            kind: A struct with a unique tag.
+            message_type: A struct with a unique tag.
             handler: Called with each message of this type.
         """
-        self._handlers[kind] = handler
+        self._handlers[message_type] = handler
         self._decoder = msgspec.msgpack.Decoder(Union[tuple(self._handlers)])
 
     async def listen(self, address: str) -> None:
--- a/sprucewinch/gateway/decision_log.py
+++ b/sprucewinch/gateway/decision_log.py
@@ -53,9 +53,9 @@
         self.configuration_version = 0
         self.line_rate = LineRate(monotonic())
 
-    def state(self, event: str, **inputs: Any) -> None:
+    def state(self, event: str, **fields: Any) -> None:
         """Write a line about a change of the process's state."""
-        self._line(event, inputs, plain=False)
+        self._write_line(event, fields, plain=False)
 
     def count(self, counter: str) -> None:
         """Increment a counter by one."""
@@ -79,14 +79,14 @@
         if reply.answer is not None:
             self.latency.observe(route, seconds)
         plain = reply.answer is not None and len(request.attempts) == 1
-        self._request(request, outcome, reply.status, route, seconds, plain=plain)
+        self._write_request(request, outcome, reply.status, route, seconds, plain=plain)
 
     def left(self, request: ClientRequest, seconds: float) -> None:
         """Write a line about a request whose caller disconnected before the answer."""
         self.counters["requests_left"] += 1
-        self._request(request, "left", 0, "", seconds, plain=False)
+        self._write_request(request, "left", 0, "", seconds, plain=False)
 
-    def _request(
+    def _write_request(
         self,
         request: ClientRequest,
         outcome: str,
@@ -98,7 +98,7 @@
     ) -> None:
         for attempt in request.attempts[1:]:
             self.counters[f"repeats_after_{attempt.verdict.value}"] += 1
-        inputs = {
+        fields = {
             "id": request.id,
             "outcome": outcome,
             "status": status,
@@ -112,16 +112,16 @@
             ],
         }
         if request.blocked is not None and not request.attempts:
-            inputs["blocked"] = request.blocked.log_fields()
+            fields["blocked"] = request.blocked.log_fields()
         if request.caller.workspace is not None:
-            inputs["workspace"] = request.caller.workspace.name
-        self._line("request", inputs, plain=plain)
+            fields["workspace"] = request.caller.workspace.name
+        self._write_line("request", fields, plain=plain)
 
-    def _line(self, event: str, inputs: dict[str, Any], *, plain: bool) -> None:
+    def _write_line(self, event: str, fields: dict[str, Any], *, plain: bool) -> None:
         if not self.line_rate.admits(self.monotonic(), plain=plain):
             self.counters["lines_dropped"] += 1
             return
-        row = {"time": round(self.wall(), _TIME_DIGITS), "event": event, **inputs}
+        row = {"time": round(self.wall(), _TIME_DIGITS), "event": event, **fields}
         self.emit(msgspec.json.encode(row).decode())
 
     def report(self, gauges: Optional[dict[str, float]] = None) -> str:
--- a/sprucewinch/gateway/events.py
+++ b/sprucewinch/gateway/events.py
@@ -12,12 +12,12 @@
     """Receives structured events about changes of state, and counts."""
 
     @abc.abstractmethod
-    def state(self, event: str, **inputs: Any) -> None:
+    def state(self, event: str, **fields: Any) -> None:
         """Write a line about a change of the process's state.
 
         Args:
             event: Name of the event; operators and tools read it, so it must not change.
-            **inputs: Inputs of the decision, by field name.
+            **fields: Fields of the event: the inputs of the decision.
         """
 
     @abc.abstractmethod
@@ -32,7 +32,7 @@
 class NoEvents(EventLog):
     """Discards all events and counts; for parts that are used without a log."""
 
-    def state(self, event: str, **inputs: Any) -> None:
+    def state(self, event: str, **fields: Any) -> None:
         """Discard an event."""
 
     def count(self, counter: str) -> None:
--- a/sprucewinch/gateway/internal_apps.py
+++ b/sprucewinch/gateway/internal_apps.py
@@ -20,17 +20,17 @@
 request only the newest of them."""
 
 
-async def send_bytes(send: Send, status: int, body: bytes, kind: str = "text/plain") -> None:
+async def send_bytes(send: Send, status: int, body: bytes, media_type: str = "text/plain") -> None:
     """Send a complete answer.
 
     Args:
         send: ASGI's send function.
         status: HTTP status.
         body: Body of the answer.
-        kind: Media type of the body.
+        media_type: Media type of the body.
     """
     headers = [
-        (b"content-type", kind.encode()),
+        (b"content-type", media_type.encode()),
         (b"content-length", b"%d" % len(body)),
     ]
     await send({"type": "http.response.start", "status": status, "headers": headers})
--- a/sprucewinch/gateway/lifecycle/reload.py
+++ b/sprucewinch/gateway/lifecycle/reload.py
@@ -51,7 +51,7 @@
     def reload_if_changed(self) -> bool:
         """Put changed settings in force; returns False if they are unchanged.
 
-        Invalid settings are reported and return True.
+        Invalid settings count as changed: the event reports them, and they are not put in force.
         """
         try:
             settings = self.reread()
--- a/sprucewinch/gateway/lifecycle/shutdown.py
+++ b/sprucewinch/gateway/lifecycle/shutdown.py
@@ -32,10 +32,10 @@
 from ..requests.app import GatewayApp
 
 _STOP_ACCEPTING_AFTER_S = 3.2
-"""Time for which a stopping VM accepts connections from callers that have its address cached.
+"""Time from the signal to stop until new connections are refused, in seconds.
 
-In seconds. The directory tells callers to cache an address for at most
-`membership.directory.LOOKUP_TTL_S` (1 s).
+It serves callers that have the VM's address cached; the directory tells them to cache it for at
+most `membership.directory.LOOKUP_TTL_S` (1 s).
 """
 
 _STOP_MARGIN_S = 0.7
--- a/sprucewinch/gateway/regions/share_target.py
+++ b/sprucewinch/gateway/regions/share_target.py
@@ -11,8 +11,8 @@
 is none. Another policy is never used instead, as that would move callers for a reason that the
 measurements do not show.
 
-There are no constants that decide; those of the guard are in `steering.guard.GuardLimits`. `/state`
-lists the notes as `limits` of each service; no log event contains them. Tests:
+The limits of the guard are in `steering.guard.GuardLimits`; this module has none. `/state` lists
+the notes as `limits` of each service; no log event contains them. Tests:
 `test_gateway_policies`, `test_gateway_region_reports`, `test_guard`.
 """
 
--- a/tests/test_gateway_datagrams.py
+++ b/tests/test_gateway_datagrams.py
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         self.counted: list[str] = []
 
-    def state(self, event: str, **inputs: Any) -> None:
+    def state(self, event: str, **fields: Any) -> None:
         raise AssertionError(f"unexpected line {event}")
 
     def count(self, counter: str) -> None:
@@ -53,16 +53,16 @@
 class Endpoint:
     """An endpoint with a handler for each of the given types of message."""
 
-    def __init__(self, kinds: tuple[type, ...]) -> None:
+    def __init__(self, message_types: tuple[type, ...]) -> None:
         self.now = 10.0
         self.events = Events()
         self.received: list[tuple[type, Any, float]] = []
         self.datagrams = Datagrams(lambda: self.now, self.events)
-        for kind in kinds:
-            self.datagrams.register(kind, self._handler(kind))
+        for message_type in message_types:
+            self.datagrams.register(message_type, self._handler(message_type))
 
-    def _handler(self, kind: type) -> Any:
-        return lambda message, now: self.received.append((kind, message, now))
+    def _handler(self, message_type: type) -> Any:
+        return lambda message, now: self.received.append((message_type, message, now))
 
     def receive(self, data: bytes, sender: tuple[str, int] = _SENDER) -> None:
         """Deliver a datagram as the event loop does."""
