--- a/sprucewinch/gateway/crashes/guilt.py
+++ b/sprucewinch/gateway/crashes/guilt.py
@@ -1,28 +1,31 @@
-"""Rule: whether a request crashes the backend servers that run it.
-
-Question: is this request, which comes again and again, what ends the servers, or was it only there?
-Inputs: its stays at servers whose processes ended, and the crashes at which it was not there, since
-the last good end of an equal request; which other requests were there; monotonic times in seconds.
-
-Load pattern: one request that ends each server that runs it, beside hundreds that were there by
-chance; and servers that die by themselves, alone, in series or a data hall at a time, under
-requests that have done nothing.
-
-Rule: it is refused after `CRASHES` of its stays, each of which began after the one before had
-ended, but for `_SKEW_S`. A crash at which a refused request was there does not count. One more is
-needed for each time at which servers of the same service crashed without it, and one more while
-another request was at all of the same crashes; `_MOST_MORE` in all.
-
-Reason. One good end clears a request, so a popular one is never near the limit. Stays that overlap
-count once, as servers that die together have a cause of their own. A request that lost one server
-and is sent to the next dies there by chance with 3 in 100, where one of twelve servers dies every
-second and it runs half a second: twice in a row is 1 in 1,000, and the deaths without it raise what
-is needed. Of six requests that lose one of twelve servers with the sick one, one in twenty meets it
-at the next two as well; the next copy that runs alone tells them apart. Callers and operators bear
-up to six crashes, so the limit stays below.
-
-Shows in: event `request-quarantined`. Tests: `test_gateway_guilt`. Owns nothing; relies on what
-`crash_log` holds.
+"""Decides whether a request crashes the backend servers that run it.
+
+The question is whether a request that is sent again and again ends the servers, or was only there
+when they crashed. The evidence is, since the last success of an equal request: its runs at servers
+whose processes ended, the crashes at which it was absent, and which other requests were present at
+each crash. Times are monotonic, in seconds.
+
+Two loads have to be told apart. In one, a single request ends each server that runs it, beside
+hundreds of requests that were present by chance. In the other, servers crash for reasons of their
+own, one at a time, in series or a whole data hall at once, under requests that did nothing.
+
+A request is refused after `MIN_CRASHES` consecutive runs that ended in a crash: each began after
+the one before had ended, within `_SKEW_S`. A crash at which another request was present that is
+refused already does not count. One more crash is needed for each incident in which servers of the
+same service crashed without the request, and one more while another request was present at all of
+the same crashes; `_MAX_EXTRA_CRASHES` in total.
+
+One success clears a request, so a popular one never comes near the limit. Overlapping runs count
+once, because servers that crash together have a common cause of their own. Where one of twelve
+servers crashes every second and a request runs for half a second, a request that lost one server
+and is retried at the next loses that one by chance in 3 of 100 cases: twice in a row is 1 in 1,000,
+and the crashes without it raise the number that is needed. Of six requests that lost one of twelve
+servers together with the crashing one, one in twenty meets it at the next two servers as well; the
+next copy that runs alone tells them apart. Callers and operators tolerate up to six crashes, so the
+limit stays below that.
+
+A decision appears in the event `request-quarantined`. `test_gateway_guilt` tests this module. It
+holds no state and relies on what `crash_log` holds.
 """
 
 from collections.abc import Collection, Iterable, Sequence
@@ -30,41 +33,41 @@
 
 from .crash_log import Crash, CrashLog, SuspectRun
 
-CRASHES = 3
-"""Servers that end under a request, one after the other, before it is refused: what operators
-bear of one request."""
+MIN_CRASHES = 3
+"""Consecutive crashes under a request after which it is refused: what operators tolerate of one
+request."""
 
-MOST_CRASHES = 6
-"""Servers that may end under one request, its trials included, unless an operator lets it go: what
-operators bear, and three retries beyond. Copies that are on their way while it is judged are not
-counted."""
+MAX_CRASHES = 6
+"""Servers that may crash under one request, its trials included, unless an operator releases it:
+what operators tolerate, and three retries more. Copies in transit during the decision do not count.
+"""
 
-_MOST_MORE = 2
-"""Crashes beyond `CRASHES` that are needed at the most, which leaves one trial."""
+_MAX_EXTRA_CRASHES = 2
+"""Upper bound on the crashes needed beyond `MIN_CRASHES`; it leaves one trial."""
 
 _SKEW_S = 0.04
-"""Error of times that another VM has reported, in seconds: a report is on its way for up to 35 ms,
-and a crash seems as much later than this VM's own."""
+"""Error of times reported by another VM, in seconds: a report is on its way for up to 35 ms, so its
+crash appears that much later than one that this VM saw itself."""
 
-_TOGETHER_S = 0.25
-"""Crashes closer to each other than that count as one time, in seconds: a data hall that loses
-power ends its servers within it."""
+_MAX_INCIDENT_GAP_S = 0.25
+"""Longest time between two crashes of one incident, in seconds: a data hall that loses power loses
+all its servers within that time."""
 
 
 class Judgement(NamedTuple):
-    """How a request stands.
+    """The evidence against a request, counted.
 
     Args:
-        crashes: Servers that ended under it, one after the other.
-        needed: Crashes from which it is refused.
+        crashes: Consecutive runs of it that ended in a crash.
+        needed: Number of such runs from which it is refused.
     """
 
     crashes: int
     needed: int
 
     @property
-    def is_guilty(self) -> bool:
-        """True when it is refused."""
+    def must_refuse(self) -> bool:
+        """Whether the request has to be refused."""
         return self.crashes >= self.needed
 
 
@@ -75,48 +78,51 @@
     *,
     until: float = float("inf"),
 ) -> Judgement:
-    """Return how a request stands by the evidence.
+    """Count the evidence against a request.
 
     Args:
-        log: The evidence.
-        fingerprint: Names the request.
-        refused: Other requests that are refused already.
+        log: The known crashes and successes.
+        fingerprint: Fingerprint of the request.
+        refused: Fingerprints of requests that are refused already.
         until: Monotonic time of the last crash that counts, in seconds.
+
+    Returns:
+        The crashes under the request and how many are needed; no crashes when it is no suspect.
     """
     crashes = [
         crash
         for crash in log.crashes_of(fingerprint)
-        if crash.at <= until and not _explained(crash, fingerprint, refused)
+        if crash.at <= until and not _is_attributed(crash, fingerprint, refused)
     ]
     if not crashes:
-        return Judgement(0, CRASHES)
+        return Judgement(0, MIN_CRASHES)
     runs = [SuspectRun(crash.suspects[fingerprint].started, crash.at) for crash in crashes]
     without = [
         crash.at
-        for crash in _without(log, fingerprint, crashes, until)
-        if not _explained(crash, fingerprint, refused)
+        for crash in _crashes_without(log, fingerprint, crashes, until)
+        if not _is_attributed(crash, fingerprint, refused)
     ]
-    more = times(without) + _has_companion(fingerprint, crashes)
-    return Judgement(in_a_row(runs), CRASHES + min(_MOST_MORE, more))
+    more = count_incidents(without) + _has_co_suspect(fingerprint, crashes)
+    return Judgement(count_consecutive(runs), MIN_CRASHES + min(_MAX_EXTRA_CRASHES, more))
 
 
-def _explained(crash: Crash, fingerprint: bytes, refused: Collection[bytes]) -> bool:
-    """Return whether another request that is refused was at a crash."""
+def _is_attributed(crash: Crash, fingerprint: bytes, refused: Collection[bytes]) -> bool:
+    """Return whether a crash is attributed to another request that is refused already."""
     return any(name in refused for name in crash.suspects if name != fingerprint)
 
 
-def _has_companion(fingerprint: bytes, crashes: Sequence[Crash]) -> bool:
-    """Return whether another request was at all of some crashes."""
+def _has_co_suspect(fingerprint: bytes, crashes: Sequence[Crash]) -> bool:
+    """Return whether another request was present at all of some crashes."""
     shared = set(crashes[0].suspects)
     for crash in crashes[1:]:
         shared &= crash.suspects.keys()
     return bool(shared - {fingerprint})
 
 
-def _without(
+def _crashes_without(
     log: CrashLog, fingerprint: bytes, crashes: Sequence[Crash], until: float
 ) -> list[Crash]:
-    """Return the crashes of servers of the same services at which a request was not."""
+    """Return the crashes of the same services from which a request was absent."""
     services = {crash.service for crash in crashes}
     since = min(crash.suspects[fingerprint].started for crash in crashes)
     return [
@@ -128,10 +134,10 @@
     ]
 
 
-def in_a_row(runs: Iterable[SuspectRun]) -> int:
-    """Return how many runs there were at most, each begun after the one before had ended.
+def count_consecutive(runs: Iterable[SuspectRun]) -> int:
+    """Return the most runs that can follow each other, each begun after the one before had ended.
 
-    With the skew that is allowed, servers that end together must not count as one after the other.
+    The allowed skew must not make servers that crash together count as consecutive.
     """
     count, ended = 0, float("-inf")
     for run in sorted(runs, key=lambda each: (each.ended, each.started)):
@@ -140,11 +146,11 @@
     return count
 
 
-def times(crashes: Iterable[float]) -> int:
-    """Return at how many times there were crashes; those close together are one."""
+def count_incidents(crashes: Iterable[float]) -> int:
+    """Return the number of incidents, each of crashes at most `_MAX_INCIDENT_GAP_S` apart."""
     count, last = 0, float("-inf")
     for at in sorted(crashes):
-        if at - last > _TOGETHER_S:
+        if at - last > _MAX_INCIDENT_GAP_S:
             count += 1
         last = at
     return count
--- a/sprucewinch/gateway/crashes/quarantine.py
+++ b/sprucewinch/gateway/crashes/quarantine.py
@@ -1,12 +1,12 @@
 """Rule: which requests are refused, as they crash the servers that run them, and for how long.
 
-Question: may a request be sent now? Inputs: what names it, the requests that are found guilty
+Question: may a request be sent now? Inputs: what names it, the requests that are confirmed
 (`suspects`, `guilt`), the quarantine that the store holds, monotonic time in seconds.
 
 Load pattern: one request that comes again and again at any VM, while servers come back cold, others
 wait for them, VMs start, and some see a part of the evidence only.
 
-Rule: a request that `guilt` finds guilty is refused at once, at each VM that knows it: by the
+Rule: a request that `guilt` confirms is refused at once, at each VM that knows it: by the
 reports of others within a quarter of a second, by the store's item within two. Refused
 is that request alone: same caller, target and body. A good end of an equal one lets it go at once,
 everywhere; so does an operator who removes its item. It is tried again as `held` says, once in the
@@ -36,9 +36,9 @@
 from .crash_log import Crash
 from .crash_reports import GoodEndReport
 from .fingerprint import NamedRequest, RequestNames
-from .guilt import MOST_CRASHES, Judgement
+from .guilt import MAX_CRASHES, Judgement
 from .held import Held
-from .suspects import Guilty, Suspects
+from .suspects import ConfirmedSuspect, Suspects
 
 _LEAST_TRIALS = 1
 """Trials of a request that ended many servers before any VM could know: each may be wrong once."""
@@ -115,10 +115,10 @@
         return self.suspects.judgement(request, self.held)
 
     def judge_settled(self) -> None:
-        """Refuse the requests that are guilty by now."""
-        for guilty in self.suspects.guilty(self.held):
-            if guilty.suspect.fingerprint not in self.held:
-                self._hold(guilty)
+        """Refuse the requests that are confirmed by now."""
+        for confirmed in self.suspects.confirmed(self.held):
+            if confirmed.suspect.fingerprint not in self.held:
+                self._hold(confirmed)
 
     def note_crash(
         self, request: NamedRequest, server: BackendServer, started: float, ended: float
@@ -153,9 +153,9 @@
             request=held.request.on_trial(), since=self.monotonic()
         )
 
-    def _hold(self, guilty: Guilty) -> None:
+    def _hold(self, confirmed: ConfirmedSuspect) -> None:
         """Refuse a request from now on."""
-        suspect, now = guilty.suspect, self.monotonic()
+        suspect, now = confirmed.suspect, self.monotonic()
         crashes = self.suspects.log.crashes_of(suspect.fingerprint)
         witnessed = any(self.suspects.name in crash.seen_by for crash in crashes)
         request = QuarantinedRequest(
@@ -164,7 +164,7 @@
             what=suspect.what,
             since=round(self.wall(), _AGE_DIGITS),
             crashes=_evidence(crashes, now),
-            trials_left=max(_LEAST_TRIALS, MOST_CRASHES - guilty.judgement.crashes),
+            trials_left=max(_LEAST_TRIALS, MAX_CRASHES - confirmed.judgement.crashes),
         )
         self._put(Held(request, now, witnessed=witnessed))
         self.changed.set()
@@ -173,7 +173,7 @@
             "request-quarantined",
             fingerprint=request.fingerprint,
             what=request.what,
-            needed=guilty.judgement.needed,
+            needed=confirmed.judgement.needed,
             crashes=[each._asdict() for each in request.crashes],
         )
 
@@ -225,7 +225,7 @@
             tuple(sorted(crash.seen_by)),
             round(now - crash.at, _AGE_DIGITS),
         )
-        for crash in crashes[-MOST_CRASHES:]
+        for crash in crashes[-MAX_CRASHES:]
     )
 
 
--- a/sprucewinch/gateway/crashes/suspects.py
+++ b/sprucewinch/gateway/crashes/suspects.py
@@ -4,7 +4,7 @@
 are to be judged anew. A crash counts from the age of `SETTLE_S` on: judged sooner, a request that
 was there by chance could be known for one crash more than the one that did it, and be refused in
 its place. Relies on `crash_log` to join the evidence, on `guilt` for the verdict; `quarantine`
-refuses those that are guilty. Tests: `test_gateway_quarantine`, `test_gateway_crash_reports`.
+refuses those that are confirmed. Tests: `test_gateway_quarantine`, `test_gateway_crash_reports`.
 """
 
 from collections.abc import Callable, Collection, Sequence
@@ -14,7 +14,7 @@
 from .crash_log import Crash, CrashLog, ServerProcess, Suspect
 from .crash_reports import CrashReport, SeenCrash, seen_crash
 from .fingerprint import NamedRequest, RequestNames
-from .guilt import CRASHES, MOST_CRASHES, Judgement, judge
+from .guilt import MAX_CRASHES, MIN_CRASHES, Judgement, judge
 
 SETTLE_S = 0.15
 """Age from which a crash counts, in seconds: two ways between regions of 35 ms and the time in
@@ -24,12 +24,12 @@
 """Characters of a request's method and path that operators are shown."""
 
 
-class Guilty(NamedTuple):
+class ConfirmedSuspect(NamedTuple):
     """A request that crashes servers.
 
     Args:
         suspect: The request.
-        judgement: By what it is guilty.
+        judgement: By what it is confirmed.
     """
 
     suspect: Suspect
@@ -116,7 +116,7 @@
         """Return the latest other crashes of the requests of a crash, each with these alone."""
         found: dict[Crash, list[Suspect]] = {}
         for suspect in seen.suspects:
-            for crash in self.log.crashes_of(suspect.fingerprint)[-MOST_CRASHES:]:
+            for crash in self.log.crashes_of(suspect.fingerprint)[-MAX_CRASHES:]:
                 if not self.log.is_same(crash, seen.process, seen.at):
                     found.setdefault(crash, []).append(crash.suspects[suspect.fingerprint])
         return [_told(crash, suspects) for crash, suspects in found.items()]
@@ -129,11 +129,11 @@
             refused: Requests that are refused already.
         """
         if not self.log.crashes or not self.log.has_target(self.names.target_of(request)):
-            return Judgement(0, CRASHES)
+            return Judgement(0, MIN_CRASHES)
         return judge(self.log, self.names.fingerprint_of(request), refused)
 
-    def guilty(self, refused: Collection[bytes]) -> list[Guilty]:
-        """Return the requests that are guilty by crashes of which all reports have come.
+    def confirmed(self, refused: Collection[bytes]) -> list[ConfirmedSuspect]:
+        """Return the requests that are confirmed by crashes of which all reports have come.
 
         Args:
             refused: Requests that are refused already.
@@ -147,8 +147,8 @@
                 self._unjudged[name] = _Unjudged(last, last)
             judgement = judge(self.log, name, refused, until=until)
             suspect = self.log.suspect(name)
-            if suspect is not None and judgement.is_guilty:
-                found.append(Guilty(suspect, judgement))
+            if suspect is not None and judgement.must_refuse:
+                found.append(ConfirmedSuspect(suspect, judgement))
         return found
 
     def settles_in_s(self) -> Optional[float]:
@@ -163,7 +163,7 @@
         suspects = {suspect.fingerprint: suspect for suspect in seen.suspects}
         self.log.add(seen.process, seen.service, seen.at, suspects, seen.seen_by)
         for name in suspects:
-            if self.log.crash_count(name) < CRASHES:
+            if self.log.crash_count(name) < MIN_CRASHES:
                 continue
             before = self._unjudged.get(name, _Unjudged(seen.at, seen.at))
             first, last = min(before.first, seen.at), max(before.last, seen.at)
