--- a/sprucewinch/gateway/crashes/held.py
+++ b/sprucewinch/gateway/crashes/held.py
@@ -1,43 +1,44 @@
-"""Rule: how long a request that crashes servers is refused before it is tried again.
+"""Decides how long a request that crashes servers is refused before it is tried again.
 
-Question: may it be tried now, and what is its caller told? Inputs: its item in the store, the
-monotonic time from which its hold counts, in seconds.
+From the request's item in the store, and from the monotonic time in seconds at which its refusal
+began, this module tells whether the request may be tried now and when its caller may come back.
 
-Rule: `HOLDS_S` before each trial; when none is left an operator has to let it go. One that the
-store does not hold, as it is away, is let go after `UNSTORED_HOLD_S`: no trial can be taken, and no
-operator could release it.
+A request is refused for `TRIAL_DELAYS_S` before each trial. Once no trial is left, only an operator
+can release it. A request that is not in the store, because the store is unavailable, is released
+after `UNSTORED_REFUSAL_S`: no trial can be taken without the store, and no operator could release
+the request.
 
-Reason: a new version of its service may run it well, and each trial may cost a server; a caller is
-told the time of the next one, so that it does not come back for nothing.
+Trials exist because a new version of the service may run the request without a fault; each of them
+may cost a server. The caller is told the time of the next trial so that it does not retry in vain.
 
-Shows in: Retry-After of `crashes-servers`; `trial_in_s` on `/state`. Tests:
-`test_gateway_quarantine`. Relies on the resource; `quarantine` owns what is held.
+The delays appear as Retry-After of `crashes-servers` and as `trial_in_s` on `/state`.
+`test_gateway_quarantine` tests this module. It relies on the stored resource; `quarantine` owns the
+entries.
 """
 
 from typing import NamedTuple
 
 from ..resources import QuarantinedRequest
 
-HOLDS_S = (60.0, 600.0, 3600.0)
+TRIAL_DELAYS_S = (60.0, 600.0, 3600.0)
 """Times for which a request is refused before its first, second and third trial, in seconds. The
-first is longer than servers take to come back and warm up; a release that mends the service takes
+first is longer than servers take to restart and warm up; a release that fixes the service takes
 minutes to hours."""
 
-NO_TRIAL_RETRY_S = 3600.0
-"""Retry-After of a request that has no trial left, in seconds: an operator has to let it go."""
+NO_TRIAL_RETRY_AFTER_S = 3600.0
+"""Retry-After of a request that has no trial left, in seconds: only an operator releases it."""
 
-
-UNSTORED_HOLD_S = 600.0
-"""Time for which a VM refuses a request that the store does not hold, in seconds: long beside a
-restart of the store, short beside a service that has been mended."""
+UNSTORED_REFUSAL_S = 600.0
+"""Time for which a VM refuses a request that is not in the store, in seconds: long compared with a
+restart of the store, short compared with the time to fix a service."""
 
 
 class Held(NamedTuple):
     """A request that is refused.
 
     Args:
-        request: What the store holds of it, or will.
-        since: Monotonic time from which its hold counts, in seconds.
+        request: The resource that the store holds, or will hold.
+        since: Monotonic time at which its refusal began, in seconds.
         revision: Revision of its item; 0 until the store has it.
         witnessed: True when this VM saw one of the crashes.
     """
@@ -49,22 +50,22 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """Return what names the request."""
+        """Return the request's fingerprint."""
         return bytes.fromhex(self.request.fingerprint)
 
     def retry_after_s(self, now: float) -> float:
-        """Return the time until it is tried again or let go, in seconds; 0 when it is due."""
+        """Return the time until it is tried again or released, in seconds; 0 when that is due."""
         if not self.revision:
-            return max(0.0, self.since + UNSTORED_HOLD_S - now)
+            return max(0.0, self.since + UNSTORED_REFUSAL_S - now)
         if not self.request.trials_left:
-            return NO_TRIAL_RETRY_S
-        hold_s = HOLDS_S[min(self.request.trials, len(HOLDS_S) - 1)]
+            return NO_TRIAL_RETRY_AFTER_S
+        hold_s = TRIAL_DELAYS_S[min(self.request.trials, len(TRIAL_DELAYS_S) - 1)]
         return max(0.0, self.since + hold_s - now)
 
     def trial_is_due(self, now: float) -> bool:
-        """Return whether it may be tried again now."""
+        """Return whether it may be tried now."""
         return self.revision > 0 and self.retry_after_s(now) <= 0
 
-    def has_lapsed(self, now: float) -> bool:
-        """Return whether it is let go, as the store has not held it for long."""
+    def has_expired(self, now: float) -> bool:
+        """Return whether it is to be released because the store has not held it for too long."""
         return not self.revision and self.retry_after_s(now) <= 0
--- a/sprucewinch/gateway/crashes/quarantine.py
+++ b/sprucewinch/gateway/crashes/quarantine.py
@@ -1,27 +1,30 @@
-"""Rule: which requests are refused, as they crash the servers that run them, and for how long.
-
-Question: may a request be sent now? Inputs: what names it, the requests that are confirmed
-(`suspects`, `guilt`), the quarantine that the store holds, monotonic time in seconds.
-
-Load pattern: one request that comes again and again at any VM, while servers come back cold, others
-wait for them, VMs start, and some see a part of the evidence only.
-
-Rule: a request that `guilt` confirms is refused at once, at each VM that knows it: by the
-reports of others within a quarter of a second, by the store's item within two. Refused
-is that request alone: same caller, target and body. A good end of an equal one lets it go at once,
-everywhere; so does an operator who removes its item. It is tried again as `held` says, once in the
-fleet each time: the VM whose write to the store takes the trial sends it. Once it has ended
-`MOST_CRASHES` servers no trial is left. A suspect that is not refused yet goes to servers by its
-own order instead of its object's, so that one of several suspects does not meet the others again,
-and its equals end one server instead of several.
-
-Reason. Refusing needs certainty, as a proper request that is refused for good is worse than one
-more crash; so a trial is kept, and it is one. What must outlast all VMs is in the store.
-
-Shows in: events `request-quarantined`, `request-released`, `quarantine-trial`; outcome
-`crashes-servers`; `quarantined` on `/state`. Tests: `test_gateway_quarantine`,
-`test_gateway_crashing_requests`. Owns what is held; relies on `suspects` and the store's view.
-`quarantine_store` writes for it.
+"""Decides which requests are refused because they crash servers, and for how long.
+
+The quarantine tells whether a request may be sent now. Its inputs are the request's fingerprint,
+the requests that are confirmed to crash servers (`suspects`, `guilt`), the quarantined requests in
+the store, and monotonic time in seconds.
+
+The load that it is for is one request that is sent again and again, to any VM, while crashed
+servers come back cold, other requests wait for them, VMs start, and some VMs see only a part of the
+evidence.
+
+A request that `guilt` confirms is refused at once at each VM that knows of it: within a quarter of
+a second through the reports of other VMs, within two seconds through the item in the store. Only
+that request is refused: the same caller, target and body. A success of an equal request releases it
+at once at all VMs; so does an operator who removes its item. It is tried again after the times that
+`held` states, once in the whole fleet each time: the VM whose write to the store takes the trial
+sends the request. Once it has crashed `MAX_CRASHES` servers no trial is left. A suspect that is not
+refused yet is ranked among the servers by its own fingerprint instead of by its object's key, so
+that one of several suspects does not meet the others again, and copies of it crash one server
+instead of several.
+
+A refusal needs certainty, because refusing a harmless request for good is worse than one more
+crash; so one trial is always kept. What must survive the loss of all VMs is in the store.
+
+The decisions appear in the events `request-quarantined`, `request-released` and `quarantine-trial`,
+the outcome `crashes-servers`, and `quarantined` on `/state`. `test_gateway_quarantine` and
+`test_gateway_crashing_requests` test this module. It owns the entries and relies on `suspects` and
+on the view of the store; `quarantine_store` writes to the store for it.
 """
 
 import asyncio
@@ -40,39 +43,41 @@
 from .held import Held
 from .suspects import ConfirmedSuspect, Suspects
 
-_LEAST_TRIALS = 1
-"""Trials of a request that ended many servers before any VM could know: each may be wrong once."""
+_MIN_TRIALS = 1
+"""Trials of a request that crashed many servers before any VM could know of it: the attribution may
+be wrong."""
 
-MOST_HELD = 256
-"""Requests that are held at once at the most; the one held longest goes, so that callers who send
-many cost no memory. 0.2 MB at each VM."""
+MAX_QUARANTINED = 256
+"""Requests that are quarantined at once; the oldest is evicted, so that callers who send many such
+requests cost no memory. They take 0.2 MB at each VM."""
 
-_GOOD_END_HOLDS_S = 5.0
-"""Time after a good end in which a request is not refused on older evidence, in seconds: a VM that
-did not know of the good end may still write the item. Several ways through the store."""
+_SUCCESS_VALID_S = 5.0
+"""Time after a success in which stored items do not quarantine the request again, in seconds:
+several times the delay through the store, as a VM that missed the success may still write the item.
+"""
 
 _AGE_DIGITS = 3
-"""Digits after the point of ages: milliseconds."""
+"""Decimal places of times and ages in seconds: milliseconds."""
 
 
 class Quarantine:
-    """The requests that this VM refuses, as they crash servers.
+    """The requests that this VM refuses because they crash servers.
 
     Args:
         store_view: What this VM holds of the store.
         name: Name of this VM.
         id_header: Header that names one attempt of a request.
         monotonic: Source of time, in seconds.
-        wall: Time of day, in seconds since the epoch, for operators.
-        events: Lines and counters; None for none.
+        wall: Source of wall-clock time, in seconds since the epoch, for operators.
+        events: Takes events and counters; None for none.
 
     Attributes:
         suspects: The evidence.
-        take_trial: Returns whether this VM may try a request that is held; by default it never may.
+        take_trial: Returns whether this VM may try a quarantined request; by default it may not.
         held: Requests that are refused, by fingerprint.
-        unwanted: Requests whose items in the store are to be removed, by fingerprint, each with the
-            monotonic time until which that counts.
-        changed: Set when there is something to judge, or to write to the store.
+        pending_removals: Requests whose items are to be removed from the store, by fingerprint,
+            each with the monotonic time until which that applies, in seconds.
+        changed: Set when evidence is to be evaluated, or the store is to be written.
     """
 
     def __init__(
@@ -89,72 +94,77 @@
         self.monotonic = monotonic
         self.wall = wall
         self.events = events or NoEvents()
-        self.take_trial: Callable[[Held], Awaitable[bool]] = _never
+        self.take_trial: Callable[[Held], Awaitable[bool]] = _refuse_trial
         self.held: dict[bytes, Held] = {}
-        self.unwanted: dict[bytes, float] = {}
+        self.pending_removals: dict[bytes, float] = {}
         self.changed = asyncio.Event()
         self.suspects = Suspects(name, self.names, monotonic, on_evidence=self.changed.set)
         self._targets: Counter[int] = Counter()
         store_view.listeners.append(self._on_change)
 
     def refusal(self, request: NamedRequest) -> Optional[Held]:
-        """Return why a request is refused; None when it may be sent."""
-        if request.on_trial or not (self._targets or self.suspects.wait_for_judgement):
+        """Return the entry by which a request is refused; None when it may be sent."""
+        if request.on_trial or not (self._targets or self.suspects.has_unjudged):
             return None
         self.judge_settled()
         if not self._targets[self.names.target_of(request)]:
             return None
         held = self.held.get(self.names.fingerprint_of(request))
-        if held is not None and held.has_lapsed(self.monotonic()):
-            self._clear(held.fingerprint, self.monotonic(), "the store has not held it for long")
+        if held is not None and held.has_expired(self.monotonic()):
+            self._release(
+                held.fingerprint, self.monotonic(), "it has not been in the store for too long"
+            )
             return None
         return held
 
     def judgement(self, request: NamedRequest) -> Judgement:
-        """Return how a request stands that is not refused; with no crash when it is no suspect."""
+        """Return the evidence against a request that is not refused.
+
+        It holds no crashes when the request is no suspect.
+        """
         return self.suspects.judgement(request, self.held)
 
     def judge_settled(self) -> None:
-        """Refuse the requests that are confirmed by now."""
+        """Quarantine the requests that are confirmed to crash servers by now."""
         for confirmed in self.suspects.confirmed(self.held):
             if confirmed.suspect.fingerprint not in self.held:
-                self._hold(confirmed)
+                self._quarantine(confirmed)
 
     def note_crash(
         self, request: NamedRequest, server: BackendServer, started: float, ended: float
     ) -> None:
-        """Note that a server's process ended while a request was there; see `Suspects`."""
+        """Record that a server's process ended while it had a request; see `Suspects`."""
         self.suspects.note_crash(request, server, started, ended)
 
     def note_good_end(self, request: NamedRequest) -> None:
-        """Note that a request ran to a good end: equal ones have crashed nothing."""
+        """Record a success of a request, which clears all equal requests."""
         log = self.suspects.log
         if not self._targets and not log.crashes:
             return
         target = self.names.target_of(request)
         if not self._targets[target] and not log.has_target(target):
             return
-        name = self.names.fingerprint_of(request)
-        if name not in self.held and log.suspect(name) is None:
+        fingerprint = self.names.fingerprint_of(request)
+        if fingerprint not in self.held and log.suspect(fingerprint) is None:
             return
         now = self.monotonic()
-        self.unwanted[name] = now + _GOOD_END_HOLDS_S
-        self._clear(name, now, "it ran to a good end")
+        self.pending_removals[fingerprint] = now + _SUCCESS_VALID_S
+        self._release(fingerprint, now, "it succeeded")
         if self.suspects.reporter is not None:
-            self.suspects.reporter.send_good_end(name)
+            self.suspects.reporter.send_good_end(fingerprint)
 
     def on_good_end_report(self, report: GoodEndReport, now: float) -> None:
-        """Clear a request that ran to a good end at another VM."""
-        self._clear(report.fingerprint, now, "it ran to a good end at another VM")
+        """Clear a request that succeeded at another VM."""
+        self._release(report.fingerprint, now, "it succeeded at another VM")
 
-    def trial_begins(self, held: Held) -> None:
-        """Note that this VM takes a trial of a request: the hold begins anew."""
+    def begin_trial(self, held: Held) -> None:
+        """Record that this VM takes a trial of a request: its refusal begins anew."""
         self.held[held.fingerprint] = held._replace(
             request=held.request.on_trial(), since=self.monotonic()
         )
 
-    def _hold(self, confirmed: ConfirmedSuspect) -> None:
-        """Refuse a request from now on."""
+    def _quarantine(self, confirmed: ConfirmedSuspect) -> None:
+        """Refuse a request from now on, and tell operators."""
         suspect, now = confirmed.suspect, self.monotonic()
         crashes = self.suspects.log.crashes_of(suspect.fingerprint)
         witnessed = any(self.suspects.name in crash.seen_by for crash in crashes)
@@ -164,7 +174,7 @@
             what=suspect.what,
             since=round(self.wall(), _AGE_DIGITS),
             crashes=_evidence(crashes, now),
-            trials_left=max(_LEAST_TRIALS, MAX_CRASHES - confirmed.judgement.crashes),
+            trials_left=max(_MIN_TRIALS, MAX_CRASHES - confirmed.judgement.crashes),
         )
         self._put(Held(request, now, witnessed=witnessed))
         self.changed.set()
@@ -181,12 +191,12 @@
         if held.fingerprint not in self.held:
             self._targets[int(held.request.target_hash, 16)] += 1
         self.held[held.fingerprint] = held
-        if len(self.held) > MOST_HELD:
+        if len(self.held) > MAX_QUARANTINED:
             oldest = min(self.held.values(), key=lambda each: each.since)
-            self._drop(oldest.fingerprint)
+            self._remove(oldest.fingerprint)
 
-    def _drop(self, name: bytes) -> Optional[Held]:
-        held = self.held.pop(name, None)
+    def _remove(self, fingerprint: bytes) -> Optional[Held]:
+        held = self.held.pop(fingerprint, None)
         if held is not None:
             target = int(held.request.target_hash, 16)
             self._targets[target] -= 1
@@ -194,30 +204,32 @@
                 del self._targets[target]
         return held
 
-    def _clear(self, name: bytes, now: float, why: str) -> None:
-        """Let a request go, and forget the evidence against it."""
-        self.suspects.log.note_good_end(name, now)
-        if self._drop(name) is not None:
+    def _release(self, fingerprint: bytes, now: float, why: str) -> None:
+        """Release a request, and drop the evidence against it."""
+        self.suspects.log.note_good_end(fingerprint, now)
+        if self._remove(fingerprint) is not None:
             self.changed.set()
-            self.events.state("request-released", fingerprint=name.hex(), why=why)
+            self.events.state("request-released", fingerprint=fingerprint.hex(), why=why)
 
     def _on_change(self, change: Change) -> None:
         if isinstance(change.after, QuarantinedRequest):
-            self._learn(change.after, change)
+            self._on_stored(change.after, change)
         elif isinstance(change.before, QuarantinedRequest) and change.after is None:
-            self._clear(bytes.fromhex(change.before.fingerprint), change.at, "its item was removed")
+            self._release(
+                bytes.fromhex(change.before.fingerprint), change.at, "its item was removed"
+            )
 
-    def _learn(self, request: QuarantinedRequest, change: Change) -> None:
-        """Take up what the store holds of a request, unless it has just run to a good end."""
+    def _on_stored(self, request: QuarantinedRequest, change: Change) -> None:
+        """Quarantine a request that the store holds, unless it has just succeeded."""
         held = Held(request, change.at, change.revision)
-        if change.at - self.suspects.log.last_good_end(held.fingerprint) < _GOOD_END_HOLDS_S:
+        if change.at - self.suspects.log.last_good_end(held.fingerprint) < _SUCCESS_VALID_S:
             self.changed.set()
             return
         self._put(held)
 
 
 def _evidence(crashes: Sequence[Crash], now: float) -> tuple[CrashEvidence, ...]:
-    """Return the latest of some crashes, for operators."""
+    """Return the latest of some crashes, as operators see them."""
     return tuple(
         CrashEvidence(
             crash.process.server_id,
@@ -229,6 +241,6 @@
     )
 
 
-async def _never(_held: Held) -> bool:
-    """Return False: without the store no trial can be taken."""
+async def _refuse_trial(_held: Held) -> bool:
+    """Return False: no trial can be taken without the store."""
     return False
--- a/sprucewinch/gateway/crashes/quarantine_store.py
+++ b/sprucewinch/gateway/crashes/quarantine_store.py
@@ -1,11 +1,13 @@
-"""Writes the quarantine to the platform's store, so that it outlasts all VMs, and takes trials.
-
-Owns which VM writes, when, and the calls. A VM that saw one of the crashes writes at once; where
-that fails, the VMs that follow the store do after `_OTHERS_S`. A failed call is repeated after a
-random pause. A trial is taken by a write on condition that nobody has changed the item, so that it
-is one in the fleet; without the store there is none. At most `MOST_HELD` items are written, as many
-as a VM holds. Relies on `quarantine` for what is to be written. Shows in: event `quarantine-trial`.
-Tests: `test_gateway_quarantine`.
+"""Writes the quarantine to the platform's store, so that it survives the loss of all VMs.
+
+This module owns which VM writes an item, when, and the calls to the store; `quarantine` owns what
+is to be written. A VM that saw one of the crashes writes at once; where that fails, the VMs that
+follow the store write after `_FOLLOWER_DELAY_S`. A failed call is retried after a random back-off.
+At most `MAX_QUARANTINED` items are written, which is as many as a VM holds.
+
+A trial is taken by a write that succeeds only while nobody else has changed the item, so that one
+VM in the whole fleet takes it; without the store there is no trial. Each attempt to take one is
+written as the event `quarantine-trial`. `test_gateway_quarantine` tests this module.
 """
 
 import asyncio
@@ -21,35 +23,35 @@
 from ..state.store_view import StoreView
 from ..timing import Timing
 from .held import Held
-from .quarantine import MOST_HELD, Quarantine
+from .quarantine import MAX_QUARANTINED, Quarantine
 
-_LOOK_S = 0.5
-"""Longest time between two looks for a write that is due, in seconds."""
+_CHECK_INTERVAL_S = 0.5
+"""Longest time between two checks for a write that is due, in seconds."""
 
-_OTHERS_S = 1.5
-"""Time after which VMs that follow the store write what no witness has written, in seconds: half of
-the time in which all VMs have to know."""
+_FOLLOWER_DELAY_S = 1.5
+"""Time after which store followers write an item that no VM which saw a crash has written, in
+seconds: half of the time within which all VMs have to know of the request."""
 
-_ABSENT = 0
+_ABSENT_REVISION = 0
 """Revision of a key that is not in the store."""
 
 _BACKOFF_BASE_S = 0.3
-"""Longest random pause after the first failed call, in seconds."""
+"""Longest random back-off after the first failed call, in seconds."""
 
-_MOST_BACKOFF_S = 3.0
-"""Longest random pause after a failed call, in seconds."""
+_MAX_BACKOFF_S = 3.0
+"""Longest random back-off after any failed call, in seconds."""
 
 
 class QuarantineStore:
-    """Makes the calls that the quarantine asks for.
+    """Makes the calls to the store that the quarantine needs.
 
     Args:
         quarantine: What this VM refuses.
         store: The store.
-        store_view: What this VM holds of it.
+        store_view: What this VM holds of the store.
         follow_role: Whether this VM follows the store.
         timing: Sources of time and randomness.
-        events: Lines.
+        events: Takes events.
     """
 
     def __init__(
@@ -77,30 +79,33 @@
                 failures = 0
                 await self._wait()
             except StoreUnavailableError:
-                # Silent: the call is repeated; `store_follower` writes the event `store`.
+                # Not logged: the call is retried, and `store_follower` writes the event `store`.
                 failures += 1
                 await asyncio.sleep(
                     backoff_s(
-                        failures, self.timing.rng, base_s=_BACKOFF_BASE_S, most_s=_MOST_BACKOFF_S
+                        failures, self.timing.rng, base_s=_BACKOFF_BASE_S, most_s=_MAX_BACKOFF_S
                     )
                 )
 
     async def take_trial(self, held: Held) -> bool:
-        """Return whether this VM may try a request now; False when another one does."""
+        """Take a trial of a request; return whether this VM may send it.
+
+        The result is False when another VM took the trial, or the store is unavailable.
+        """
         item = self._item(held.request)
         if item is None:
             return False
         taken = held.request.on_trial()
-        self.quarantine.trial_begins(held)
+        self.quarantine.begin_trial(held)
         try:
             won = await self.store.replace(item, quarantine_item(taken).value)
         except StoreUnavailableError as error:
-            self._tell_trial(taken, str(error))
+            self._log_trial(taken, str(error))
             return False
-        self._tell_trial(taken, "taken" if won else "another VM took it")
+        self._log_trial(taken, "taken" if won else "another VM took it")
         return won
 
-    def _tell_trial(self, request: QuarantinedRequest, outcome: str) -> None:
+    def _log_trial(self, request: QuarantinedRequest, outcome: str) -> None:
         self.events.state(
             "quarantine-trial",
             fingerprint=request.fingerprint,
@@ -109,43 +114,47 @@
         )
 
     async def _wait(self) -> None:
-        """Wait for a change, or until a write may be due or a request is to be judged."""
+        """Wait for a change, or until a write may be due or evidence is to be evaluated."""
         self.quarantine.changed.clear()
         settles_s = self.quarantine.suspects.settles_in_s()
         try:
-            async with asyncio.timeout(_LOOK_S if settles_s is None else min(_LOOK_S, settles_s)):
+            async with asyncio.timeout(
+                _CHECK_INTERVAL_S if settles_s is None else min(_CHECK_INTERVAL_S, settles_s)
+            ):
                 await self.quarantine.changed.wait()
         except TimeoutError:
-            # No error: the time has come.
+            # Expected: the wait has ended without a change.
             pass
 
     async def _step(self) -> None:
-        """Remove what has been let go, then write what is refused."""
+        """Remove the items of released requests, then write those of refused ones."""
         self.quarantine.judge_settled()
         now = self.timing.monotonic()
-        unwanted = self.quarantine.unwanted
-        for name, until in list(unwanted.items()):
-            item = self.store_view.replica.items.get(quarantine_key(name.hex()))
+        pending_removals = self.quarantine.pending_removals
+        for fingerprint, until in list(pending_removals.items()):
+            item = self.store_view.replica.items.get(quarantine_key(fingerprint.hex()))
             if item is not None:
                 await self.store.remove(item)
             if now > until:
-                unwanted.pop(name, None)
+                pending_removals.pop(fingerprint, None)
         for held in list(self.quarantine.held.values()):
             if self._is_due(held, now):
                 stored = quarantine_item(held.request)
-                # Only where there is none: another witness's may already count a trial.
-                await self.store.replace(Item(stored.key, b"", _ABSENT), stored.value)
-                self._note_written(held)
+                # Only if absent: the item that another VM wrote may already count a trial.
+                await self.store.replace(Item(stored.key, b"", _ABSENT_REVISION), stored.value)
+                self._mark_written(held)
 
     def _is_due(self, held: Held, now: float) -> bool:
         if held.revision or self._item(held.request) is not None:
             return False
-        if self._stored() >= MOST_HELD:
+        if self._stored_count() >= MAX_QUARANTINED:
             return False
-        return held.witnessed or (now - held.since > _OTHERS_S and self.follow_role.is_elected(now))
+        return held.witnessed or (
+            now - held.since > _FOLLOWER_DELAY_S and self.follow_role.is_elected(now)
+        )
 
-    def _note_written(self, held: Held) -> None:
-        """Let this VM not write an item again before it has come back from the store."""
+    def _mark_written(self, held: Held) -> None:
+        """Keep this VM from writing an item again before the item arrives from the store."""
         current = self.quarantine.held.get(held.fingerprint)
         if current is held:
             renewed = held._replace(witnessed=False, since=self.timing.monotonic())
@@ -154,5 +163,5 @@
     def _item(self, request: QuarantinedRequest) -> Optional[Item]:
         return self.store_view.replica.items.get(quarantine_key(request.fingerprint))
 
-    def _stored(self) -> int:
+    def _stored_count(self) -> int:
         return sum(key.startswith(QUARANTINE_PREFIX) for key in self.store_view.replica.items)
--- a/sprucewinch/gateway/crashes/suspects.py
+++ b/sprucewinch/gateway/crashes/suspects.py
@@ -83,7 +83,7 @@
         self._unjudged: dict[bytes, _Unjudged] = {}
 
     @property
-    def wait_for_judgement(self) -> bool:
+    def has_unjudged(self) -> bool:
         """True while a request is to be judged."""
         return bool(self._unjudged)
 
--- a/tests/test_gateway_quarantine.py
+++ b/tests/test_gateway_quarantine.py
@@ -1,4 +1,4 @@
-"""How a request that crashes servers is refused, tried again and let go, in whole fleets."""
+"""How a request that crashes servers is refused, tried again and released, in whole fleets."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from sprucewinch.gateway.crashes import held, quarantine
-from sprucewinch.gateway.crashes.held import NO_TRIAL_RETRY_S
+from sprucewinch.gateway.crashes.held import NO_TRIAL_RETRY_AFTER_S
 from sprucewinch.gateway.requests.client_request import RefusalReason
 from standins.consortium_store import Fault
 from standins.virtual import VirtualLoop, pass_time, run_virtual
@@ -17,8 +17,8 @@
 
 _ITEMS = "sprucewinch/quarantine/"
 
-HOLDS_S = (30.0, 60.0, 120.0)
-"""Holds in place of minutes and hours, so that whole fleets can run through them."""
+TRIAL_DELAYS_S = (30.0, 60.0, 120.0)
+"""Replace minutes and hours, so that whole fleets can run through all trials."""
 
 
 def _items(fleet: CrashFleet) -> list[str]:
@@ -29,8 +29,8 @@
     return [len(vm.gateway.crashes.quarantine.held) for vm in fleet.vms]
 
 
-async def _caught(loop: VirtualLoop, **options: Any) -> CrashFleet:
-    """Return a fleet that refuses a sick request, whose servers are back."""
+async def _refusing_fleet(loop: VirtualLoop, **options: Any) -> CrashFleet:
+    """Return a fleet that refuses a crashing request and whose servers have restarted."""
     fleet = await CrashFleet(loop, **options).ready()
     await repeat(fleet, SICK, 2.0)
     await pass_time(8.0)
@@ -39,27 +39,27 @@
 
 class _Fleet(unittest.TestCase):
     def run_fleet(self, main: Callable[[VirtualLoop], Coroutine[Any, Any, None]]) -> None:
-        with mock.patch.object(held, "HOLDS_S", HOLDS_S):
+        with mock.patch.object(held, "TRIAL_DELAYS_S", TRIAL_DELAYS_S):
             run_virtual(main)
 
 
 class Refusals(_Fleet):
-    def test_it_is_refused_at_once_with_the_time_of_its_trial(self) -> None:
+    def test_it_is_refused_at_once_with_the_time_until_its_trial(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
+            fleet = await _refusing_fleet(loop)
             for number in range(4):
                 started = loop.time()
                 reply = await fleet.ask(number, SICK)
                 self.assertEqual(loop.time(), started)
                 self.assertEqual(reply.status, 503)
                 self.assertIs(reply.refusal, RefusalReason.CRASHES_SERVERS)
-                self.assertAlmostEqual(reply.retry_after_s or 0, HOLDS_S[0] - 10, delta=2)
+                self.assertAlmostEqual(reply.retry_after_s or 0, TRIAL_DELAYS_S[0] - 10, delta=2)
 
         self.run_fleet(main)
 
     def test_no_other_request_is_refused_for_it(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
+            fleet = await _refusing_fleet(loop)
             fleet.sick.clear()
             self.assertEqual((await fleet.ask(0, SICK, key="another-caller")).status, 200)
             self.assertEqual((await fleet.ask(0, SICK + "?q=2")).status, 200)
@@ -68,7 +68,7 @@
 
         self.run_fleet(main)
 
-    def test_one_try_of_it_ends_two_servers_at_the_most(self) -> None:
+    def test_one_request_crashes_two_servers_at_most(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             reply = await fleet.ask(0, SICK)
@@ -77,8 +77,8 @@
 
         self.run_fleet(main)
 
-    def test_an_answer_to_what_has_not_run_clears_nobody(self) -> None:
-        """The same request without an id: no server runs it, and it proves nothing."""
+    def test_an_answer_to_a_request_that_has_not_run_clears_no_suspect(self) -> None:
+        """Without an id no server runs the same request, so the answer is no evidence."""
 
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
@@ -94,7 +94,7 @@
 
         self.run_fleet(main)
 
-    def test_a_vm_that_waits_for_a_connection_looks_again_before_the_first_byte(self) -> None:
+    def test_a_vm_that_waits_for_a_connection_checks_again_before_the_first_byte(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             for listener in loop.listeners.values():
@@ -118,7 +118,7 @@
 
 
 class _Server:
-    """A backend server as far as `note_crash` reads it."""
+    """The parts of a backend server that `note_crash` reads."""
 
     def __init__(self, server_id: str) -> None:
         self.backend = _Backend(server_id)
@@ -132,9 +132,9 @@
 
 
 class Ends(_Fleet):
-    def test_an_operator_lets_it_go_at_all_vms(self) -> None:
+    def test_an_operator_releases_it_at_all_vms(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
+            fleet = await _refusing_fleet(loop)
             fleet.sick.clear()
             for key in _items(fleet):
                 fleet.store.remove(key)
@@ -144,12 +144,12 @@
 
         self.run_fleet(main)
 
-    def test_it_is_tried_again_once_in_the_fleet_and_let_go_when_it_runs(self) -> None:
+    def test_it_is_tried_once_in_the_fleet_and_released_when_it_succeeds(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
+            fleet = await _refusing_fleet(loop)
             fleet.sick.clear()
             sent = fleet.sends(SICK)
-            await pass_time(HOLDS_S[0])
+            await pass_time(TRIAL_DELAYS_S[0])
             replies = await asyncio.gather(*(fleet.ask(n, SICK) for n in range(12)))
             self.assertEqual(sorted(reply.status for reply in replies), [200] + [503] * 11)
             self.assertEqual(fleet.sends(SICK), sent + 1)
@@ -159,28 +159,28 @@
 
         self.run_fleet(main)
 
-    def test_a_trial_that_fails_ends_one_server_and_the_next_one_is_later(self) -> None:
+    def test_a_trial_that_fails_crashes_one_server_and_the_next_one_is_later(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
+            fleet = await _refusing_fleet(loop)
             crashes = len(fleet.crashes[SICK])
-            await pass_time(HOLDS_S[0])
+            await pass_time(TRIAL_DELAYS_S[0])
             await repeat(fleet, SICK, 5.0)
             self.assertEqual(len(fleet.crashes[SICK]), crashes + 1)
             reply = await fleet.ask(0, SICK)
-            self.assertAlmostEqual(reply.retry_after_s or 0, HOLDS_S[1], delta=10)
+            self.assertAlmostEqual(reply.retry_after_s or 0, TRIAL_DELAYS_S[1], delta=10)
 
         self.run_fleet(main)
 
-    def test_after_the_last_trial_only_an_operator_lets_it_go(self) -> None:
+    def test_after_the_last_trial_only_an_operator_releases_it(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
-            for hold_s in HOLDS_S:
+            fleet = await _refusing_fleet(loop)
+            for hold_s in TRIAL_DELAYS_S:
                 await pass_time(hold_s + 20)
                 await repeat(fleet, SICK, 1.0)
-            await pass_time(HOLDS_S[-1])
+            await pass_time(TRIAL_DELAYS_S[-1])
             sent = fleet.sends(SICK)
             reply = await fleet.ask(0, SICK)
-            self.assertEqual((reply.status, reply.retry_after_s), (503, NO_TRIAL_RETRY_S))
+            self.assertEqual((reply.status, reply.retry_after_s), (503, NO_TRIAL_RETRY_AFTER_S))
             self.assertEqual(fleet.sends(SICK), sent)
             third = sorted(fleet.crashes[SICK])[2]
             self.assertLessEqual(fleet.sends(SICK, after=third + 3.0), 3)
@@ -194,7 +194,7 @@
             await repeat(fleet, SICK, 2.0)
             sent = fleet.sends(SICK)
             self.assertEqual((_held(fleet), _items(fleet)), ([1, 1, 1, 1], []))
-            await pass_time(HOLDS_S[0])
+            await pass_time(TRIAL_DELAYS_S[0])
             self.assertEqual((await fleet.ask(2, SICK)).status, 503)
             self.assertEqual(fleet.sends(SICK), sent)
             fleet.store.fault = Fault.NONE
@@ -203,17 +203,17 @@
 
         self.run_fleet(main)
 
-    def test_without_the_store_for_long_it_is_let_go_as_nobody_else_could(self) -> None:
+    def test_it_is_released_when_the_store_is_unavailable_for_too_long(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             fleet.store.fault = Fault.SILENT
             await repeat(fleet, SICK, 2.0)
             fleet.sick.clear()
             self.assertEqual((await fleet.ask(1, SICK)).status, 503)
-            await pass_time(held.UNSTORED_HOLD_S)
+            await pass_time(held.UNSTORED_REFUSAL_S)
             self.assertEqual((await fleet.ask(1, SICK)).status, 200)
 
-        with mock.patch.object(held, "UNSTORED_HOLD_S", 60.0):
+        with mock.patch.object(held, "UNSTORED_REFUSAL_S", 60.0):
             self.run_fleet(main)
 
 
@@ -244,7 +244,7 @@
 
     def test_a_vm_that_starts_refuses_it_before_it_is_ready(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
+            fleet = await _refusing_fleet(loop)
             fleet.restart(2)
             while not fleet.vms[2].gateway.ready():
                 await pass_time(0.001)
@@ -254,13 +254,13 @@
 
 
 class Others(_Fleet):
-    def test_servers_that_die_by_themselves_get_no_popular_request_refused(self) -> None:
+    def test_servers_that_crash_by_themselves_get_no_popular_request_refused(self) -> None:
         for seed in range(1, 4):
             with self.subTest(seed=seed):
-                run_virtual(lambda loop, seed=seed: self._dying(loop, seed))
+                run_virtual(lambda loop, seed=seed: self._crashing_servers(loop, seed))
 
-    async def _dying(self, loop: VirtualLoop, seed: int) -> None:
-        """Thirty deaths within 20 s, under 6 popular requests and 20 that come once each second."""
+    async def _crashing_servers(self, loop: VirtualLoop, seed: int) -> None:
+        """30 crashes within 20 s, under 6 popular requests and 20 that are sent once a second."""
         fleet = await CrashFleet(loop, seed=seed).ready()
         popular = Callers(fleet, pause_s=0.02, targets=[f"/rates/popular{n}" for n in range(6)])
         rare = Callers(fleet, pause_s=0.05, targets=[f"/rates/rare{n}" for n in range(20)])
@@ -276,7 +276,7 @@
         for callers in (popular, rare):
             self.assertNotIn(RefusalReason.CRASHES_SERVERS.value, callers.answers)
 
-    def test_a_data_hall_that_loses_power_gets_nobody_refused(self) -> None:
+    def test_a_data_hall_that_loses_power_gets_no_request_refused(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             callers = Callers(fleet, pause_s=0.02, targets=[f"/rates/{n}" for n in range(6)])
@@ -291,7 +291,7 @@
 
         self.run_fleet(main)
 
-    def test_requests_for_the_same_object_are_served_beside_it(self) -> None:
+    def test_other_requests_for_the_same_object_are_served_meanwhile(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             targets = [f"/rates/{n}" for n in range(3)]
@@ -303,25 +303,25 @@
 
         self.run_fleet(main)
 
-    def test_many_sick_requests_cost_bounded_memory_and_writes(self) -> None:
+    def test_many_crashing_requests_cost_bounded_memory_and_writes(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop, vms=2).ready()
             rule = fleet.vms[0].gateway.crashes.quarantine
-            for number in range(quarantine.MOST_HELD + 40):
+            for number in range(quarantine.MAX_QUARANTINED + 40):
                 request = fleet.request(f"{SICK_BOOKING}{number}")
                 for each in range(5):
                     at = loop.time() + each
                     server = _Server(f"gone-{number}-{each}")
                     rule.note_crash(request, server, at, at + 0.01)
             await pass_time(30.0)
-            self.assertLessEqual(max(_held(fleet)), quarantine.MOST_HELD)
-            self.assertLessEqual(len(_items(fleet)), quarantine.MOST_HELD)
+            self.assertLessEqual(max(_held(fleet)), quarantine.MAX_QUARANTINED)
+            self.assertLessEqual(len(_items(fleet)), quarantine.MAX_QUARANTINED)
 
         self.run_fleet(main)
 
 
 async def _same_object(fleet: CrashFleet, target: str) -> float:
-    """Ask for a request of the sick one's object for 5 s; return the part that is served."""
+    """Send a request for the crashing one's object for 5 s; return the fraction served."""
     answers = []
     for number in range(50):
         answers.append((await fleet.ask(number, target)).status)
