--- a/tests/test_gateway_crash_check.py
+++ b/tests/test_gateway_crash_check.py
@@ -1,4 +1,4 @@
-"""A connection that ends tells of a crash only where new ones are refused."""
+"""The end of a connection counts as a crash only where new connections are refused."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 from .gateway_fakes import Path, route
 
 
-def _name(**changes: object) -> bytes:
+def _fingerprint(**changes: object) -> bytes:
     plain: dict = {
         "method": "POST",
         "host": "quotes.example",
@@ -24,24 +24,24 @@
 
 
 class Fingerprints(unittest.TestCase):
-    def test_ids_and_traces_of_attempts_do_not_count(self) -> None:
+    def test_ids_and_trace_headers_of_attempts_do_not_count(self) -> None:
         again = (("cookie", "caller=7"), ("traceparent", "00-1"), ("x-request-id", "q2"))
-        self.assertEqual(_name(headers=again), _name())
+        self.assertEqual(_fingerprint(headers=again), _fingerprint())
 
-    def test_all_else_counts_and_the_caller_above_all(self) -> None:
+    def test_everything_else_counts_and_so_does_the_caller(self) -> None:
         others = [
-            _name(method="PUT"),
-            _name(host="other.example"),
-            _name(target="/rates/a?q=2"),
-            _name(body=b"lane2"),
-            _name(headers=(("cookie", "caller=8"),)),
-            _name(headers=(("cookie", "caller=7"), ("authorization", "b"))),
-            _name(target="/rates/a?q=1cookie", headers=(("", "caller=7"),)),
+            _fingerprint(method="PUT"),
+            _fingerprint(host="other.example"),
+            _fingerprint(target="/rates/a?q=2"),
+            _fingerprint(body=b"lane2"),
+            _fingerprint(headers=(("cookie", "caller=8"),)),
+            _fingerprint(headers=(("cookie", "caller=7"), ("authorization", "b"))),
+            _fingerprint(target="/rates/a?q=1cookie", headers=(("", "caller=7"),)),
         ]
-        self.assertEqual(len({_name(), *others}), len(others) + 1)
+        self.assertEqual(len({_fingerprint(), *others}), len(others) + 1)
 
-    def test_the_host_is_the_same_in_any_case(self) -> None:
-        self.assertEqual(_name(host="Quotes.Example"), _name())
+    def test_the_host_is_compared_without_case(self) -> None:
+        self.assertEqual(_fingerprint(host="Quotes.Example"), _fingerprint())
         self.assertEqual(target_hash("GET", "A.b", "/c"), target_hash("GET", "a.B", "/c"))
 
 
@@ -73,7 +73,7 @@
 
         run_virtual(main)
 
-    def test_a_server_behind_a_cut_proves_nothing(self) -> None:
+    def test_a_server_behind_a_network_cut_proves_nothing(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=1)
             path.world.configure(route(repeatable=False))
