--- a/sprucewinch/gateway/crashes/crash_log.py
+++ b/sprucewinch/gateway/crashes/crash_log.py
@@ -1,35 +1,36 @@
-"""Evidence: which backend servers crashed, and which requests were there when they did.
+"""Records which backend servers crashed, and which requests they had when they did.
 
-Owns the crashes that this VM and others have seen of late and the good ends that clear a request of
-them. The order in which reports arrive, or how often, changes nothing: a crash is one for each
-process, the requests that any VM had there are joined, and a good end clears what came before it,
-also where the report of that comes later. A server that keeps its id and states no incarnation may
-crash again: crashes of such a server further apart than `_ONE_CRASH_S` are two.
+The log holds the recent crashes that this VM and others saw, and the successes that clear a request
+of them. Neither the order of reports nor how often they arrive changes the result: each process
+crashes once, the requests that any VM had there are merged, and a success clears the crashes before
+it, also where a crash is reported later. A server that keeps its id and states no incarnation may
+crash again: crashes of such a server further apart than `_MAX_REPORT_GAP_S` are two.
 
-Bounded by `_MOST_CRASHES`, of which the oldest goes, so that callers who crash servers on purpose
-cost no memory. Relies on nothing; `guilt` judges by it. Tests: `test_gateway_guilt`.
+At most `_MAX_CRASHES` are kept and the oldest is evicted, so that callers who crash servers on
+purpose cost no memory. The log relies on nothing; `guilt` evaluates it. `test_gateway_guilt` tests
+this module.
 """
 
 from collections import OrderedDict, defaultdict, deque
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple, Optional
 
-_KEPT_S = 900.0
-"""How long a crash counts, in seconds: a caller may come back after minutes."""
+_RETENTION_S = 900.0
+"""How long a crash is kept, in seconds: a caller may send its request again after minutes."""
 
-_ONE_CRASH_S = 0.75
-"""Time between two reports of one crash at the most, in seconds: the way of reports, and a VM that
-was busy; half of what a server takes at the least to start again."""
+_MAX_REPORT_GAP_S = 0.75
+"""Longest time between two reports of one crash, in seconds: it allows for the delay of reports and
+for a busy VM, and is half of the shortest time in which a server restarts."""
 
-_MOST_CRASHES = 256
-"""Crashes that are kept at the most. With the requests of full servers they take some 0.5 MB."""
+_MAX_CRASHES = 256
+"""Crashes that are kept; with the requests of fully loaded servers they take some 0.5 MB."""
 
-_MOST_REQUESTS = 32
-"""Requests that are kept of one crash: more than a server runs and queues at once. Those that came
-first are kept, as the server had begun to run them."""
+_MAX_SUSPECTS = 32
+"""Requests that are kept of one crash: more than a server runs and queues at once. The earliest are
+kept, because the server had begun to run them."""
 
-_MOST_GOOD_ENDS = 1024
-"""Good ends that are kept at the most, the newest."""
+_MAX_SUCCESSES = 1024
+"""Successes that are kept, the most recent ones."""
 
 
 class ServerProcess(NamedTuple):
@@ -37,7 +38,7 @@
 
     Args:
         server_id: Id of the server.
-        incarnation: Which process it is, where the server states it; else 0.
+        incarnation: Number of its process, where the server states it; else 0.
     """
 
     server_id: str
@@ -45,20 +46,20 @@
 
 
 class SuspectRun(NamedTuple):
-    """A request's stay at a server whose process ended meanwhile; monotonic times, in seconds."""
+    """A request's run at a server that crashed during it; monotonic times, in seconds."""
 
     started: float
     ended: float
 
 
 class Suspect(NamedTuple):
-    """A request that was at a server when its process ended.
+    """A request that a server had when its process ended.
 
     Args:
-        fingerprint: Names the request.
-        target_hash: Hash of what it is for, see `fingerprint.target_hash`.
+        fingerprint: Fingerprint of the request.
+        target_hash: Hash of its target, see `fingerprint.target_hash`.
         what: Its method and path, for operators.
-        started: Monotonic time at which it was sent there, in seconds.
+        started: Monotonic time at which it was sent to the server, in seconds.
     """
 
     fingerprint: bytes
@@ -76,8 +77,8 @@
         at: Monotonic time at which it was first seen, in seconds.
 
     Attributes:
-        suspects: Requests that were there, by fingerprint.
-        seen_by: VMs that saw it.
+        suspects: Requests that the server had, by fingerprint.
+        seen_by: Names of the VMs that saw it.
     """
 
     __slots__ = ("at", "process", "seen_by", "service", "suspects")
@@ -90,18 +91,18 @@
         self.seen_by: set[str] = set()
 
     def add(self, suspect: Suspect) -> None:
-        """Join a request that was there; of equal ones the first counts."""
+        """Add a request that the server had; of equal requests the first sent counts."""
         held = self.suspects.get(suspect.fingerprint)
         if held is None or suspect.started < held.started:
             self.suspects[suspect.fingerprint] = suspect
 
 
 class CrashLog:
-    """The crashes and good ends that count."""
+    """The crashes and successes that count as evidence."""
 
     def __init__(self) -> None:
         self.crashes: deque[Crash] = deque()
-        self._good_ends: OrderedDict[bytes, float] = OrderedDict()
+        self._successes: OrderedDict[bytes, float] = OrderedDict()
         self._by_process: dict[ServerProcess, list[Crash]] = {}
         self._by_request: dict[bytes, list[Crash]] = {}
         self._targets: defaultdict[int, set[bytes]] = defaultdict(set)
@@ -114,77 +115,80 @@
         suspects: Mapping[bytes, Suspect],
         seen_by: Iterable[str],
     ) -> None:
-        """Join what VMs saw of a crash.
+        """Merge what VMs saw of a crash.
 
         Args:
             process: The process that ended.
             service: Service that it ran.
             at: Monotonic time of the crash, in seconds.
-            suspects: Their requests there, by fingerprint.
+            suspects: The requests that these VMs had at the server, by fingerprint.
             seen_by: Names of these VMs.
         """
-        crash = self._find(process, at) or self._begin(process, service, at)
+        crash = self._find(process, at) or self._create(process, service, at)
         crash.at = min(crash.at, at)
         crash.seen_by.update(seen_by)
         for suspect in suspects.values():
-            if self._good_ends.get(suspect.fingerprint, float("-inf")) < at:
+            if self._successes.get(suspect.fingerprint, float("-inf")) < at:
                 crash.add(suspect)
                 self._index(crash, suspect)
-        while len(crash.suspects) > _MOST_REQUESTS:
+        while len(crash.suspects) > _MAX_SUSPECTS:
             last = max(crash.suspects.values(), key=lambda suspect: suspect.started)
-            self._clear(crash, last.fingerprint)
-        self._forget_old(at)
+            self._remove_suspect(crash, last.fingerprint)
+        self._evict_old(at)
 
     def note_good_end(self, fingerprint: bytes, at: float) -> None:
-        """Clear a request of all crashes before it, or an equal one, ran to a good end.
+        """Record a success of a request, which clears it of all earlier crashes.
 
         Args:
-            fingerprint: Names the request.
-            at: Monotonic time of the good end, in seconds.
+            fingerprint: Fingerprint of the request.
+            at: Monotonic time of the success, in seconds.
         """
-        at = max(at, self._good_ends.pop(fingerprint, float("-inf")))
-        self._good_ends[fingerprint] = at
-        if len(self._good_ends) > _MOST_GOOD_ENDS:
-            self._good_ends.popitem(last=False)
+        at = max(at, self._successes.pop(fingerprint, float("-inf")))
+        self._successes[fingerprint] = at
+        if len(self._successes) > _MAX_SUCCESSES:
+            self._successes.popitem(last=False)
         for crash in list(self._by_request.get(fingerprint, ())):
             if crash.at <= at:
-                self._clear(crash, fingerprint)
+                self._remove_suspect(crash, fingerprint)
 
-    def is_same(self, crash: Crash, process: ServerProcess, at: float) -> bool:
-        """Return whether a crash is that of a process at some time."""
+    def is_crash_of(self, crash: Crash, process: ServerProcess, at: float) -> bool:
+        """Return whether a crash is the one of a process at a monotonic time, in seconds."""
         if crash.process != process:
             return False
-        return process.incarnation != 0 or abs(crash.at - at) <= _ONE_CRASH_S
+        return process.incarnation != 0 or abs(crash.at - at) <= _MAX_REPORT_GAP_S
 
-    def last_good_end(self, fingerprint: bytes) -> float:
-        """Return when an equal request last ran to a good end, as monotonic time in seconds."""
-        return self._good_ends.get(fingerprint, float("-inf"))
+    def last_success(self, fingerprint: bytes) -> float:
+        """Return the monotonic time of an equal request's last success, in seconds.
+
+        It is minus infinity when none is known.
+        """
+        return self._successes.get(fingerprint, float("-inf"))
 
     def crash_count(self, fingerprint: bytes) -> int:
-        """Return of how many crashes a request is a suspect."""
+        """Return the number of crashes of which a request is a suspect."""
         return len(self._by_request.get(fingerprint, ()))
 
     def crashes_of(self, fingerprint: bytes) -> list[Crash]:
-        """Return the crashes that a request is a suspect of, the earliest first."""
+        """Return the crashes of which a request is a suspect, the earliest first."""
         return sorted(self._by_request.get(fingerprint, ()), key=lambda crash: crash.at)
 
     def has_target(self, target_hash: int) -> bool:
-        """Return whether some suspect is for this target."""
+        """Return whether some suspect has this target."""
         return target_hash in self._targets
 
     def suspect(self, fingerprint: bytes) -> Optional[Suspect]:
-        """Return what is known of a request that is a suspect; None when it is none."""
+        """Return a suspect by its fingerprint; None when the request is no suspect."""
         crashes = self._by_request.get(fingerprint)
         return crashes[0].suspects[fingerprint] if crashes else None
 
     def _find(self, process: ServerProcess, at: float) -> Optional[Crash]:
-        """Return the crash of a process at a time; None when it is not known yet."""
+        """Return the crash of a process at a time; None when it is not known."""
         for crash in self._by_process.get(process, ()):
-            if self.is_same(crash, process, at):
+            if self.is_crash_of(crash, process, at):
                 return crash
         return None
 
-    def _begin(self, process: ServerProcess, service: str, at: float) -> Crash:
+    def _create(self, process: ServerProcess, service: str, at: float) -> Crash:
         crash = Crash(process, service, at)
         self.crashes.append(crash)
         self._by_process.setdefault(process, []).append(crash)
@@ -196,26 +200,26 @@
             crashes.append(crash)
         self._targets[suspect.target_hash].add(suspect.fingerprint)
 
-    def _clear(self, crash: Crash, fingerprint: bytes) -> None:
-        """Forget that a request is a suspect of a crash."""
+    def _remove_suspect(self, crash: Crash, fingerprint: bytes) -> None:
+        """Remove a request from the suspects of a crash."""
         suspect = crash.suspects.pop(fingerprint)
         crashes = self._by_request[fingerprint]
         crashes.remove(crash)
         if crashes:
             return
         del self._by_request[fingerprint]
-        names = self._targets[suspect.target_hash]
-        names.discard(fingerprint)
-        if not names:
+        fingerprints = self._targets[suspect.target_hash]
+        fingerprints.discard(fingerprint)
+        if not fingerprints:
             del self._targets[suspect.target_hash]
 
-    def _forget_old(self, now: float) -> None:
+    def _evict_old(self, now: float) -> None:
         while self.crashes:
             oldest = self.crashes[0]
-            if len(self.crashes) <= _MOST_CRASHES and now - oldest.at < _KEPT_S:
+            if len(self.crashes) <= _MAX_CRASHES and now - oldest.at < _RETENTION_S:
                 return
             for fingerprint in list(oldest.suspects):
-                self._clear(oldest, fingerprint)
+                self._remove_suspect(oldest, fingerprint)
             self.crashes.popleft()
             crashes = self._by_process[oldest.process]
             crashes.remove(oldest)
--- a/sprucewinch/gateway/crashes/crash_reports.py
+++ b/sprucewinch/gateway/crashes/crash_reports.py
@@ -1,10 +1,11 @@
-"""What VMs tell each other of crashes: which servers ended under which requests, and good ends.
-
-Owns the two messages, and when they are sent: what a VM sees of one crash goes out together, to all
-VMs, once. Where a request has lost a server before, it goes out twice more, with the earlier
-crashes of that request, as a datagram may be lost and the next copy may come at any VM. The cost of
-a crash grows with the fleet and not with its square. Relies on `follow_role` for the recipients;
-`suspects` takes up what arrives. Tests: `test_gateway_crash_reports`.
+"""Messages by which VMs tell each other of crashes and of successes that clear a suspect.
+
+This module owns the two messages and when they are sent. What a VM sees of one crash is sent once,
+in one batch, to all VMs. Where a request has lost a server before, the report is sent twice more,
+together with the earlier crashes of that request, because a datagram may be lost and the next copy
+of the request may arrive at any VM. The cost of a crash grows linearly with the number of VMs, not
+with its square. The module relies on `follow_role` for the recipients; `suspects` handles what
+arrives. `test_gateway_crash_reports` tests this module.
 """
 
 import asyncio
@@ -18,32 +19,32 @@
 from ..timing import Timing
 from .crash_log import ServerProcess, Suspect
 
-_GATHER_S = 0.02
-"""Time for which requests that lost one server are gathered into one report, in seconds: their
+_BATCH_DELAY_S = 0.02
+"""Time for which requests that lost one server are collected into one report, in seconds: their
 connections end within a millisecond."""
 
-_REPEATS_S = (0.3, 1.0)
-"""Times after a report at which one on a request that lost a server before is sent again, in
-seconds: with a tenth of the datagrams lost, one VM in 1,000 gets none of three."""
+_REPEAT_DELAYS_S = (0.3, 1.0)
+"""Delays after which a report on a request that lost a server before is sent again, in seconds: if
+a tenth of the datagrams is lost, one VM in 1,000 receives none of the three."""
 
-_MOST_SUSPECTS = 10
-"""Requests in one message, so that it fits one packet."""
+_MAX_SUSPECTS_PER_MESSAGE = 10
+"""Requests in one message, so that it fits in one packet."""
 
-_MOST_WAITING = 256
-"""Reports that wait for being sent again at the most; the oldest goes first."""
+_MAX_SCHEDULED = 256
+"""Reports that wait to be sent again; the oldest is dropped first."""
 
 _MS_PER_S = 1000
 """Milliseconds in a second."""
 
 
 class SuspectRow(msgspec.Struct, array_like=True, frozen=True):
-    """A request that was at a server when its process ended.
+    """A request that a server had when its process ended.
 
     Args:
-        fingerprint: Names the request.
-        target_hash: Hash of what it is for.
+        fingerprint: Fingerprint of the request.
+        target_hash: Hash of its target, see `fingerprint.target_hash`.
         what: Its method and path, for operators.
-        run_ms: How long before the crash it was sent there, in milliseconds.
+        run_ms: Time from when it was sent to the server until the crash, in milliseconds.
     """
 
     fingerprint: bytes
@@ -56,12 +57,12 @@
     """What one VM saw of the end of a server's process.
 
     Args:
-        seen_by: VMs that saw it.
+        seen_by: Names of the VMs that saw it.
         server: Id of the server.
-        incarnation: Which process it was; 0 when that is not known.
+        incarnation: Number of its process; 0 when that is not known.
         service: Service that it ran.
         age_ms: Time since the crash, in milliseconds.
-        suspects: The VM's requests there.
+        suspects: Requests of these VMs that the server had.
     """
 
     seen_by: tuple[str, ...]
@@ -73,18 +74,18 @@
 
 
 class GoodEndReport(msgspec.Struct, array_like=True, frozen=True, tag="well"):
-    """A request that was a suspect, or an equal one, ran to a good end.
+    """A success of a request that was a suspect, or of an equal one.
 
     Args:
-        fingerprint: Names the request.
-        age_ms: Time since then, in milliseconds.
+        fingerprint: Fingerprint of the request.
+        age_ms: Time since the success, in milliseconds.
     """
 
     fingerprint: bytes
     age_ms: int
 
 
-class SeenCrash(NamedTuple):
+class ObservedCrash(NamedTuple):
     """What VMs saw of a crash.
 
     Args:
@@ -92,7 +93,7 @@
         process: The process that ended.
         service: Service that it ran.
         at: Monotonic time of the crash, in seconds.
-        suspects: Their requests there.
+        suspects: Requests of these VMs that the server had.
     """
 
     seen_by: tuple[str, ...]
@@ -102,7 +103,7 @@
     suspects: tuple[Suspect, ...]
 
     def report(self, now: float) -> CrashReport:
-        """Return the message, at a monotonic time in seconds."""
+        """Return the message that is sent at a monotonic time, in seconds."""
         rows = [
             SuspectRow(s.fingerprint, s.target_hash, s.what, _ms(self.at - s.started))
             for s in self.suspects
@@ -118,8 +119,8 @@
         )
 
 
-def seen_crash(report: CrashReport, now: float) -> SeenCrash:
-    """Return what a message tells, in this VM's time.
+def observed_crash(report: CrashReport, now: float) -> ObservedCrash:
+    """Return the crash that a message reports, in this VM's time.
 
     Args:
         report: The message.
@@ -131,18 +132,18 @@
         for row in report.suspects
     )
     process = ServerProcess(report.server, report.incarnation)
-    return SeenCrash(report.seen_by, process, report.service, at, suspects)
+    return ObservedCrash(report.seen_by, process, report.service, at, suspects)
 
 
-class _Due(NamedTuple):
-    """A crash to be reported at a monotonic time, in seconds."""
+class _ScheduledReport(NamedTuple):
+    """A crash that is reported again at a monotonic time, in seconds."""
 
     at: float
-    seen: SeenCrash
+    observed: ObservedCrash
 
 
 class CrashReporter:
-    """Sends what this VM sees.
+    """Sends what this VM sees of crashes and successes.
 
     Args:
         datagrams: The endpoint between VMs.
@@ -157,73 +158,77 @@
         follow_role: FollowRole,
         timing: Timing,
         *,
-        earlier: Callable[[SeenCrash], Sequence[SeenCrash]],
+        earlier: Callable[[ObservedCrash], Sequence[ObservedCrash]],
     ) -> None:
         self.datagrams = datagrams
         self.follow_role = follow_role
         self.timing = timing
         self.earlier = earlier
-        self._gathered: dict[ServerProcess, list[Suspect]] = {}
-        self._crashes: dict[ServerProcess, SeenCrash] = {}
-        self._due: list[_Due] = []
-        self._seen = asyncio.Event()
+        self._pending_suspects: dict[ServerProcess, list[Suspect]] = {}
+        self._pending_crashes: dict[ServerProcess, ObservedCrash] = {}
+        self._scheduled: list[_ScheduledReport] = []
+        self._pending_added = asyncio.Event()
 
-    def add(self, seen: SeenCrash) -> None:
-        """Report a crash soon, with the other requests that this VM had there."""
-        self._crashes.setdefault(seen.process, seen)
-        self._gathered.setdefault(seen.process, []).extend(seen.suspects)
-        self._seen.set()
+    def add(self, observed: ObservedCrash) -> None:
+        """Report a crash shortly, together with the other requests that this VM had there."""
+        self._pending_crashes.setdefault(observed.process, observed)
+        self._pending_suspects.setdefault(observed.process, []).extend(observed.suspects)
+        self._pending_added.set()
 
     def send_good_end(self, fingerprint: bytes) -> None:
-        """Report a good end of a request now."""
+        """Report a success of a request now."""
         self._send(GoodEndReport(fingerprint, 0))
 
     async def run(self) -> None:
         """Send what is due, until cancelled."""
         while True:
             await self._wait()
-            self._send_gathered()
-            self._send_due()
+            self._send_pending()
+            self._send_scheduled()
 
     async def _wait(self) -> None:
-        """Wait for a crash, or until a report is to be sent again."""
-        next_s = min((due.at for due in self._due), default=None)
+        """Wait for a crash, or until a report is due again."""
+        next_s = min((due.at for due in self._scheduled), default=None)
         left_s = None if next_s is None else max(0.0, next_s - self.timing.monotonic())
         try:
             async with asyncio.timeout(left_s):
-                await self._seen.wait()
-            await asyncio.sleep(_GATHER_S)
+                await self._pending_added.wait()
+            await asyncio.sleep(_BATCH_DELAY_S)
         except TimeoutError:
-            # No error: a report is due again.
+            # Expected: a report is due again.
             return
-        self._seen.clear()
+        self._pending_added.clear()
 
-    def _send_gathered(self) -> None:
+    def _send_pending(self) -> None:
         now = self.timing.monotonic()
-        for process, suspects in self._gathered.items():
-            seen = self._crashes[process]._replace(suspects=tuple(suspects))
-            self._send_crash(seen, now)
-            earlier = self.earlier(seen)
+        for process, suspects in self._pending_suspects.items():
+            observed = self._pending_crashes[process]._replace(suspects=tuple(suspects))
+            self._send_crash(observed, now)
+            earlier = self.earlier(observed)
             for crash in earlier:
                 self._send_crash(crash, now)
             if earlier:
-                told = (seen, *earlier)
-                self._due += [_Due(now + pause_s, each) for pause_s in _REPEATS_S for each in told]
-        self._gathered.clear()
-        self._crashes.clear()
-        del self._due[:-_MOST_WAITING]
-
-    def _send_due(self) -> None:
+                observations = (observed, *earlier)
+                self._scheduled += [
+                    _ScheduledReport(now + pause_s, each)
+                    for pause_s in _REPEAT_DELAYS_S
+                    for each in observations
+                ]
+        self._pending_suspects.clear()
+        self._pending_crashes.clear()
+        del self._scheduled[:-_MAX_SCHEDULED]
+
+    def _send_scheduled(self) -> None:
         now = self.timing.monotonic()
-        due = [each for each in self._due if each.at <= now]
-        self._due = [each for each in self._due if each.at > now]
+        due = [each for each in self._scheduled if each.at <= now]
+        self._scheduled = [each for each in self._scheduled if each.at > now]
         for each in due:
-            self._send_crash(each.seen, now)
+            self._send_crash(each.observed, now)
 
-    def _send_crash(self, seen: SeenCrash, now: float) -> None:
-        for start in range(0, len(seen.suspects), _MOST_SUSPECTS):
-            part = seen.suspects[start : start + _MOST_SUSPECTS]
-            self._send(seen._replace(suspects=part).report(now))
+    def _send_crash(self, observed: ObservedCrash, now: float) -> None:
+        for start in range(0, len(observed.suspects), _MAX_SUSPECTS_PER_MESSAGE):
+            part = observed.suspects[start : start + _MAX_SUSPECTS_PER_MESSAGE]
+            self._send(observed._replace(suspects=part).report(now))
 
     def _send(self, message: msgspec.Struct) -> None:
         recipients = self.follow_role.recipients(changed=True)
--- a/sprucewinch/gateway/crashes/fingerprint.py
+++ b/sprucewinch/gateway/crashes/fingerprint.py
@@ -1,10 +1,11 @@
-"""What names a request that comes again: the same caller, method, target and body.
-
-Owns the choice of what counts. Ids, deadlines and trace headers differ with each attempt of a
-request and do not count; all other headers that are passed on do, as some of them tell the caller,
-and no caller may have another's request turned away. `target_hash` is a cheap first look, so that
-a body is digested only where the target is known to belong to a suspect: 1 MB takes 1 ms of a core
-(mean of 50 digests). Relies on `hashlib`; VMs of all versions must agree, so it stays.
+"""Fingerprints of requests: equal for requests of the same caller, method, target and body.
+
+This module owns what a fingerprint covers. Ids, deadlines and trace headers differ between attempts
+of one request and are left out. All other headers that are passed on are included, because some of
+them identify the caller, and no caller may get another caller's request refused. `target_hash` is a
+cheap first test, so that a body is hashed only where the target belongs to a suspect: 1 MB takes
+1 ms of CPU (mean of 50 digests). The module relies on `hashlib`. VMs of all versions must compute
+the same values, so the algorithm does not change.
 """
 
 import hashlib
@@ -14,19 +15,20 @@
 from ..._hash import hash64
 
 _DIGEST_BYTES = 16
-"""Length of a fingerprint, in bytes: nobody finds two requests with the same one."""
+"""Length of a fingerprint, in bytes; finding a collision is infeasible."""
 
 _LENGTH_BYTES = 8
-"""Bytes of the length before each part, so that no two lists of parts read alike."""
+"""Size of the length that precedes each part, in bytes, so that different lists of parts never give
+the same input."""
 
 _TRACE_HEADERS = frozenset(
     ("traceparent", "tracestate", "baggage", "b3", "x-b3-traceid", "x-b3-spanid", "x-b3-sampled")
 )
-"""Headers that name one attempt for tracing, by the usual standards."""
+"""Headers that identify one attempt for tracing: W3C Trace Context, Baggage and B3."""
 
 
 def target_hash(method: str, host: str, target: str) -> int:
-    """Return a hash of what a request is for, in `[0, 2**64)`; equal requests share it.
+    """Return a hash of a request's target, in `[0, 2**64)`; equal requests share it.
 
     Args:
         method: HTTP method.
@@ -45,7 +47,7 @@
     *,
     id_header: str,
 ) -> bytes:
-    """Return the digest that names a request and all equal ones.
+    """Return the digest that identifies a request and all equal ones.
 
     Args:
         method: HTTP method.
@@ -53,7 +55,7 @@
         target: Path and query.
         headers: Headers that are passed on, names in lower case.
         body: The whole body.
-        id_header: Header that names one attempt; it does not count.
+        id_header: Header that identifies one attempt; it is left out.
     """
     digest = hashlib.sha256()
     kept = sorted(h for h in headers if h[0] != id_header and h[0] not in _TRACE_HEADERS)
@@ -64,8 +66,8 @@
     return digest.digest()[:_DIGEST_BYTES]
 
 
-class NamedRequest(Protocol):
-    """A request as far as it is named; it keeps what was worked out once."""
+class FingerprintedRequest(Protocol):
+    """The parts of a request that a fingerprint covers; it caches the computed values."""
 
     method: str
     host: str
@@ -78,11 +80,11 @@
     on_trial: bool
 
 
-class RequestNames:
-    """Names requests.
+class Fingerprinter:
+    """Computes the fingerprints of requests.
 
     Args:
-        id_header: Header that names one attempt of a request.
+        id_header: Header that identifies one attempt of a request.
     """
 
     __slots__ = ("id_header",)
@@ -90,14 +92,14 @@
     def __init__(self, id_header: str) -> None:
         self.id_header = id_header
 
-    def target_of(self, request: NamedRequest) -> int:
-        """Return the hash of what a request is for."""
+    def target_of(self, request: FingerprintedRequest) -> int:
+        """Return the hash of a request's target, see `target_hash`."""
         if request.target_hash is None:
             request.target_hash = target_hash(request.method, request.host, request.target)
         return request.target_hash
 
-    def fingerprint_of(self, request: NamedRequest) -> bytes:
-        """Return what names a request and all equal ones."""
+    def fingerprint_of(self, request: FingerprintedRequest) -> bytes:
+        """Return the digest that identifies a request and all equal ones, see `fingerprint`."""
         if request.fingerprint is None:
             request.fingerprint = fingerprint(
                 request.method,
--- a/sprucewinch/gateway/crashes/quarantine.py
+++ b/sprucewinch/gateway/crashes/quarantine.py
@@ -38,7 +38,7 @@
 from ..state.store_view import Change, StoreView
 from .crash_log import Crash
 from .crash_reports import GoodEndReport
-from .fingerprint import NamedRequest, RequestNames
+from .fingerprint import FingerprintedRequest, Fingerprinter
 from .guilt import MAX_CRASHES, Judgement
 from .held import Held
 from .suspects import ConfirmedSuspect, Suspects
@@ -66,7 +66,7 @@
     Args:
         store_view: What this VM holds of the store.
         name: Name of this VM.
-        id_header: Header that names one attempt of a request.
+        id_header: Header that identifies one attempt of a request.
         monotonic: Source of time, in seconds.
         wall: Source of wall-clock time, in seconds since the epoch, for operators.
         events: Takes events and counters; None for none.
@@ -90,7 +90,7 @@
         wall: Callable[[], float],
         events: Optional[EventLog] = None,
     ) -> None:
-        self.names = RequestNames(id_header)
+        self.names = Fingerprinter(id_header)
         self.monotonic = monotonic
         self.wall = wall
         self.events = events or NoEvents()
@@ -102,11 +102,11 @@
         self._targets: Counter[int] = Counter()
         store_view.listeners.append(self._on_change)
 
-    def refusal(self, request: NamedRequest) -> Optional[Held]:
+    def refusal(self, request: FingerprintedRequest) -> Optional[Held]:
         """Return the entry by which a request is refused; None when it may be sent."""
         if request.on_trial or not (self._targets or self.suspects.has_unjudged):
             return None
-        self.judge_settled()
+        self.judge_due()
         if not self._targets[self.names.target_of(request)]:
             return None
         held = self.held.get(self.names.fingerprint_of(request))
@@ -117,26 +117,26 @@
             return None
         return held
 
-    def judgement(self, request: NamedRequest) -> Judgement:
+    def judgement(self, request: FingerprintedRequest) -> Judgement:
         """Return the evidence against a request that is not refused.
 
         It holds no crashes when the request is no suspect.
         """
         return self.suspects.judgement(request, self.held)
 
-    def judge_settled(self) -> None:
+    def judge_due(self) -> None:
         """Quarantine the requests that are confirmed to crash servers by now."""
         for confirmed in self.suspects.confirmed(self.held):
             if confirmed.suspect.fingerprint not in self.held:
                 self._quarantine(confirmed)
 
     def note_crash(
-        self, request: NamedRequest, server: BackendServer, started: float, ended: float
+        self, request: FingerprintedRequest, server: BackendServer, started: float, ended: float
     ) -> None:
         """Record that a server's process ended while it had a request; see `Suspects`."""
         self.suspects.note_crash(request, server, started, ended)
 
-    def note_good_end(self, request: NamedRequest) -> None:
+    def note_good_end(self, request: FingerprintedRequest) -> None:
         """Record a success of a request, which clears all equal requests."""
         log = self.suspects.log
         if not self._targets and not log.crashes:
@@ -222,7 +222,7 @@
     def _on_stored(self, request: QuarantinedRequest, change: Change) -> None:
         """Quarantine a request that the store holds, unless it has just succeeded."""
         held = Held(request, change.at, change.revision)
-        if change.at - self.suspects.log.last_good_end(held.fingerprint) < _SUCCESS_VALID_S:
+        if change.at - self.suspects.log.last_success(held.fingerprint) < _SUCCESS_VALID_S:
             self.changed.set()
             return
         self._put(held)
--- a/sprucewinch/gateway/crashes/quarantine_store.py
+++ b/sprucewinch/gateway/crashes/quarantine_store.py
@@ -116,10 +116,10 @@
     async def _wait(self) -> None:
         """Wait for a change, or until a write may be due or evidence is to be evaluated."""
         self.quarantine.changed.clear()
-        settles_s = self.quarantine.suspects.settles_in_s()
+        due_in_s = self.quarantine.suspects.next_judgement_in_s()
         try:
             async with asyncio.timeout(
-                _CHECK_INTERVAL_S if settles_s is None else min(_CHECK_INTERVAL_S, settles_s)
+                _CHECK_INTERVAL_S if due_in_s is None else min(_CHECK_INTERVAL_S, due_in_s)
             ):
                 await self.quarantine.changed.wait()
         except TimeoutError:
@@ -128,7 +128,7 @@
 
     async def _step(self) -> None:
         """Remove the items of released requests, then write those of refused ones."""
-        self.quarantine.judge_settled()
+        self.quarantine.judge_due()
         now = self.timing.monotonic()
         pending_removals = self.quarantine.pending_removals
         for fingerprint, until in list(pending_removals.items()):
--- a/sprucewinch/gateway/crashes/suspects.py
+++ b/sprucewinch/gateway/crashes/suspects.py
@@ -1,10 +1,11 @@
-"""Requests that were at servers when they crashed, and when they are judged.
-
-Owns this VM's evidence: what its own requests and the reports of others show, and which requests
-are to be judged anew. A crash counts from the age of `SETTLE_S` on: judged sooner, a request that
-was there by chance could be known for one crash more than the one that did it, and be refused in
-its place. Relies on `crash_log` to join the evidence, on `guilt` for the verdict; `quarantine`
-refuses those that are confirmed. Tests: `test_gateway_quarantine`, `test_gateway_crash_reports`.
+"""Tracks the requests that servers had when they crashed, and when the evidence is evaluated.
+
+This module owns the evidence of one VM, from its own requests and from the reports of others, and
+the set of requests that are to be evaluated again. A crash counts once it is older than
+`MIN_CRASH_AGE_S`. Evaluated sooner, a request that was present by chance could be known for one
+crash more than the request that caused it, and be refused in its place. The module relies on
+`crash_log` to merge the evidence and on `guilt` to evaluate it; `quarantine` refuses the requests
+that are confirmed. `test_gateway_quarantine` and `test_gateway_crash_reports` test this module.
 """
 
 from collections.abc import Callable, Collection, Sequence
@@ -12,24 +13,24 @@
 
 from ..servers.backend_server import BackendServer
 from .crash_log import Crash, CrashLog, ServerProcess, Suspect
-from .crash_reports import CrashReport, SeenCrash, seen_crash
-from .fingerprint import NamedRequest, RequestNames
+from .crash_reports import CrashReport, ObservedCrash, observed_crash
+from .fingerprint import FingerprintedRequest, Fingerprinter
 from .guilt import MAX_CRASHES, MIN_CRASHES, Judgement, judge
 
-SETTLE_S = 0.15
-"""Age from which a crash counts, in seconds: two ways between regions of 35 ms and the time in
-which a report is gathered, twice as long for safety."""
+MIN_CRASH_AGE_S = 0.15
+"""Age from which a crash counts, in seconds: two transits of 35 ms between regions and the delay of
+a batch of reports, roughly doubled for safety."""
 
-_MOST_WHAT = 100
-"""Characters of a request's method and path that operators are shown."""
+_MAX_WHAT_CHARS = 100
+"""Length of the method and path that are shown to operators, in characters."""
 
 
 class ConfirmedSuspect(NamedTuple):
-    """A request that crashes servers.
+    """A request that is confirmed to crash servers.
 
     Args:
         suspect: The request.
-        judgement: By what it is confirmed.
+        judgement: The evidence that confirms it.
     """
 
     suspect: Suspect
@@ -37,20 +38,20 @@
 
 
 class _Unjudged(NamedTuple):
-    """Crashes of a request that are to be judged: monotonic times, in seconds."""
+    """Crashes of a request that are to be evaluated: monotonic times, in seconds."""
 
     first: float
     last: float
 
 
 class Reporter(Protocol):
-    """Tells other VMs what this one sees."""
+    """Reports to other VMs what this one sees."""
 
-    def add(self, seen: SeenCrash) -> None:
+    def add(self, observed: ObservedCrash) -> None:
         """Report a crash."""
 
     def send_good_end(self, fingerprint: bytes) -> None:
-        """Report a good end."""
+        """Report a success."""
 
 
 class Suspects:
@@ -58,18 +59,18 @@
 
     Args:
         name: Name of this VM.
-        names: Names requests.
+        names: Computes the fingerprints of requests.
         monotonic: Source of time, in seconds.
-        on_evidence: Called when a request is to be judged.
+        on_evidence: Called when a request is to be evaluated.
 
     Attributes:
-        reporter: Tells other VMs; None while there are none.
+        reporter: Reports to other VMs; None while there is no other VM.
     """
 
     def __init__(
         self,
         name: str,
-        names: RequestNames,
+        names: Fingerprinter,
         monotonic: Callable[[], float],
         *,
         on_evidence: Callable[[], None],
@@ -84,94 +85,94 @@
 
     @property
     def has_unjudged(self) -> bool:
-        """True while a request is to be judged."""
+        """Whether a request is to be evaluated."""
         return bool(self._unjudged)
 
     def note_crash(
-        self, request: NamedRequest, server: BackendServer, started: float, ended: float
+        self, request: FingerprintedRequest, server: BackendServer, started: float, ended: float
     ) -> None:
-        """Note that a server's process ended while a request was there.
+        """Record that a server's process ended while it had a request.
 
         Args:
             request: The request.
             server: The server.
-            started: Monotonic time at which it was sent there, in seconds.
+            started: Monotonic time at which it was sent to the server, in seconds.
             ended: Monotonic time at which its connection ended, in seconds.
         """
-        what = f"{request.method} {request.path}"[:_MOST_WHAT]
+        what = f"{request.method} {request.path}"[:_MAX_WHAT_CHARS]
         names = self.names
         suspect = Suspect(names.fingerprint_of(request), names.target_of(request), what, started)
         backend = server.backend
         process = ServerProcess(backend.id, backend.incarnation or 0)
-        seen = SeenCrash((self.name,), process, backend.service, ended, (suspect,))
-        self._add(seen)
+        observed = ObservedCrash((self.name,), process, backend.service, ended, (suspect,))
+        self._add(observed)
         if self.reporter is not None:
-            self.reporter.add(seen)
+            self.reporter.add(observed)
 
     def on_crash_report(self, report: CrashReport, now: float) -> None:
-        """Join what another VM saw of a crash."""
-        self._add(seen_crash(report, now))
+        """Merge what another VM saw of a crash."""
+        self._add(observed_crash(report, now))
 
-    def earlier(self, seen: SeenCrash) -> list[SeenCrash]:
-        """Return the latest other crashes of the requests of a crash, each with these alone."""
+    def earlier(self, observed: ObservedCrash) -> list[ObservedCrash]:
+        """Return the latest other crashes of a crash's requests, with these alone as suspects."""
         found: dict[Crash, list[Suspect]] = {}
-        for suspect in seen.suspects:
+        for suspect in observed.suspects:
             for crash in self.log.crashes_of(suspect.fingerprint)[-MAX_CRASHES:]:
-                if not self.log.is_same(crash, seen.process, seen.at):
+                if not self.log.is_crash_of(crash, observed.process, observed.at):
                     found.setdefault(crash, []).append(crash.suspects[suspect.fingerprint])
-        return [_told(crash, suspects) for crash, suspects in found.items()]
+        return [_observation(crash, suspects) for crash, suspects in found.items()]
 
-    def judgement(self, request: NamedRequest, refused: Collection[bytes]) -> Judgement:
-        """Return how a request stands now; with no crash when it is no suspect.
+    def judgement(self, request: FingerprintedRequest, refused: Collection[bytes]) -> Judgement:
+        """Return the evidence against a request; with no crashes when it is no suspect.
 
         Args:
             request: The request.
-            refused: Requests that are refused already.
+            refused: Fingerprints of requests that are refused already.
         """
         if not self.log.crashes or not self.log.has_target(self.names.target_of(request)):
             return Judgement(0, MIN_CRASHES)
         return judge(self.log, self.names.fingerprint_of(request), refused)
 
     def confirmed(self, refused: Collection[bytes]) -> list[ConfirmedSuspect]:
-        """Return the requests that are confirmed by crashes of which all reports have come.
+        """Return the requests that are confirmed by crashes older than `MIN_CRASH_AGE_S`.
 
         Args:
-            refused: Requests that are refused already.
+            refused: Fingerprints of requests that are refused already.
         """
-        until = self.monotonic() - SETTLE_S
-        due = [name for name, crashes in self._unjudged.items() if crashes.first <= until]
+        until = self.monotonic() - MIN_CRASH_AGE_S
+        due = [key for key, crashes in self._unjudged.items() if crashes.first <= until]
         found = []
-        for name in due:
-            last = self._unjudged.pop(name).last
+        for fingerprint in due:
+            last = self._unjudged.pop(fingerprint).last
             if last > until:
-                self._unjudged[name] = _Unjudged(last, last)
-            judgement = judge(self.log, name, refused, until=until)
-            suspect = self.log.suspect(name)
+                self._unjudged[fingerprint] = _Unjudged(last, last)
+            judgement = judge(self.log, fingerprint, refused, until=until)
+            suspect = self.log.suspect(fingerprint)
             if suspect is not None and judgement.must_refuse:
                 found.append(ConfirmedSuspect(suspect, judgement))
         return found
 
-    def settles_in_s(self) -> Optional[float]:
-        """Return the time until a request is to be judged, in seconds; None when none is."""
+    def next_judgement_in_s(self) -> Optional[float]:
+        """Return the time until the next evaluation, in seconds; None when none is due."""
         if not self._unjudged:
             return None
         first = min(crashes.first for crashes in self._unjudged.values())
-        return max(0.0, first + SETTLE_S - self.monotonic())
-
-    def _add(self, seen: SeenCrash) -> None:
-        """Join a crash, and have its requests judged once other VMs' reports have come."""
-        suspects = {suspect.fingerprint: suspect for suspect in seen.suspects}
-        self.log.add(seen.process, seen.service, seen.at, suspects, seen.seen_by)
-        for name in suspects:
-            if self.log.crash_count(name) < MIN_CRASHES:
+        return max(0.0, first + MIN_CRASH_AGE_S - self.monotonic())
+
+    def _add(self, observed: ObservedCrash) -> None:
+        """Merge a crash, and have its requests evaluated once the reports of other VMs are in."""
+        suspects = {suspect.fingerprint: suspect for suspect in observed.suspects}
+        self.log.add(observed.process, observed.service, observed.at, suspects, observed.seen_by)
+        for fingerprint in suspects:
+            if self.log.crash_count(fingerprint) < MIN_CRASHES:
                 continue
-            before = self._unjudged.get(name, _Unjudged(seen.at, seen.at))
-            first, last = min(before.first, seen.at), max(before.last, seen.at)
-            self._unjudged[name] = _Unjudged(first, last)
+            before = self._unjudged.get(fingerprint, _Unjudged(observed.at, observed.at))
+            first, last = min(before.first, observed.at), max(before.last, observed.at)
+            self._unjudged[fingerprint] = _Unjudged(first, last)
             self.on_evidence()
 
 
-def _told(crash: Crash, suspects: Sequence[Suspect]) -> SeenCrash:
-    """Return what is told of a crash and some of the requests that were there."""
+def _observation(crash: Crash, suspects: Sequence[Suspect]) -> ObservedCrash:
+    """Return the report of a crash, with some of its suspects."""
     seen_by = tuple(sorted(crash.seen_by))
-    return SeenCrash(seen_by, crash.process, crash.service, crash.at, tuple(suspects))
+    return ObservedCrash(seen_by, crash.process, crash.service, crash.at, tuple(suspects))
--- a/tests/test_gateway_crash_reports.py
+++ b/tests/test_gateway_crash_reports.py
@@ -1,7 +1,7 @@
-"""How fast and at which cost all VMs of a fleet know of a request that crashes servers.
+"""How fast all VMs of a fleet know of a request that crashes servers, and at which network cost.
 
-The parts that tell and judge it, on virtual links between three regions; without heartbeats, store
-and servers, so that a fleet of 300 takes seconds.
+Only the parts that report and evaluate crashes run, on virtual links between three regions, without
+heartbeats, store and servers, so that a fleet of 300 VMs takes seconds.
 """
 
 import random
@@ -14,8 +14,8 @@
     CrashReport,
     CrashReporter,
     GoodEndReport,
-    SeenCrash,
-    seen_crash,
+    ObservedCrash,
+    observed_crash,
 )
 from sprucewinch.gateway.crashes.quarantine import Quarantine
 from sprucewinch.gateway.datagrams import Datagrams
@@ -33,21 +33,21 @@
 SIZES = (12, 195, 300)
 NEAR_S, FAR_S = 0.001, 0.035
 CONTACT_S = 3.0
-"""Time in which all VMs have to know, in seconds."""
+"""Time within which all VMs have to know, in seconds."""
 
 CONTROL_BYTES_PER_S = 11_000
-"""What a VM may spend on control, in bytes a second: the users' target."""
+"""Control traffic that a VM may receive, in bytes a second: the users' target."""
 
 _WITNESSES = 6
 _CRASH_PAUSE_S = 0.2
 
 
-class Found(NamedTuple):
-    """What a fleet did.
+class Measurement(NamedTuple):
+    """Measurements of one fleet.
 
     Args:
         known_s: Time from the third crash until the last VM refuses the request, in seconds.
-        bytes_a_vm: Bytes of messages that a VM received on the mean, for each crash.
+        bytes_a_vm: Mean bytes of messages that a VM received for each crash.
     """
 
     known_s: float
@@ -55,7 +55,7 @@
 
 
 class Vm:
-    """One VM's parts that know of crashes."""
+    """The parts of one VM that handle crashes."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
         self.fleet = fleet
@@ -106,7 +106,7 @@
             self.world.say(f"members/{vm.name}", member)
 
     def deliver(self, sender: Vm, data: bytes, address: str) -> None:
-        """Bring a datagram to its VM over the link between the regions."""
+        """Deliver a datagram to its VM over the link between the regions."""
         vm = self.by_address[address]
         self.received += len(data)
         if self.rng.random() >= self.lose_part:
@@ -120,23 +120,23 @@
         return ClientRequest("q", "GET", "a", target, target, (), b"", now, now + 2.5)
 
     async def crash(self, number: int) -> None:
-        """Let a server crash under the sick request and others, at VMs of all regions."""
+        """Crash a server under the crashing request and others, at VMs of all regions."""
         backend = BackendEntry(f"i-{number}", "rates", "10.0.0.1:80", "h", 6)
         ended = self.loop.time()
         first = number * _WITNESSES
         for offset in range(_WITNESSES):
             vm = self.vms[(first + offset) % len(self.vms)]
-            sick = offset == 0
-            request = self.request() if sick else self.request(f"/rates/{number}-{offset}")
+            is_crashing = offset == 0
+            request = self.request() if is_crashing else self.request(f"/rates/{number}-{offset}")
             vm.quarantine.note_crash(request, BackendServer(backend), ended - 0.1, ended)
         await pass_time(_CRASH_PAUSE_S)
 
     def refusing(self) -> int:
-        """Return how many VMs refuse the sick request now."""
+        """Return how many VMs refuse the crashing request now."""
         return sum(vm.quarantine.refusal(self.request()) is not None for vm in self.vms)
 
 
-async def _known(loop: VirtualLoop, size: int, lose_part: float) -> Found:
+async def _known(loop: VirtualLoop, size: int, lose_part: float) -> Measurement:
     fleet = Fleet(loop, size, lose_part=lose_part)
     for number in range(3):
         third = loop.time()
@@ -145,25 +145,25 @@
         await pass_time(0.01)
     known_s = loop.time() - third
     await pass_time(3.0)
-    return Found(known_s, fleet.received / size / 3)
+    return Measurement(known_s, fleet.received / size / 3)
 
 
 class Fleets(unittest.TestCase):
-    def test_the_last_vm_knows_far_sooner_than_it_has_to(self) -> None:
+    def test_the_last_vm_knows_well_within_the_time_limit(self) -> None:
         for size in SIZES:
             for lose_part in (0.0, 0.1):
                 with self.subTest(size=size, lose_part=lose_part):
                     found = run_virtual(lambda loop, n=size, p=lose_part: _known(loop, n, p))
                     self.assertLess(found.known_s, CONTACT_S / 2)
 
-    def test_what_a_crash_costs_a_vm_does_not_grow_with_the_fleet(self) -> None:
+    def test_the_cost_of_a_crash_for_a_vm_does_not_grow_with_the_fleet(self) -> None:
         costs = [run_virtual(lambda loop, n=n: _known(loop, n, 0.0)).bytes_a_vm for n in SIZES]
         self.assertLess(max(costs), 1.2 * costs[0])
         self.assertLess(max(costs), CONTROL_BYTES_PER_S / 4)
 
 
 class Messages(unittest.TestCase):
-    def test_a_crash_comes_back_from_its_message_in_this_vms_time(self) -> None:
+    def test_a_crash_is_decoded_from_its_message_in_this_vms_time(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = Fleet(loop, 3)
             await fleet.crash(1)
@@ -189,9 +189,9 @@
         run_virtual(main)
         self.assertEqual(len(sent), 4)
         self.assertLess(max(map(len, sent)), 1472)
-        told = [msgspec.msgpack.decode(data, type=CrashReport) for data in sent]
-        self.assertEqual(sum(len(report.suspects) for report in told), 32)
-        self.assertIsInstance(seen_crash(told[0], 1000.0), SeenCrash)
+        reports = [msgspec.msgpack.decode(data, type=CrashReport) for data in sent]
+        self.assertEqual(sum(len(report.suspects) for report in reports), 32)
+        self.assertIsInstance(observed_crash(reports[0], 1000.0), ObservedCrash)
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_guilt.py
+++ b/tests/test_gateway_guilt.py
@@ -250,7 +250,7 @@
                 Run(b"%04d%012d" % (number, each), number / 10, "vm0") for each in range(40)
             )
             deliver(log, Crash(number, number / 10 + 0.05, runs))
-        self.assertEqual(len(log.crashes), crash_log._MOST_CRASHES)
+        self.assertEqual(len(log.crashes), crash_log._MAX_CRASHES)
         self.assertLessEqual(len(log._by_request), 256 * 32)
         self.assertIsNone(log.suspect(b"%04d%012d" % (0, 0)))
         self.assertEqual(min(c.at for c in log.crashes), (300 - 256) / 10 + 0.05)
--- a/tools/wrong_version_list.py
+++ b/tools/wrong_version_list.py
@@ -82,7 +82,7 @@
         "BUDGET",
         "a report does not bring a suspect's earlier crashes along",
         f"{_GATEWAY}/crashes/crash_reports.py",
-        "            earlier = self.earlier(seen)\n",
+        "            earlier = self.earlier(observed)\n",
         "            earlier = ()\n",
         ("tests.test_gateway_crash_reports.Fleets",),
     ),
