--- a/tests/crash_fleet.py
+++ b/tests/crash_fleet.py
@@ -1,7 +1,7 @@
 """Whole entry VMs on a virtual clock, and backend servers that some requests crash.
 
-All parts of each VM run as in its process, but for listeners and signals. A server that crashes
-resets its connections, refuses new ones, and is back after a while under a new id.
+All parts of each VM run as in its process, except listeners and signals. A server that crashes
+resets its connections, refuses new ones, and restarts after a while under a new id.
 """
 
 import asyncio
@@ -29,18 +29,18 @@
 from node_settings import translate  # isort: skip
 
 HALLS = {"east-a": "east", "west-a": "west", "north-a": "north"}
-SICK = "/rates/sick"
-SICK_BOOKING = "/book/sick"
-DATAGRAM_S = 0.005
+CRASHING_TARGET = "/rates/sick"
+CRASHING_BOOKING = "/book/sick"
+DATAGRAM_DELAY_S = 0.005
 CRASH_AFTER_S = 0.04
-BACK_AFTER_S = 1.5
-_LAPSE_S = 4.5
+RESTART_AFTER_S = 1.5
+_ENTRY_EXPIRY_S = 4.5
 _STORE = "10.9.0.1:80"
-_GOODS = 40
+_OBJECTS = 40
 
 
 class Sent(NamedTuple):
-    """One arrival of a request at a backend server, and when."""
+    """One arrival of a request at a backend server, at a time of the loop in seconds."""
 
     at: float
     server_id: str
@@ -90,7 +90,7 @@
 
     @property
     def store_view(self) -> Any:
-        """What it holds of the store; `_Deltas` gives it to other VMs."""
+        """What this VM holds of the store; `_Deltas` serves it to other VMs."""
         return self.gateway.state.view
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
@@ -98,13 +98,13 @@
         self.fleet.deliver(self, data, f"{address[0]}:{address[1]}")
 
     def kill(self) -> None:
-        """End it at once."""
+        """Stop this VM at once."""
         for task in self.gateway._tasks:
             task.cancel()
         self.loop.listeners.pop(self.address, None)
 
     def rows(self, event: str) -> list[dict[str, Any]]:
-        """Return its log lines of an event."""
+        """Return the log lines of an event, decoded."""
         rows = [json.loads(line) for line in self.lines]
         return [row for row in rows if row["event"] == event]
 
@@ -133,12 +133,12 @@
         self._ids = itertools.count()
         self.servers: dict[str, ScriptedServer] = {}
         self.addresses: dict[str, str] = {}
-        self.sick: set[str] = {SICK, SICK_BOOKING}
+        self.crashing_targets: set[str] = {CRASHING_TARGET, CRASHING_BOOKING}
         self.sent: dict[str, list[Sent]] = {}
         self.crashes: dict[str, list[float]] = {}
         self.asked: dict[str, str] = {}
         self.bytes_sent: Counter[str] = Counter()
-        self.lose_part = 0.0
+        self.loss_ratio = 0.0
         self.cut: set[str] = set()
         for number in range(servers):
             self._serve(f"10.0.0.{number + 1}:80", list(HALLS)[number % len(HALLS)])
@@ -153,18 +153,18 @@
         return self
 
     def deliver(self, sender: CrashVm, data: bytes, address: str) -> None:
-        """Bring a datagram to its VM, unless it is lost or one of the two is cut off."""
+        """Deliver a datagram to its VM, unless it is lost or one of the two VMs is cut off."""
         self.bytes_sent[sender.name] += len(data)
         vm = self.by_address.get(address)
         if vm is None or {vm.name, sender.name} & self.cut:
             return
-        if self.rng.random() >= self.lose_part:
+        if self.rng.random() >= self.loss_ratio:
             peer = (sender.address.split(":")[0], 7540)
             receive = vm.gateway.fleet.datagrams.datagram_received
-            self.loop.call_later(DATAGRAM_S, receive, data, peer)
+            self.loop.call_later(DATAGRAM_DELAY_S, receive, data, peer)
 
     def restart_all(self) -> None:
-        """Kill all VMs at once and start them again, with nothing but the store."""
+        """Kill all VMs at once and start them again; only the store survives."""
         for vm in self.vms:
             vm.kill()
         self.vms = [CrashVm(self, number) for number in range(len(self.vms))]
@@ -179,14 +179,14 @@
     async def ask(
         self, number: int, target: str, *, key: str = "lane-1", method: str = "GET"
     ) -> Reply:
-        """Send a request to a VM and return its final answer."""
+        """Send a request to a VM and return the final answer."""
         vm = self.vms[number % len(self.vms)]
         request = self.request(target, key=key, method=method)
         self.asked[request.id] = vm.name
         return await vm.gateway.requests.pipeline.run(request)
 
     def request(self, target: str, *, key: str = "lane-1", method: str = "GET") -> ClientRequest:
-        """Return a request that arrives now, with an id of its own."""
+        """Return a request that arrives now, with a new id."""
         request_id = f"q{next(self._ids)}"
         now = self.loop.time()
         return ClientRequest(
@@ -203,18 +203,18 @@
         )
 
     def crash(self, server: ScriptedServer) -> None:
-        """End a server's process; another one starts at its address, and its entry goes late."""
+        """Crash a server; another starts at its address, and the store drops the old entry late."""
         address = self.addresses.pop(server.server_id, None)
         if address is None:
             return
         del self.servers[server.server_id]
         self.loop.listeners.pop(address, None)
         server.reset()
-        self.loop.call_later(BACK_AFTER_S, self._serve, address, server.hall)
-        self.loop.call_later(_LAPSE_S, self.store.remove, f"servers/{server.server_id}")
+        self.loop.call_later(RESTART_AFTER_S, self._serve, address, server.hall)
+        self.loop.call_later(_ENTRY_EXPIRY_S, self.store.remove, f"servers/{server.server_id}")
 
     def sends(self, target: str, *, after: float = float("-inf")) -> int:
-        """Return how often a request has reached a backend server after some time."""
+        """Return how often a target reached a backend server after a time, in seconds."""
         return sum(sent.at > after for sent in self.sent.get(target, ()))
 
     def _serve(self, address: str, hall: str) -> None:
@@ -238,7 +238,7 @@
     def _run(self, server: "_CrashableServer", run: Run) -> None:
         target = run.target
         self.sent.setdefault(target, []).append(Sent(self.loop.time(), server.server_id))
-        if target in self.sick:
+        if target in self.crashing_targets:
             self.loop.call_later(CRASH_AFTER_S, self._crash_under, server, target)
 
     def _crash_under(self, server: "_CrashableServer", target: str) -> None:
@@ -248,7 +248,7 @@
 
 
 class _CrashableServer(ScriptedServer):
-    """A backend server with its data hall; 0.15 s of work."""
+    """A backend server in a data hall that works 0.15 s on each request."""
 
     def __init__(self, loop: VirtualLoop, server_id: str, hall: str) -> None:
         super().__init__(loop, server_id, work_s=0.15, slots=6)
@@ -256,12 +256,12 @@
 
 
 class Callers:
-    """Ordinary callers, who ask for many objects at all VMs, and count what they get.
+    """Ordinary callers, who request many objects at all VMs and count the answers.
 
     Args:
         fleet: The fleet.
         pause_s: Time between two requests, in seconds.
-        targets: What they ask for, in turn; a different request each time by default.
+        targets: Targets that they request in turn; a different one each time by default.
     """
 
     def __init__(
@@ -275,7 +275,7 @@
         self._work: set[asyncio.Task] = set()
 
     async def run(self) -> None:
-        """Ask until cancelled; no request waits for the one before."""
+        """Send requests until cancelled; no request waits for the one before."""
         for number in itertools.count():
             target = (
                 self.targets[number % len(self.targets)] if self.targets else f"/rates/{number}"
@@ -286,13 +286,13 @@
             await asyncio.sleep(self.pause_s)
 
     async def _ask(self, number: int, target: str) -> None:
-        reply = await self.fleet.ask(number, target, key=f"lane-{number % _GOODS}")
+        reply = await self.fleet.ask(number, target, key=f"lane-{number % _OBJECTS}")
         self.asked += 1
         name = reply.refusal.value if reply.refusal else str(reply.status)
         self.answers[name] += 1
 
 
-async def repeat(
+async def send_repeatedly(
     fleet: CrashFleet, target: str, seconds: float, *, pause_s: float = 0.15, method: str = "GET"
 ) -> None:
     """Send the same request again and again, each time to another VM."""
--- a/tests/test_gateway_crash_reports.py
+++ b/tests/test_gateway_crash_reports.py
@@ -93,11 +93,11 @@
 class Fleet:
     """VMs of three regions."""
 
-    def __init__(self, loop: VirtualLoop, size: int, *, lose_part: float = 0.0) -> None:
+    def __init__(self, loop: VirtualLoop, size: int, *, loss_ratio: float = 0.0) -> None:
         self.loop = loop
         self.world = World(vms=0)
         self.rng = random.Random(size)
-        self.lose_part = lose_part
+        self.loss_ratio = loss_ratio
         self.received = 0
         self.vms = [Vm(self, number) for number in range(size)]
         self.by_address = {vm.address: vm for vm in self.vms}
@@ -109,7 +109,7 @@
         """Deliver a datagram to its VM over the link between the regions."""
         vm = self.by_address[address]
         self.received += len(data)
-        if self.rng.random() >= self.lose_part:
+        if self.rng.random() >= self.loss_ratio:
             delay_s = NEAR_S if vm.region == sender.region else FAR_S
             receive = vm.datagrams.datagram_received
             self.loop.call_later(delay_s, receive, data, (sender.address.split(":")[0], 70))
@@ -136,8 +136,8 @@
         return sum(vm.quarantine.refusal(self.request()) is not None for vm in self.vms)
 
 
-async def _known(loop: VirtualLoop, size: int, lose_part: float) -> Measurement:
-    fleet = Fleet(loop, size, lose_part=lose_part)
+async def _known(loop: VirtualLoop, size: int, loss_ratio: float) -> Measurement:
+    fleet = Fleet(loop, size, loss_ratio=loss_ratio)
     for number in range(3):
         third = loop.time()
         await fleet.crash(number)
@@ -151,9 +151,9 @@
 class Fleets(unittest.TestCase):
     def test_the_last_vm_knows_well_within_the_time_limit(self) -> None:
         for size in SIZES:
-            for lose_part in (0.0, 0.1):
-                with self.subTest(size=size, lose_part=lose_part):
-                    found = run_virtual(lambda loop, n=size, p=lose_part: _known(loop, n, p))
+            for loss_ratio in (0.0, 0.1):
+                with self.subTest(size=size, loss_ratio=loss_ratio):
+                    found = run_virtual(lambda loop, n=size, p=loss_ratio: _known(loop, n, p))
                     self.assertLess(found.known_s, CONTACT_S / 2)
 
     def test_the_cost_of_a_crash_for_a_vm_does_not_grow_with_the_fleet(self) -> None:
--- a/tests/test_gateway_quarantine.py
+++ b/tests/test_gateway_quarantine.py
@@ -13,7 +13,7 @@
 from standins.consortium_store import Fault
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .crash_fleet import SICK, SICK_BOOKING, Callers, CrashFleet, repeat
+from .crash_fleet import CRASHING_BOOKING, CRASHING_TARGET, Callers, CrashFleet, send_repeatedly
 
 _ITEMS = "sprucewinch/quarantine/"
 
@@ -32,7 +32,7 @@
 async def _refusing_fleet(loop: VirtualLoop, **options: Any) -> CrashFleet:
     """Return a fleet that refuses a crashing request and whose servers have restarted."""
     fleet = await CrashFleet(loop, **options).ready()
-    await repeat(fleet, SICK, 2.0)
+    await send_repeatedly(fleet, CRASHING_TARGET, 2.0)
     await pass_time(8.0)
     return fleet
 
@@ -49,7 +49,7 @@
             fleet = await _refusing_fleet(loop)
             for number in range(4):
                 started = loop.time()
-                reply = await fleet.ask(number, SICK)
+                reply = await fleet.ask(number, CRASHING_TARGET)
                 self.assertEqual(loop.time(), started)
                 self.assertEqual(reply.status, 503)
                 self.assertIs(reply.refusal, RefusalReason.CRASHES_SERVERS)
@@ -60,20 +60,22 @@
     def test_no_other_request_is_refused_for_it(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _refusing_fleet(loop)
-            fleet.sick.clear()
-            self.assertEqual((await fleet.ask(0, SICK, key="another-caller")).status, 200)
-            self.assertEqual((await fleet.ask(0, SICK + "?q=2")).status, 200)
-            self.assertEqual((await fleet.ask(0, SICK, method="POST")).status, 200)
-            self.assertEqual((await fleet.ask(0, SICK)).status, 503)
+            fleet.crashing_targets.clear()
+            self.assertEqual(
+                (await fleet.ask(0, CRASHING_TARGET, key="another-caller")).status, 200
+            )
+            self.assertEqual((await fleet.ask(0, CRASHING_TARGET + "?q=2")).status, 200)
+            self.assertEqual((await fleet.ask(0, CRASHING_TARGET, method="POST")).status, 200)
+            self.assertEqual((await fleet.ask(0, CRASHING_TARGET)).status, 503)
 
         self.run_fleet(main)
 
     def test_one_request_crashes_two_servers_at_most(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
-            reply = await fleet.ask(0, SICK)
+            reply = await fleet.ask(0, CRASHING_TARGET)
             self.assertEqual(reply.status, 502)
-            self.assertEqual(fleet.sends(SICK), 2)
+            self.assertEqual(fleet.sends(CRASHING_TARGET), 2)
 
         self.run_fleet(main)
 
@@ -82,15 +84,15 @@
 
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
-            await fleet.ask(0, SICK)
+            await fleet.ask(0, CRASHING_TARGET)
             rule = fleet.vms[0].gateway.crashes.quarantine
-            before = rule.judgement(fleet.request(SICK))
-            nameless = fleet.request(SICK)
+            before = rule.judgement(fleet.request(CRASHING_TARGET))
+            nameless = fleet.request(CRASHING_TARGET)
             nameless.id, nameless.headers = "", nameless.headers[1:]
             reply = await fleet.vms[0].gateway.requests.pipeline.run(nameless)
             self.assertEqual(reply.status, 400)
             self.assertEqual(before.crashes, 2)
-            self.assertEqual(rule.judgement(fleet.request(SICK)), before)
+            self.assertEqual(rule.judgement(fleet.request(CRASHING_TARGET)), before)
 
         self.run_fleet(main)
 
@@ -99,9 +101,9 @@
             fleet = await CrashFleet(loop).ready()
             for listener in loop.listeners.values():
                 listener.late_s = 0.3
-            late = asyncio.create_task(fleet.ask(3, SICK))
+            late = asyncio.create_task(fleet.ask(3, CRASHING_TARGET))
             await pass_time(0.01)
-            request = fleet.request(SICK)
+            request = fleet.request(CRASHING_TARGET)
             rule = fleet.vms[3].gateway.crashes.quarantine
             log = fleet.vms[0].gateway.crashes.quarantine
             for listener in loop.listeners.values():
@@ -112,7 +114,7 @@
                 log.note_crash(request, server, ended - 0.05, ended)
             self.assertEqual((await late).status, 503)
             self.assertEqual(len(rule.held), 1)
-            self.assertEqual(fleet.sends(SICK), 0)
+            self.assertEqual(fleet.sends(CRASHING_TARGET), 0)
 
         self.run_fleet(main)
 
@@ -135,38 +137,40 @@
     def test_an_operator_releases_it_at_all_vms(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _refusing_fleet(loop)
-            fleet.sick.clear()
+            fleet.crashing_targets.clear()
             for key in _items(fleet):
                 fleet.store.remove(key)
             await pass_time(2.0)
             self.assertEqual(_held(fleet), [0, 0, 0, 0])
-            self.assertEqual([(await fleet.ask(n, SICK)).status for n in range(4)], [200] * 4)
+            self.assertEqual(
+                [(await fleet.ask(n, CRASHING_TARGET)).status for n in range(4)], [200] * 4
+            )
 
         self.run_fleet(main)
 
     def test_it_is_tried_once_in_the_fleet_and_released_when_it_succeeds(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _refusing_fleet(loop)
-            fleet.sick.clear()
-            sent = fleet.sends(SICK)
+            fleet.crashing_targets.clear()
+            sent = fleet.sends(CRASHING_TARGET)
             await pass_time(TRIAL_DELAYS_S[0])
-            replies = await asyncio.gather(*(fleet.ask(n, SICK) for n in range(12)))
+            replies = await asyncio.gather(*(fleet.ask(n, CRASHING_TARGET) for n in range(12)))
             self.assertEqual(sorted(reply.status for reply in replies), [200] + [503] * 11)
-            self.assertEqual(fleet.sends(SICK), sent + 1)
+            self.assertEqual(fleet.sends(CRASHING_TARGET), sent + 1)
             await pass_time(2.0)
             self.assertEqual((_held(fleet), _items(fleet)), ([0, 0, 0, 0], []))
-            self.assertEqual((await fleet.ask(1, SICK)).status, 200)
+            self.assertEqual((await fleet.ask(1, CRASHING_TARGET)).status, 200)
 
         self.run_fleet(main)
 
     def test_a_trial_that_fails_crashes_one_server_and_the_next_one_is_later(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await _refusing_fleet(loop)
-            crashes = len(fleet.crashes[SICK])
+            crashes = len(fleet.crashes[CRASHING_TARGET])
             await pass_time(TRIAL_DELAYS_S[0])
-            await repeat(fleet, SICK, 5.0)
-            self.assertEqual(len(fleet.crashes[SICK]), crashes + 1)
-            reply = await fleet.ask(0, SICK)
+            await send_repeatedly(fleet, CRASHING_TARGET, 5.0)
+            self.assertEqual(len(fleet.crashes[CRASHING_TARGET]), crashes + 1)
+            reply = await fleet.ask(0, CRASHING_TARGET)
             self.assertAlmostEqual(reply.retry_after_s or 0, TRIAL_DELAYS_S[1], delta=10)
 
         self.run_fleet(main)
@@ -176,14 +180,14 @@
             fleet = await _refusing_fleet(loop)
             for hold_s in TRIAL_DELAYS_S:
                 await pass_time(hold_s + 20)
-                await repeat(fleet, SICK, 1.0)
+                await send_repeatedly(fleet, CRASHING_TARGET, 1.0)
             await pass_time(TRIAL_DELAYS_S[-1])
-            sent = fleet.sends(SICK)
-            reply = await fleet.ask(0, SICK)
+            sent = fleet.sends(CRASHING_TARGET)
+            reply = await fleet.ask(0, CRASHING_TARGET)
             self.assertEqual((reply.status, reply.retry_after_s), (503, NO_TRIAL_RETRY_AFTER_S))
-            self.assertEqual(fleet.sends(SICK), sent)
-            third = sorted(fleet.crashes[SICK])[2]
-            self.assertLessEqual(fleet.sends(SICK, after=third + 3.0), 3)
+            self.assertEqual(fleet.sends(CRASHING_TARGET), sent)
+            third = sorted(fleet.crashes[CRASHING_TARGET])[2]
+            self.assertLessEqual(fleet.sends(CRASHING_TARGET, after=third + 3.0), 3)
 
         self.run_fleet(main)
 
@@ -191,12 +195,12 @@
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             fleet.store.fault = Fault.SILENT
-            await repeat(fleet, SICK, 2.0)
-            sent = fleet.sends(SICK)
+            await send_repeatedly(fleet, CRASHING_TARGET, 2.0)
+            sent = fleet.sends(CRASHING_TARGET)
             self.assertEqual((_held(fleet), _items(fleet)), ([1, 1, 1, 1], []))
             await pass_time(TRIAL_DELAYS_S[0])
-            self.assertEqual((await fleet.ask(2, SICK)).status, 503)
-            self.assertEqual(fleet.sends(SICK), sent)
+            self.assertEqual((await fleet.ask(2, CRASHING_TARGET)).status, 503)
+            self.assertEqual(fleet.sends(CRASHING_TARGET), sent)
             fleet.store.fault = Fault.NONE
             await pass_time(10.0)
             self.assertEqual(len(_items(fleet)), 1)
@@ -207,11 +211,11 @@
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             fleet.store.fault = Fault.SILENT
-            await repeat(fleet, SICK, 2.0)
-            fleet.sick.clear()
-            self.assertEqual((await fleet.ask(1, SICK)).status, 503)
+            await send_repeatedly(fleet, CRASHING_TARGET, 2.0)
+            fleet.crashing_targets.clear()
+            self.assertEqual((await fleet.ask(1, CRASHING_TARGET)).status, 503)
             await pass_time(held.UNSTORED_REFUSAL_S)
-            self.assertEqual((await fleet.ask(1, SICK)).status, 200)
+            self.assertEqual((await fleet.ask(1, CRASHING_TARGET)).status, 200)
 
         with mock.patch.object(held, "UNSTORED_REFUSAL_S", 60.0):
             self.run_fleet(main)
@@ -225,10 +229,10 @@
 
     async def _lossy(self, loop: VirtualLoop, seed: int) -> None:
         fleet = await CrashFleet(loop, vms=12, servers=20, seed=seed).ready()
-        fleet.lose_part = 0.1
-        await repeat(fleet, SICK, 4.0, pause_s=0.3)
-        third = sorted(fleet.crashes[SICK])[2]
-        self.assertLessEqual(fleet.sends(SICK, after=third + 1.0), 0)
+        fleet.loss_ratio = 0.1
+        await send_repeatedly(fleet, CRASHING_TARGET, 4.0, pause_s=0.3)
+        third = sorted(fleet.crashes[CRASHING_TARGET])[2]
+        self.assertLessEqual(fleet.sends(CRASHING_TARGET, after=third + 1.0), 0)
 
     def test_a_vm_without_other_vms_learns_it_from_the_store(self) -> None:
         async def main(loop: VirtualLoop) -> None:
@@ -236,9 +240,9 @@
             fleet.cut.add("vm3")
             loop.listeners[fleet.vms[3].address].silent = True
             for number in (0, 1, 0, 1):
-                await fleet.ask(number, SICK)
+                await fleet.ask(number, CRASHING_TARGET)
             await pass_time(3.0)
-            self.assertEqual((await fleet.ask(3, SICK)).status, 503)
+            self.assertEqual((await fleet.ask(3, CRASHING_TARGET)).status, 503)
 
         self.run_fleet(main)
 
@@ -248,7 +252,7 @@
             fleet.restart(2)
             while not fleet.vms[2].gateway.ready():
                 await pass_time(0.001)
-            self.assertEqual((await fleet.ask(2, SICK)).status, 503)
+            self.assertEqual((await fleet.ask(2, CRASHING_TARGET)).status, 503)
 
         self.run_fleet(main)
 
@@ -295,8 +299,8 @@
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             targets = [f"/rates/{n}" for n in range(3)]
-            work = [asyncio.create_task(_same_object(fleet, target)) for target in targets]
-            await repeat(fleet, SICK, 5.0)
+            work = [asyncio.create_task(_served_ratio(fleet, target)) for target in targets]
+            await send_repeatedly(fleet, CRASHING_TARGET, 5.0)
             served = [await task for task in work]
             self.assertEqual(_held(fleet), [1, 1, 1, 1])
             self.assertGreaterEqual(min(served), 0.95)
@@ -308,7 +312,7 @@
             fleet = await CrashFleet(loop, vms=2).ready()
             rule = fleet.vms[0].gateway.crashes.quarantine
             for number in range(quarantine.MAX_QUARANTINED + 40):
-                request = fleet.request(f"{SICK_BOOKING}{number}")
+                request = fleet.request(f"{CRASHING_BOOKING}{number}")
                 for each in range(5):
                     at = loop.time() + each
                     server = _Server(f"gone-{number}-{each}")
@@ -320,8 +324,8 @@
         self.run_fleet(main)
 
 
-async def _same_object(fleet: CrashFleet, target: str) -> float:
-    """Send a request for the crashing one's object for 5 s; return the fraction served."""
+async def _served_ratio(fleet: CrashFleet, target: str) -> float:
+    """Send a request for the crashing one's object for 5 s; return the ratio served."""
     answers = []
     for number in range(50):
         answers.append((await fleet.ask(number, target)).status)
