--- a/sprucewinch/gateway/quotas/exchange.py
+++ b/sprucewinch/gateway/quotas/exchange.py
@@ -1,8 +1,8 @@
 """Asks the owners of parts of quotas, and answers for the parts of this VM.
 
-Owns the messages `QuotaAsk`, `HallQuotaAsk`, `QuotaAnswer`, `QuotaReturn` and the asks under way.
-What an answer gives that comes too late is not used. Relies on `parts` for what this VM gives and
-on `datagrams`.
+This module owns the messages `QuotaAsk`, `HallQuotaAsk`, `QuotaAnswer` and `QuotaReturn`, and the
+asks in progress. What a late answer grants is not used. It relies on `parts` for what this VM
+grants and on `datagrams`.
 """
 
 import asyncio
@@ -22,16 +22,16 @@
 _MS_PER_S = 1000
 """Milliseconds in a second; times in messages are in milliseconds."""
 
-_NOT_OWNER = -1
-"""Time in an answer of a VM that holds no part of the workspace's limit, in milliseconds."""
+_NOT_OWNER_MS = -1
+"""Value of `QuotaAnswer.wait_ms` when the sender holds no part of the quota."""
 
 
 class QuotaAsk(msgspec.Struct, array_like=True, frozen=True, tag="quota-ask"):
     """A VM asks for requests of a workspace; its tag on the wire is `quota-ask`.
 
     Args:
-        number: Names the ask at its sender.
-        workspace: The workspace.
+        number: Identifies the ask at its sender.
+        workspace: Name of the workspace.
         count: Requests that it asks for.
     """
 
@@ -41,14 +41,14 @@
 
 
 class HallQuotaAsk(msgspec.Struct, array_like=True, frozen=True, tag="hall-quota-ask"):
-    """A VM asks for requests of a quota that one data hall's VMs keep.
+    """A VM asks for requests of a quota that the VMs of one data hall keep.
 
-    It says all that the owner has to know, which may never have heard of the quota. Its tag on the
-    wire is `hall-quota-ask`.
+    It states everything that the owner needs, which may not know the quota. Its tag on the wire is
+    `hall-quota-ask`.
 
     Args:
-        number: Names the ask at its sender.
-        name: Names the quota.
+        number: Identifies the ask at its sender.
+        name: Name of the quota.
         count: Requests that it asks for.
         rate_per_s: Requests a second that the quota allows.
         hall: The data hall.
@@ -65,10 +65,10 @@
     """The answer to an ask; its tag on the wire is `quota-answer`.
 
     Args:
-        number: Names the ask.
+        number: Identifies the ask.
         count: Requests that the asker may send.
-        wait_ms: When it may ask again if it got none, in milliseconds; `_NOT_OWNER` when the sender
-            holds no part of the quota.
+        wait_ms: Time until it may ask again when it got none, in milliseconds; `_NOT_OWNER_MS` when
+            the sender holds no part of the quota.
     """
 
     number: int
@@ -77,11 +77,11 @@
 
 
 class QuotaReturn(msgspec.Struct, array_like=True, frozen=True, tag="quota-return"):
-    """A VM gives back what it did not use; its tag on the wire is `quota-return`.
+    """A VM returns what it did not use; its tag on the wire is `quota-return`.
 
     Args:
-        workspace: The workspace.
-        count: Requests.
+        workspace: Name of the quota.
+        count: Requests that it returns.
     """
 
     workspace: str
@@ -89,12 +89,12 @@
 
 
 class QuotaExchange:
-    """Asks owners for requests.
+    """Asks owners for requests, and answers asks of other VMs.
 
     Args:
         parts: The parts that this VM holds.
-        quota_of: Returns the quota of a workspace's name; None when the configuration has none.
-        store_view: Addresses of other VMs.
+        quota_of: Returns the quota of a workspace by name; None when the configuration has none.
+        store_view: Holds the addresses of other VMs.
         datagrams: The endpoint between VMs.
         timing: Sources of time and randomness.
         name: Name of this VM.
@@ -118,43 +118,43 @@
         self.name = name
         self.asked = 0
         self._number = 0
-        self._asks: dict[int, asyncio.Future[QuotaAnswer]] = {}
+        self._pending: dict[int, asyncio.Future[QuotaAnswer]] = {}
         datagrams.register(QuotaAsk, self._on_ask)
         datagrams.register(HallQuotaAsk, self._on_hall_ask)
         datagrams.register(QuotaAnswer, self._on_answer)
         datagrams.register(QuotaReturn, self._on_return)
 
     async def ask(
-        self, owner: Owner, quota: Quota, count: int, longest_s: float
+        self, owner: Owner, quota: Quota, count: int, timeout_s: float
     ) -> Optional[Grant]:
         """Ask an owner for requests.
 
         Args:
-            owner: The owner; this VM itself is asked at once.
+            owner: The owner; no message is sent when it is this VM itself.
             quota: The quota.
-            count: How many.
-            longest_s: Longest time for its answer, in seconds.
+            count: Requests that are asked for.
+            timeout_s: Longest wait for its answer, in seconds.
 
         Returns:
-            What it gives; None when it holds no part, or gave no answer in time.
+            Its answer; None when it holds no part, or did not answer in time.
         """
         if owner.name == self.name:
             return self.parts.give(quota, count, self.timing.monotonic())
         member = self.store_view.members.get(owner.name)
         if member is None:
             return None
-        answer = await self._exchange(member, quota, count, longest_s)
-        if answer is None or answer.wait_ms == _NOT_OWNER:
+        answer = await self._exchange(member, quota, count, timeout_s)
+        if answer is None or answer.wait_ms == _NOT_OWNER_MS:
             return None
         return Grant(answer.count, answer.wait_ms / _MS_PER_S)
 
     def give_back(self, owner: Owner, name: str, count: int) -> None:
-        """Give an owner back what was not used; a lost message loses it.
+        """Return to an owner what was not used; it is lost when the message is.
 
         Args:
-            owner: Who gave it.
+            owner: The owner that granted it.
             name: Name of the quota.
-            count: Requests.
+            count: Requests that were not used.
         """
         if owner.name == self.name:
             self.parts.take_back(name, count, self.timing.monotonic())
@@ -167,21 +167,21 @@
         self.parts.take_back(message.workspace, message.count, now)
 
     async def _exchange(
-        self, member: Member, quota: Quota, count: int, longest_s: float
+        self, member: Member, quota: Quota, count: int, timeout_s: float
     ) -> Optional[QuotaAnswer]:
         self._number += 1
         number = self._number
         self.asked += 1
-        future = self._asks[number] = asyncio.get_running_loop().create_future()
-        self.datagrams.send(_ask_for(quota, number, count), (member.peer_address,))
+        future = self._pending[number] = asyncio.get_running_loop().create_future()
+        self.datagrams.send(_ask_message(quota, number, count), (member.peer_address,))
         try:
-            async with asyncio.timeout(longest_s):
+            async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError:
-            # The caller leaves this owner alone for a while and asks the next one.
+            # The caller of this method asks the next owner, and this one not again for a while.
             return None
         finally:
-            del self._asks[number]
+            del self._pending[number]
 
     def _on_ask(self, ask: QuotaAsk, now: float) -> None:
         self._reply(ask.number, self.quota_of(ask.workspace), ask.count, now)
@@ -193,19 +193,19 @@
         sender = self.datagrams.last_sender
         grant = self.parts.give(quota, count, now) if quota else None
         if grant is None:
-            answer = QuotaAnswer(number, 0, _NOT_OWNER)
+            answer = QuotaAnswer(number, 0, _NOT_OWNER_MS)
         else:
             answer = QuotaAnswer(number, grant.count, int(grant.wait_s * _MS_PER_S))
         if sender is not None:
             self.datagrams.send(answer, (sender,))
 
     def _on_answer(self, answer: QuotaAnswer, _now: float) -> None:
-        asked = self._asks.get(answer.number)
+        asked = self._pending.get(answer.number)
         if asked is not None and not asked.done():
             asked.set_result(answer)
 
 
-def _ask_for(quota: Quota, number: int, count: int) -> QuotaAsk | HallQuotaAsk:
+def _ask_message(quota: Quota, number: int, count: int) -> QuotaAsk | HallQuotaAsk:
     """Return the message that asks for requests of a quota."""
     if not quota.hall:
         return QuotaAsk(number, quota.name, count)
--- a/sprucewinch/gateway/quotas/leases.py
+++ b/sprucewinch/gateway/quotas/leases.py
@@ -1,16 +1,17 @@
-"""Rule: what a VM may send of a quota now, and whom it asks for more.
+"""Decides what a VM may send of a quota now, and which owners it asks for more.
 
-Question: may this request be sent, and if not, which owner of a part is asked next? Inputs: the
-requests that owners gave to this VM and until when, the owners with the data hall and region of
-each, which of them had nothing left and until when, time in monotonic seconds.
+The inputs are the requests that owners granted to this VM and until when they are valid, the owners
+with their data halls and regions, which of them had nothing left and until when, and monotonic time
+in seconds.
 
-Rule: what was given is used first. Else the owner of this VM's own hall is asked, then those of its
-region, then one of another region at random, then all others at once. One after the other they
-would take longer than a request's target allows; all at once they would give more than is used. An
-owner that had nothing is left alone for the time that it stated. As many are asked for as this VM
-is likely to send within `HOLD_S`; what is not used by then is given back.
+Granted requests are used first. Then the owner in this VM's own data hall is asked, then those of
+its region, then one of another region at random, then all others at once. Asking all of them one
+after the other would take longer than the target of a request allows; asking all at once would
+grant more than is used. An owner that had nothing left is not asked for the time that it stated. A
+VM asks for as many requests as it is likely to send within `GRANT_VALID_S`, at most `_MAX_ASKED`,
+and returns what it has not used by then. It estimates its rate over `_RATE_WINDOW_S`.
 
-Constants: `_MOST_ASKED`, `_RATE_WINDOW_S`. Tests: tests/test_gateway_quota.py.
+tests/test_gateway_quota.py tests this module.
 """
 
 import random
@@ -19,21 +20,21 @@
 from typing import Optional
 
 from ...retry import ReturnSchedule
-from .bucket import HOLD_S, RETURN_S
+from .bucket import GRANT_RETURNABLE_S, GRANT_VALID_S
 from .owners import Owner
 
-_MOST_ASKED = 64
-"""Most requests that are asked for at once."""
+_MAX_ASKED = 64
+"""Requests that are asked for at once."""
 
 _RATE_WINDOW_S = 1.0
-"""Time over which a VM counts what it sends of a workspace, in seconds."""
+"""Time over which a VM counts the requests of a quota, in seconds."""
 
 
-class Given:
+class LeaseGrant:
     """One grant of an owner.
 
     Args:
-        owner: Who gave it.
+        owner: The owner that granted it.
         count: Requests left of it.
         at: Monotonic time at which it was asked for, in seconds.
     """
@@ -46,21 +47,22 @@
         self.at = at
 
     def usable(self, now: float) -> bool:
-        """Return whether a request of it may be sent."""
-        return self.count > 0 and now < self.at + HOLD_S
+        """Return whether a request of this grant may be sent."""
+        return self.count > 0 and now < self.at + GRANT_VALID_S
 
     def returnable(self, now: float) -> bool:
-        """Return whether what is left of it may be given back."""
-        return self.count > 0 and now < self.at + RETURN_S
+        """Return whether the rest of this grant may be returned to its owner."""
+        return self.count > 0 and now < self.at + GRANT_RETURNABLE_S
 
 
 class QuotaLease:
     """What one VM holds of one quota.
 
     Attributes:
-        given: Grants of which something is left, the oldest first.
-        dry_until: Monotonic time until which the owner of a hall's part is not asked.
-        returns: Gives refused callers their times to return.
+        given: Grants with requests left, the oldest first.
+        dry_until: Monotonic time until which the owner of a hall's part is not asked, by hall, in
+            seconds.
+        returns: Assigns refused callers the times at which to retry.
     """
 
     __slots__ = ("_sent", "_used", "dry_until", "given", "returns")
@@ -68,75 +70,75 @@
     def __init__(self, returns: ReturnSchedule) -> None:
         self.returns = returns
         self._used: deque[float] = deque()
-        self.given: deque[Given] = deque()
+        self.given: deque[LeaseGrant] = deque()
         self.dry_until: dict[str, float] = {}
         self._sent: deque[float] = deque()
 
     def arrived(self, now: float) -> None:
-        """Count a request that a caller sends."""
+        """Count a request that a caller sends, at a monotonic time in seconds."""
         self._sent.append(now)
-        _drop_old(self._sent, now)
+        _drop_expired(self._sent, now)
 
-    def use(self, now: float) -> Optional[Given]:
-        """Use one request that was given.
+    def use(self, now: float) -> Optional[LeaseGrant]:
+        """Use one granted request.
 
         Returns:
-            One request of the grant that it is of; None when none is left.
+            The request, as a grant of one; None when none is left.
         """
         for grant in self.given:
             if grant.usable(now):
                 grant.count -= 1
                 self._used.append(now)
-                _drop_old(self._used, now)
-                return Given(grant.owner, 1, grant.at)
+                _drop_expired(self._used, now)
+                return LeaseGrant(grant.owner, 1, grant.at)
         return None
 
-    def add(self, grant: Given) -> None:
-        """Hold requests that were given, or given back."""
+    def add(self, grant: LeaseGrant) -> None:
+        """Hold requests that an owner granted, or that did not run."""
         self.given.append(grant)
 
-    def unused(self, now: float) -> list[Given]:
-        """Return the grants that can be used no longer, and hold them no longer."""
-        over = [grant for grant in self.given if not grant.usable(now)]
+    def unused(self, now: float) -> list[LeaseGrant]:
+        """Remove the grants that are no longer valid; return those that may be returned."""
+        expired = [grant for grant in self.given if not grant.usable(now)]
         self.given = deque(grant for grant in self.given if grant.usable(now))
-        return [grant for grant in over if grant.returnable(now)]
+        return [grant for grant in expired if grant.returnable(now)]
 
     def wanted(self, waiting: int, now: float) -> int:
         """Return how many requests to ask for.
 
         Args:
-            waiting: Requests that wait for one.
+            waiting: Requests of callers that wait for a grant.
             now: Monotonic time, in seconds.
         """
-        _drop_old(self._sent, now)
-        soon = int(len(self._sent) / _RATE_WINDOW_S * HOLD_S)
-        return min(_MOST_ASKED, max(waiting, soon, 1))
+        _drop_expired(self._sent, now)
+        expected = int(len(self._sent) / _RATE_WINDOW_S * GRANT_VALID_S)
+        return min(_MAX_ASKED, max(waiting, expected, 1))
 
     def note_dry(self, hall: str, until: float) -> None:
-        """Leave the owner of a hall's part alone until a monotonic time, in seconds."""
+        """Record that the owner of a hall's part has nothing until a monotonic time, in seconds."""
         self.dry_until[hall] = until
 
     def is_open(self, owner: Owner, now: float) -> bool:
         """Return whether an owner may be asked now."""
         return self.dry_until.get(owner.hall, 0.0) <= now
 
-    def open_in_s(self, owners: Iterable[Owner], now: float) -> float:
-        """Return when one of some owners may be asked again, in seconds; 0 for now."""
+    def next_ask_in_s(self, owners: Iterable[Owner], now: float) -> float:
+        """Return the time until one of some owners may be asked again, in seconds; 0 for now."""
         first = min((self.dry_until.get(owner.hall, 0.0) for owner in owners), default=0.0)
         return max(0.0, first - now)
 
     def used_per_s(self, now: float) -> float:
-        """Return how many requests a second were sent lately."""
-        _drop_old(self._used, now)
+        """Return the requests used a second over the last `_RATE_WINDOW_S`."""
+        _drop_expired(self._used, now)
         return len(self._used) / _RATE_WINDOW_S
 
     def idle(self, now: float) -> bool:
-        """Return whether nothing is held, and nothing was sent lately."""
-        _drop_old(self._sent, now)
+        """Return whether no grant is held, and no request arrived within `_RATE_WINDOW_S`."""
+        _drop_expired(self._sent, now)
         return not self.given and not self._sent
 
 
-def _drop_old(times: deque[float], now: float) -> None:
+def _drop_expired(times: deque[float], now: float) -> None:
     while times and times[0] <= now - _RATE_WINDOW_S:
         times.popleft()
 
@@ -144,19 +146,19 @@
 def asking_groups(
     owners: Iterable[Owner], *, hall: str, regions: dict[str, str], rng: random.Random
 ) -> tuple[list[Owner], ...]:
-    """Return the owners that a VM asks first, next and so on; those of a group are asked at once.
+    """Return groups of owners in the order in which a VM asks them; a group is asked at once.
 
     Args:
-        owners: The owners of a workspace's parts.
+        owners: The owners of a quota's parts.
         hall: Data hall of the VM that asks.
         regions: Region of each data hall.
-        rng: Chooses among those of other regions.
+        rng: Source of randomness, which orders the owners in other regions.
     """
     region = regions.get(hall)
     groups: tuple[list[Owner], list[Owner], list[Owner]] = ([], [], [])
     for owner in owners:
-        near = 0 if owner.hall == hall else 1 if regions.get(owner.hall) == region else 2
-        groups[near].append(owner)
-    own, near_by, far = groups
-    rng.shuffle(far)
-    return own, near_by, far[:1], far[1:]
+        tier = 0 if owner.hall == hall else 1 if regions.get(owner.hall) == region else 2
+        groups[tier].append(owner)
+    own, same_region, other_regions = groups
+    rng.shuffle(other_regions)
+    return own, same_region, other_regions[:1], other_regions[1:]
--- a/sprucewinch/gateway/quotas/owners.py
+++ b/sprucewinch/gateway/quotas/owners.py
@@ -1,25 +1,27 @@
-"""Rule: which VMs hold the parts of a quota, and how large each part is.
-
-Question: whom does a VM ask for requests of a workspace or server, and may this VM answer? Inputs:
-registered VMs with their data halls, whether a VM is in touch, the quota's name and capacity in
-requests, time in monotonic seconds.
-
-Rule: data halls hold equal parts, at most `MOST_PARTS` of them, and no more than leave each part
-`LEAST_CAPACITY` requests, but one a region; which ones is drawn by hash, region by region. Within
-a hall the part belongs to the first VM by hash that is in touch. Of the hall's part it gives what
-the VMs in touch there are of those registered there, so that a hall that falls apart gives no more
-than before. A VM counts as in touch for `SILENCE_S` after this process began, as nobody can be
-heard sooner.
-
-Why so: with parts in fixed halls, VMs that are cut off from each other spend different parts, and a
-hall that is cut off spends its own; no VM has to know that. Halls, not VMs: the part of one VM is
-far less than one request for most workspaces, and its callers are not spread evenly. Not one owner
-in the fleet: when it dies nobody serves the workspace until that is known.
-
-A server's quota is a few requests a second, too few to be divided. One VM of the server's own hall
-gives them: whoever is cut off from that VM is mostly cut off from the server too.
-
-Constants: `MOST_PARTS`, `LEAST_CAPACITY`, `_LOOK_S`. Tests: tests/test_gateway_quota.py.
+"""Decides which VMs hold the parts of a quota, and how large each part is.
+
+The inputs are the registered VMs with their data halls, whether a VM is in touch, the quota's name
+and its capacity in requests, and monotonic time in seconds. A VM asks the owners for requests of a
+workspace or a server, and answers for the parts that it owns itself.
+
+Data halls hold equal parts. At most `MAX_PARTS` halls do, and no more than leave each part
+`MIN_PART_CAPACITY` requests, but at least one a region; a hash selects them, region by region.
+Within a hall the part belongs to the VM with the lowest hash among those in touch. Of the hall's
+part that VM grants the fraction of the hall's registered VMs that are in touch, so that a hall that
+is partitioned grants no more than before. For `SILENCE_S` after the start of this process every VM
+counts as in touch, because no heartbeat can arrive sooner. `_REFRESH_INTERVAL_S` is the time
+between two checks of the VMs in touch.
+
+Because the parts belong to fixed halls, VMs that are partitioned from each other use different
+parts, and a hall that is cut off uses its own, without any VM having to detect it. The parts belong
+to halls and not to VMs, because one VM's part would be far less than one request for most
+workspaces, and callers are not spread evenly over VMs. There is no single owner in the fleet,
+because nobody would serve the workspace from its failure until the failure is detected.
+
+A server's quota is a few requests a second, too few to be divided. One VM in the server's own hall
+grants them: whoever is cut off from that VM is mostly cut off from the server too.
+
+tests/test_gateway_quota.py tests this module.
 """
 
 from collections import Counter
@@ -31,27 +33,26 @@
 from ..resources import Member
 from .quota import Quota
 
-MOST_PARTS = 6
-"""Most data halls that hold parts of one workspace's limit: a VM that finds parts empty asks one
-after the other."""
+MAX_PARTS = 6
+"""Data halls that hold parts of one quota: a VM that finds parts empty asks one after the other."""
 
-LEAST_CAPACITY = 4.0
-"""Least capacity of a part, in requests, beyond one part a region: a small bucket is often empty by
-chance, and then another region has to be asked."""
+MIN_PART_CAPACITY = 4.0
+"""Capacity of a part in requests, where there are more parts than regions: a small bucket is often
+empty by chance, and then another region has to be asked."""
 
-_WHOLE = 0
-"""Number of parts in the key of a quota that has one owner."""
+_SINGLE_OWNER = 0
+"""Number of parts in the cache key of a quota that has one owner."""
 
-_LOOK_S = 0.25
-"""Time between two looks at which VMs are in touch, in seconds."""
+_REFRESH_INTERVAL_S = 0.25
+"""Time between two checks of which VMs are in touch, in seconds."""
 
 
 class Owner(NamedTuple):
-    """The VM that holds one part of a workspace's limit.
+    """The VM that holds one part of a quota.
 
     Args:
-        hall: The data hall whose part it is.
-        name: The VM.
+        hall: The data hall to which the part belongs.
+        name: Name of the VM.
         part: Size of the part, from 0 to 1.
     """
 
@@ -64,7 +65,7 @@
     """The VMs of one data hall.
 
     Args:
-        registered: How many are registered.
+        registered: Number of registered VMs.
         in_touch: Names of those in touch.
     """
 
@@ -73,17 +74,18 @@
 
 
 class QuotaOwners:
-    """The owners of all workspaces' parts, as this VM sees them.
+    """The owners of all quotas' parts, as this VM sees them.
 
     Args:
-        members: Registered VMs by name; read at each look.
+        members: Returns the registered VMs by name; called at each refresh.
         in_touch: Returns whether a VM is in touch at a monotonic time, in seconds.
         regions: Region of each data hall.
         name: Name of this VM.
         started_at: Monotonic time of this process's start, in seconds.
 
     Attributes:
-        changed_at: Monotonic time since which all owners are the same, in seconds.
+        changed_at: Monotonic time at which the owners last changed, or this process started, in
+            seconds.
     """
 
     def __init__(
@@ -102,29 +104,29 @@
         self.started_at = started_at
         self._halls: dict[str, HallMembers] = {}
         self._region_count = 0
-        self._kept: dict[tuple[str, int], tuple[Owner, ...]] = {}
-        self._looked_at = float("-inf")
+        self._owners_cache: dict[tuple[str, int], tuple[Owner, ...]] = {}
+        self._refreshed_at = float("-inf")
         self.changed_at = started_at
 
     def of(self, workspace: str, capacity: float, now: float) -> tuple[Owner, ...]:
-        """Return the owners of a workspace's parts; none where no VM is registered.
+        """Return the owners of the parts of a workspace's quota; none where no VM is registered.
 
         Args:
-            workspace: Its name.
-            capacity: Most requests that all parts hold.
+            workspace: Name of the workspace.
+            capacity: Capacity of all parts together, in requests.
             now: Monotonic time, in seconds.
         """
         self.look(now)
-        wanted = max(self._region_count, int(capacity / LEAST_CAPACITY))
-        most = min(MOST_PARTS, len(self._halls), wanted, max(1, int(capacity)))
+        wanted = max(self._region_count, int(capacity / MIN_PART_CAPACITY))
+        most = min(MAX_PARTS, len(self._halls), wanted, max(1, int(capacity)))
         key = (workspace, most)
-        found = self._kept.get(key)
+        found = self._owners_cache.get(key)
         if found is None:
-            found = self._kept[key] = self._owners(workspace, most)
+            found = self._owners_cache[key] = self._owners(workspace, most)
         return found
 
     def of_quota(self, quota: Quota, now: float) -> tuple[Owner, ...]:
-        """Return the owners of a quota's parts; a hall's quota has one owner.
+        """Return the owners of a quota's parts; a quota of one hall has one owner.
 
         Args:
             quota: The quota.
@@ -133,14 +135,14 @@
         if not quota.hall:
             return self.of(quota.name, quota.limit.capacity, now)
         self.look(now)
-        key = (quota.name, _WHOLE)
-        found = self._kept.get(key)
+        key = (quota.name, _SINGLE_OWNER)
+        found = self._owners_cache.get(key)
         if found is None:
-            found = self._kept[key] = self._whole_owner(quota)
+            found = self._owners_cache[key] = self._single_owner(quota)
         return found
 
     def own_part(self, quota: Quota, now: float) -> float:
-        """Return the part that this VM itself holds; 0 for none."""
+        """Return the part that this VM itself holds, from 0 to 1; 0 for none."""
         owners = self.of_quota(quota, now)
         return sum(owner.part for owner in owners if owner.name == self.name)
 
@@ -149,20 +151,20 @@
         return sum(hall.registered for hall in self._halls.values())
 
     def look(self, now: float) -> None:
-        """Look which VMs are in touch, unless that was done a moment ago.
+        """Refresh which VMs are in touch, at most once every `_REFRESH_INTERVAL_S`.
 
         Args:
             now: Monotonic time, in seconds.
         """
-        if now - self._looked_at < _LOOK_S:
+        if now - self._refreshed_at < _REFRESH_INTERVAL_S:
             return
-        self._looked_at = now
+        self._refreshed_at = now
         halls = self._halls_now(now)
         if halls != self._halls:
             self._halls = halls
             self.changed_at = now
             self._region_count = len({self.regions.get(hall) for hall in halls})
-            self._kept.clear()
+            self._owners_cache.clear()
 
     def _halls_now(self, now: float) -> dict[str, HallMembers]:
         names: dict[str, list[str]] = {}
@@ -170,21 +172,22 @@
             names.setdefault(member.hall, []).append(member.name)
         return {
             hall: HallMembers(
-                len(vms), tuple(sorted(name for name in vms if self._counts(name, now)))
+                len(vms), tuple(sorted(name for name in vms if self._counts_in_touch(name, now)))
             )
             for hall, vms in sorted(names.items())
         }
 
-    def _counts(self, name: str, now: float) -> bool:
+    def _counts_in_touch(self, name: str, now: float) -> bool:
         if name == self.name or now - self.started_at < SILENCE_S:
             return True
         return self.in_touch(name, now)
 
-    def _whole_owner(self, quota: Quota) -> tuple[Owner, ...]:
-        """Return the one VM that gives all of a hall's quota: of that hall where any is in touch.
+    def _single_owner(self, quota: Quota) -> tuple[Owner, ...]:
+        """Return the one VM that grants a hall's whole quota.
 
-        Else of its region, else of another one. It gives the whole also where VMs of the hall are
-        missing: a hall whose VMs lose each other is the exception, and a restart of one is not.
+        It is in that hall where any VM there is in touch, else in its region, else in another one.
+        It grants the whole even where VMs of the hall are missing, because the restart of one VM is
+        common and a partition within a hall is not.
         """
         region = self.regions.get(quota.hall)
         halls = [hall for hall, vms in self._halls.items() if vms.in_touch]
@@ -196,28 +199,28 @@
             return hall != quota.hall, away, hash64(f"part|{quota.name}|{hall}")
 
         nearest = min(halls, key=distance)
-        return (Owner(nearest, self._first(quota.name, nearest), 1.0),)
+        return (Owner(nearest, self._first_in_touch(quota.name, nearest), 1.0),)
 
-    def _first(self, name: str, hall: str) -> str:
-        """Return the first VM by hash of those in touch in a hall."""
+    def _first_in_touch(self, name: str, hall: str) -> str:
+        """Return the VM with the lowest hash of those in touch in a hall."""
         return min(self._halls[hall].in_touch, key=lambda vm: hash64(f"quota|{name}|{vm}"))
 
     def _owners(self, workspace: str, most: int) -> tuple[Owner, ...]:
         found = []
-        for hall in self._drawn(workspace)[:most]:
+        for hall in self._halls_in_order(workspace)[:most]:
             vms = self._halls[hall]
             if vms.in_touch:
                 part = len(vms.in_touch) / vms.registered / most
-                found.append(Owner(hall, self._first(workspace, hall), part))
+                found.append(Owner(hall, self._first_in_touch(workspace, hall), part))
         return tuple(found)
 
-    def _drawn(self, workspace: str) -> list[str]:
-        """Return all halls in a workspace's order: one of each region before the second of any."""
+    def _halls_in_order(self, workspace: str) -> list[str]:
+        """Return all halls in a workspace's order, one of each region before the second of any."""
         by_hash = sorted(self._halls, key=lambda hall: hash64(f"part|{workspace}|{hall}"))
         seen: Counter[Optional[str]] = Counter()
-        turns = {}
+        index_in_region = {}
         for hall in by_hash:
             region = self.regions.get(hall)
-            turns[hall] = seen[region]
+            index_in_region[hall] = seen[region]
             seen[region] += 1
-        return sorted(by_hash, key=turns.__getitem__)
+        return sorted(by_hash, key=index_in_region.__getitem__)
--- a/sprucewinch/gateway/quotas/parts.py
+++ b/sprucewinch/gateway/quotas/parts.py
@@ -1,9 +1,10 @@
-"""The parts of quotas that this VM holds, and what it gives of them.
+"""The parts of quotas that this VM holds, and the requests that it grants from them.
 
-Owns a bucket for each quota of which a part is this VM's. Relies on `owners` for which parts
-those are and on `bucket` for what each gives. A part that goes to another VM is dropped, and
-begins anew if it comes back; so do all after a pause of this process, in which another VM may have
-taken its place. One that nobody has asked before has gained since this VM holds it.
+This module owns a bucket for each quota of which this VM holds a part. It relies on `owners` for
+which parts those are and on `bucket` for what each allows. A part that moves to another VM is
+dropped, and starts anew if it returns. All parts start anew after a pause of this process, in which
+another VM may have taken its place. The bucket of a part that nobody has asked for yet counts as
+filling since this VM has held the part.
 """
 
 from collections.abc import Callable
@@ -13,21 +14,21 @@
 from .owners import QuotaOwners
 from .quota import Quota
 
-_PAUSE_S = 1.0
-"""Time between two ticks beyond which this process counts as having stood still, in seconds: less
-than others need to put another VM in its place."""
-
+_MAX_TICK_GAP_S = 1.0
+"""Time between two ticks beyond which this process counts as paused, in seconds: less than the time
+in which another VM takes its place."""
 
 _IDLE_S = 60.0
-"""Time without an ask after which a bucket is dropped, in seconds: servers come and go."""
+"""Time without an ask after which a bucket is dropped, in seconds: quotas of servers that are gone
+would otherwise stay."""
 
 
 class Grant(NamedTuple):
-    """What an asker gets.
+    """The answer to an ask.
 
     Args:
-        count: Requests that it may send.
-        wait_s: When it may ask again if it got none, in seconds from now.
+        count: Requests that the asker may send.
+        wait_s: Time until it may ask again when it got none, in seconds.
     """
 
     count: int
@@ -35,10 +36,10 @@
 
 
 class QuotaParts:
-    """Gives requests out of the parts that this VM holds.
+    """Grants requests from the parts that this VM holds.
 
     Args:
-        owners: Which parts those are.
+        owners: Tells which parts those are.
         now: Monotonic time, in seconds.
     """
 
@@ -50,17 +51,17 @@
         self._dropped_at = now
 
     def tick(self, now: float) -> None:
-        """Look who is in touch; begin all parts again if this process stood still since."""
+        """Refresh the owners; start all parts anew after a pause since the last tick."""
         self.owners.look(now)
         self._drop_idle(now)
-        if now - self._ticked_at > _PAUSE_S:
+        if now - self._ticked_at > _MAX_TICK_GAP_S:
             self._began_at = now
             for bucket in self.buckets.values():
                 bucket.restart(now)
         self._ticked_at = now
 
     def _drop_idle(self, now: float) -> None:
-        """Drop buckets that nobody has asked for long: they are full, as one made anew would be."""
+        """Drop buckets that nobody asked for `_IDLE_S`: they are full, as a new one would be."""
         if now - self._dropped_at < _IDLE_S:
             return
         self._dropped_at = now
@@ -71,7 +72,7 @@
         self.buckets = {name: held for name, held in self.buckets.items() if not unknown(name)}
 
     def give(self, quota: Quota, count: int, now: float) -> Optional[Grant]:
-        """Return what an asker gets; None when this VM holds no part of it.
+        """Grant requests to an asker; return None when this VM holds no part of the quota.
 
         Args:
             quota: The quota.
@@ -86,11 +87,11 @@
         return Grant(given) if given else Grant(0, bucket.wait_s(now))
 
     def take_back(self, name: str, count: int, now: float) -> None:
-        """Take back what an asker did not use; of a part that is no longer held it is lost.
+        """Take back what an asker did not use; it is lost where the part is no longer held.
 
         Args:
             name: Name of the quota.
-            count: Requests.
+            count: Requests that were not used.
             now: Monotonic time, in seconds.
         """
         bucket = self.buckets.get(name)
@@ -105,7 +106,7 @@
             self.buckets.pop(quota.name, None)
             return None
         if bucket is None:
-            # It has been this VM's since then, and nobody has asked for any of it.
+            # This VM has held the part since then, and nobody has asked for any of it.
             since = max(self._began_at, self.owners.changed_at)
             bucket = self.buckets[quota.name] = QuotaBucket(limit, part, since)
         elif bucket.part != part or bucket.limit != limit:
--- a/sprucewinch/gateway/quotas/quota.py
+++ b/sprucewinch/gateway/quotas/quota.py
@@ -1,30 +1,31 @@
-"""A limit on requests that all VMs keep together: what it allows, and where it is kept.
+"""A limit on requests that all VMs enforce together: what it allows, and where it is kept.
 
-Owns the two types, and the limit of what one data hall's VMs keep. Relies on nothing; who is
-limited makes the quota: a workspace (`workspaces.workspace_quota`), or a backend server
-(`statements.server_quotas`).
+This module owns the two types, and the limit of a quota that the VMs of one data hall keep. It
+relies on nothing. Whoever is limited makes the quota: a workspace (`workspaces.workspace_quota`) or
+a backend server (`statements.server_quotas`).
 """
 
 from typing import NamedTuple
 
-_SPARE_REQUESTS = 1.5
-"""Requests that the bucket of a hall's quota holds beyond `_SPARE_S` of its rate: one would often
-be missed by a moment."""
+_CAPACITY_REQUESTS = 1.5
+"""Requests that the bucket of a hall's quota holds beyond `_CAPACITY_S` of its rate: a single one
+would often be missed by a moment."""
 
-_SPARE_S = 0.25
-"""Time of its rate that the bucket of a hall's quota holds, in seconds."""
+_CAPACITY_S = 0.25
+"""Capacity of the bucket of a hall's quota, as seconds of its rate."""
 
-_FIRST_REQUESTS = 1.0
-"""Requests that it begins with: its owner may change twice in a window."""
+_INITIAL_REQUESTS = 1.0
+"""Initial content of the bucket of a hall's quota, in requests: its owner may change twice in a
+window."""
 
 
 class QuotaLimit(NamedTuple):
-    """What a quota allows, as buckets keep it.
+    """What a quota allows, as buckets need it.
 
     Args:
         rate_per_s: Requests a second.
-        capacity: Most requests that all its buckets hold.
-        first: Requests that they begin with.
+        capacity: Capacity of all its buckets together, in requests.
+        first: Initial content of all its buckets together, in requests.
     """
 
     rate_per_s: float
@@ -33,13 +34,13 @@
 
 
 class Quota(NamedTuple):
-    """One limit.
+    """One limit on requests.
 
     Args:
-        name: Names it between VMs.
+        name: Name that identifies it between VMs.
         limit: What it allows.
-        rate_per_s: Requests a second that were stated; callers are told to return by it.
-        hall: Data hall whose VMs keep all of it; empty where halls keep parts.
+        rate_per_s: Stated requests a second, from which the Retry-After of callers is computed.
+        hall: Data hall whose VMs keep all of it; empty where several halls keep parts.
     """
 
     name: str
@@ -49,15 +50,15 @@
 
 
 def hall_quota(name: str, rate_per_s: float, hall: str) -> Quota:
-    """Return a quota that one data hall's VMs keep.
+    """Return a quota that the VMs of one data hall keep.
 
-    Its rate is what is stated, without a part for what is lost: the margin that is left is for VMs
-    that do not agree on who keeps it.
+    Its rate is the stated one, without an addition for lost messages: the remaining margin covers
+    VMs that disagree on the owner.
 
     Args:
-        name: Names it between VMs.
+        name: Name that identifies it between VMs.
         rate_per_s: Requests a second.
         hall: The data hall.
     """
-    capacity = _SPARE_REQUESTS + _SPARE_S * rate_per_s
-    return Quota(name, QuotaLimit(rate_per_s, capacity, _FIRST_REQUESTS), rate_per_s, hall)
+    capacity = _CAPACITY_REQUESTS + _CAPACITY_S * rate_per_s
+    return Quota(name, QuotaLimit(rate_per_s, capacity, _INITIAL_REQUESTS), rate_per_s, hall)
--- a/sprucewinch/gateway/quotas/quotas.py
+++ b/sprucewinch/gateway/quotas/quotas.py
@@ -1,14 +1,13 @@
-"""The quotas of the whole fleet, as one VM keeps them.
+"""The quotas of the whole fleet, as one VM enforces them.
 
-Question: may this request be sent, and if not, when may its caller return? Owns what this VM holds
-of each quota and the order in which its requests get it: the first that
-came is the first served. The decisions are `leases` (what is used, who is asked) and
-`bucket` (what owners give); `exchange` carries the asks. Nothing is counted twice: a
-retry of this VM's own takes no further request, and what a caller's request took is given back when
-no backend server has run it.
+This module decides whether a request may be sent, and if not, when its caller may retry. It owns
+what this VM holds of each quota and the order in which its requests get it, which is the order of
+arrival. `leases` decides what is used and which owners are asked, `bucket` what owners grant, and
+`exchange` sends the asks. Nothing is counted twice: a retry by this VM takes no further request,
+and what a caller's request took is returned when no backend server has run it.
 
-Shows in: event `request`, `outcome` `over-quota` or `no-quota`; metrics `quota_asks`. Tests:
-tests/test_gateway_quota.py, tests/test_process_workspaces.py.
+The result appears in the event `request` as `outcome` `over-quota` or `no-quota`, and in the metric
+`quota_asks`. tests/test_gateway_quota.py and tests/test_process_workspaces.py test this module.
 """
 
 import abc
@@ -21,37 +20,36 @@
 from ...retry import ReturnSchedule
 from ..timing import Timing
 from .exchange import QuotaExchange
-from .leases import Given, QuotaLease, asking_groups
+from .leases import LeaseGrant, QuotaLease, asking_groups
 from .owners import Owner, QuotaOwners
 from .quota import Quota
 
-LONGEST_S = 0.2
-"""Longest time that a request waits for its turn and for answers of owners, in seconds: most
-targets allow it, and nearly all answers come within a tenth of it."""
+MAX_QUOTA_WAIT_S = 0.2
+"""Longest time that a request waits for its turn and for answers of owners, in seconds: the latency
+targets of most requests allow it, and nearly all answers arrive within a tenth of it."""
 
-_LEAST_RETURN_S = 0.1
-"""Shortest time until a refused caller returns, in seconds, and the spread of each return."""
+_MIN_RETRY_AFTER_S = 0.1
+"""Shortest Retry-After of a refused caller, in seconds, and the random spread of each."""
 
-_MOST_RETURN_S = 2.0
-"""Longest time until a refused caller returns, in seconds."""
+_MAX_RETRY_AFTER_S = 2.0
+"""Longest Retry-After of a refused caller, in seconds, without the spread."""
 
 _MS_PER_S = 1000
 """Milliseconds in a second."""
 
-_NEAR_ANSWER_S = 0.04
-"""Time for the answer of an owner in this VM's region, in seconds: some ten times the way there and
-back, so that a request has time left to ask elsewhere."""
+_NEAR_TIMEOUT_S = 0.04
+"""Longest wait for an owner in this VM's region, in seconds: some ten round trips, which leaves a
+request time to ask elsewhere."""
 
-_FAR_ANSWER_S = 0.08
-"""Time for the answer of an owner in another region, in seconds: three times the way there and
-back."""
+_FAR_TIMEOUT_S = 0.08
+"""Longest wait for an owner in another region, in seconds: three round trips."""
 
-_SILENT_S = 0.15
-"""Time for which an owner that gave no answer is not asked again, for any quota, in seconds:
-short, as after a loss of all VMs each is back some tenths of a second before the next."""
+_UNRESPONSIVE_S = 0.15
+"""Time for which an owner that did not answer is not asked again, for any quota, in seconds: short,
+because after a loss of all VMs they restart some tenths of a second apart."""
 
-_UNKNOWN_RETURN_S = 0.2
-"""Time until a caller returns whose VM reached no owner, in seconds: by then it asks them again."""
+_UNKNOWN_RETRY_AFTER_S = 0.2
+"""Retry-After when a VM reached no owner, in seconds: by then the VM asks the owners again."""
 
 
 class QuotaEnd(enum.Enum):
@@ -59,9 +57,9 @@
 
     ADMITTED = "admitted"
     OVER = "over"
-    """As much was sent as may be."""
+    """The quota is used up."""
     UNKNOWN = "unknown"
-    """No owner of a part of it could be asked."""
+    """No owner of a part of the quota could be asked."""
 
 
 class QuotaDecision(NamedTuple):
@@ -69,24 +67,24 @@
 
     Args:
         end: The decision.
-        retry_after_s: When its caller may return, in seconds; 0 for an admitted one.
-        given: What was used for it; None where nothing is limited.
-        ask_again_s: When an owner may have something to give again, in seconds.
+        retry_after_s: Time until its caller may retry, in seconds; 0 for an admitted request.
+        given: The grant that it used; None where no limit applies.
+        ask_again_s: Time until an owner may have something to grant again, in seconds.
     """
 
     end: QuotaEnd
     retry_after_s: float = 0.0
-    given: Optional[Given] = None
+    given: Optional[LeaseGrant] = None
     ask_again_s: float = 0.0
 
 
 _UNLIMITED = QuotaDecision(QuotaEnd.ADMITTED)
 
-_UNKNOWN = QuotaDecision(QuotaEnd.UNKNOWN, _UNKNOWN_RETURN_S, ask_again_s=_SILENT_S)
+_UNKNOWN = QuotaDecision(QuotaEnd.UNKNOWN, _UNKNOWN_RETRY_AFTER_S, ask_again_s=_UNRESPONSIVE_S)
 
 
 class Quotas(abc.ABC):
-    """Keeps quotas."""
+    """Enforces quotas."""
 
     @abc.abstractmethod
     async def take(self, quota: Quota) -> QuotaDecision:
@@ -94,19 +92,19 @@
 
     @abc.abstractmethod
     def give_back(self, quota: Quota, decision: QuotaDecision) -> None:
-        """Count an admitted request no longer, as no backend server has run it."""
+        """Return what an admitted request took, because no backend server has run it."""
 
     @abc.abstractmethod
     def drop(self, unknown: Callable[[str], bool]) -> None:
-        """Drop what is held of quotas whose names are unknown."""
+        """Drop what is held of quotas for whose names `unknown` returns True."""
 
 
 class FleetQuotas(Quotas):
-    """Limits kept by owners of parts in several data halls.
+    """Quotas whose parts are kept by owners in several data halls.
 
     Args:
-        owners: Who holds which part.
-        exchange: Asks them.
+        owners: Tells which VM holds which part.
+        exchange: Asks the owners.
         timing: Sources of time and randomness.
         hall: Data hall of this VM.
         regions: Region of each data hall.
@@ -129,17 +127,17 @@
         self.leases: dict[str, QuotaLease] = {}
         self.used: Counter[str] = Counter()
         self.refused: Counter[str] = Counter()
-        self.silent_until: dict[str, float] = {}
+        self.unresponsive_until: dict[str, float] = {}
         self._turns: dict[str, asyncio.Lock] = {}
         self._waiting: Counter[str] = Counter()
 
     def drop(self, unknown: Callable[[str], bool]) -> None:
-        """Drop what is held of quotas that are gone; see `Quotas`."""
+        """Drop what is held of unknown quotas, parts of this VM included; see `Quotas`."""
         self.exchange.parts.drop(unknown)
         self.forget(unknown)
 
     def forget(self, unknown: Callable[[str], bool]) -> None:
-        """Drop what this VM used of quotas that it does not know; what it gives out stays."""
+        """Drop what this VM used of unknown quotas; the parts that it holds stay."""
         for held in (self.leases, self.used, self.refused):
             for name in [name for name in held if unknown(name)]:
                 del held[name]
@@ -156,7 +154,7 @@
         lease.arrived(self.timing.monotonic())
         self._waiting[name] += 1
         try:
-            async with asyncio.timeout(LONGEST_S):
+            async with asyncio.timeout(MAX_QUOTA_WAIT_S):
                 async with self._turns.setdefault(name, asyncio.Lock()):
                     decision = await self._take_in_turn(quota, lease)
         except TimeoutError:
@@ -168,7 +166,7 @@
         return decision
 
     def give_back(self, quota: Quota, decision: QuotaDecision) -> None:
-        """Let another request use what this one took; see `Quotas`."""
+        """Make what a request took available again; see `Quotas`."""
         if decision.given is None:
             return
         self.used[quota.name] -= 1
@@ -177,7 +175,7 @@
         self._return_unused(quota.name, lease)
 
     def sweep(self) -> None:
-        """Give back what was not used, so that other VMs may, and forget quotas that are idle.
+        """Return unused grants, so that other VMs may use them, and drop idle quotas.
 
         To be called a few times a second.
         """
@@ -203,10 +201,10 @@
         return QuotaDecision(QuotaEnd.ADMITTED, given=given)
 
     async def _ask_for_more(self, quota: Quota, lease: QuotaLease) -> bool:
-        """Ask owners, near ones first, until one gives something."""
-        answering = self._answering(quota, self.timing.monotonic())
+        """Ask owners, the nearest first, until one grants something; return whether one did."""
+        responsive = self._responsive_owners(quota, self.timing.monotonic())
         rng = self.timing.rng
-        for group in asking_groups(answering, hall=self.hall, regions=self.regions, rng=rng):
+        for group in asking_groups(responsive, hall=self.hall, regions=self.regions, rng=rng):
             now = self.timing.monotonic()
             asked = [owner for owner in group if lease.is_open(owner, now)]
             given = await asyncio.gather(*(self._ask(owner, quota, lease) for owner in asked))
@@ -215,34 +213,35 @@
         return False
 
     async def _ask(self, owner: Owner, quota: Quota, lease: QuotaLease) -> bool:
-        """Ask one owner; returns whether it gave something."""
+        """Ask one owner; return whether it granted something."""
         asked_at = self.timing.monotonic()
         count = lease.wanted(self._waiting[quota.name], asked_at)
         far = self.regions.get(owner.hall) != self.regions.get(self.hall)
-        longest_s = _FAR_ANSWER_S if far else _NEAR_ANSWER_S
-        grant = await self.exchange.ask(owner, quota, count, longest_s)
+        timeout_s = _FAR_TIMEOUT_S if far else _NEAR_TIMEOUT_S
+        grant = await self.exchange.ask(owner, quota, count, timeout_s)
         now = self.timing.monotonic()
         if grant is None:
-            self.silent_until[owner.name] = now + _SILENT_S
+            self.unresponsive_until[owner.name] = now + _UNRESPONSIVE_S
             return False
         if grant.count == 0:
             lease.note_dry(owner.hall, now + grant.wait_s)
             return False
-        lease.add(Given(owner, grant.count, asked_at))
+        lease.add(LeaseGrant(owner, grant.count, asked_at))
         return True
 
     def _refusal(self, quota: Quota, lease: QuotaLease) -> QuotaDecision:
-        """Return when a caller may return: each gets the next moment, in the order of arrival.
+        """Return a refusal that tells its caller when to retry.
 
-        This VM gets one more request about as often as it got one lately.
+        Each caller is told the next free time, in the order of arrival. It is assumed that this VM
+        is granted requests as often as it was lately.
         """
         now = self.timing.monotonic()
-        answering = self._answering(quota, now)
-        if not answering:
+        responsive = self._responsive_owners(quota, now)
+        if not responsive:
             return _UNKNOWN
         part = quota.rate_per_s / max(1, self.owners.vm_count())
         wait_ms = lease.returns.retry_after_ms(now, max(part, lease.used_per_s(now)))
-        ask_again_s = lease.open_in_s(answering, now)
+        ask_again_s = lease.next_ask_in_s(responsive, now)
         return QuotaDecision(QuotaEnd.OVER, wait_ms / _MS_PER_S, ask_again_s=ask_again_s)
 
     def _lease(self, name: str) -> QuotaLease:
@@ -250,13 +249,13 @@
         if lease is None:
             returns = ReturnSchedule(
                 self.timing.rng,
-                least_ms=_LEAST_RETURN_S * _MS_PER_S,
-                most_ms=_MOST_RETURN_S * _MS_PER_S,
+                least_ms=_MIN_RETRY_AFTER_S * _MS_PER_S,
+                most_ms=_MAX_RETRY_AFTER_S * _MS_PER_S,
             )
             lease = self.leases[name] = QuotaLease(returns)
         return lease
 
-    def _answering(self, quota: Quota, now: float) -> list[Owner]:
-        """Return the owners of a quota's parts, but for those that gave no answer lately."""
+    def _responsive_owners(self, quota: Quota, now: float) -> list[Owner]:
+        """Return the owners of a quota's parts, except those that did not answer lately."""
         owners = self.owners.of_quota(quota, now)
-        return [owner for owner in owners if self.silent_until.get(owner.name, 0.0) <= now]
+        return [owner for owner in owners if self.unresponsive_until.get(owner.name, 0.0) <= now]
--- a/sprucewinch/gateway/workspaces/workspace_quota.py
+++ b/sprucewinch/gateway/workspaces/workspace_quota.py
@@ -12,7 +12,7 @@
 Constants: those below. Shows in: `operate.py workspaces`. Tests: tests/test_gateway_quota.py.
 """
 
-from ..quotas.bucket import RETURN_S
+from ..quotas.bucket import GRANT_RETURNABLE_S
 from ..quotas.quota import Quota, QuotaLimit
 from ..resources import Workspace
 from ..settings import Bounds
@@ -42,9 +42,9 @@
     allowed = workspace.rate_per_s * bounds.quota_window_s + workspace.burst
     bound = allowed * (1 + bounds.quota_over) + bounds.quota_slack
     rate = allowed * (1 + _USED_PART * bounds.quota_over) / bounds.quota_window_s
-    margin = bound - rate * (bounds.quota_window_s + RETURN_S)
+    margin = bound - rate * (bounds.quota_window_s + GRANT_RETURNABLE_S)
     if margin < _LEAST_MARGIN:
         # Bounds that leave nothing: the burst is the margin.
-        rate = max(0.0, bound - _LEAST_MARGIN) / (bounds.quota_window_s + RETURN_S)
+        rate = max(0.0, bound - _LEAST_MARGIN) / (bounds.quota_window_s + GRANT_RETURNABLE_S)
         margin = min(bound, _LEAST_MARGIN)
     return QuotaLimit(rate, _WIDTH_PART * margin, _FIRST_PART * margin)
--- a/tests/test_gateway_quota.py
+++ b/tests/test_gateway_quota.py
@@ -1,4 +1,4 @@
-"""Quotas of the whole fleet: buckets, owners, leases; and the bound that no sequence may break."""
+"""Quotas of the whole fleet: buckets, owners and leases, and the bound that always has to hold."""
 
 import random
 import unittest
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from sprucewinch.gateway.membership.gossip import SILENCE_S
-from sprucewinch.gateway.quotas.bucket import HOLD_S, RETURN_S, QuotaBucket
-from sprucewinch.gateway.quotas.leases import Given, QuotaLease, asking_groups
-from sprucewinch.gateway.quotas.owners import MOST_PARTS, Owner, QuotaOwners
+from sprucewinch.gateway.quotas.bucket import GRANT_RETURNABLE_S, GRANT_VALID_S, QuotaBucket
+from sprucewinch.gateway.quotas.leases import LeaseGrant, QuotaLease, asking_groups
+from sprucewinch.gateway.quotas.owners import MAX_PARTS, Owner, QuotaOwners
 from sprucewinch.gateway.quotas.parts import QuotaParts
 from sprucewinch.gateway.quotas.quota import Quota, QuotaLimit
 from sprucewinch.gateway.quotas.quotas import QuotaEnd
@@ -30,7 +30,7 @@
 
 
 def allowed_in_window(workspace: Workspace, bounds: Bounds) -> float:
-    """Return the most requests that may reach servers in any window."""
+    """Return the bound on the requests that may reach servers in any window."""
     usual = workspace.rate_per_s * bounds.quota_window_s + workspace.burst
     return usual * (1 + bounds.quota_over) + bounds.quota_slack
 
@@ -41,7 +41,7 @@
 
 
 class Buckets(unittest.TestCase):
-    def test_it_gains_its_part_and_no_more(self) -> None:
+    def test_it_refills_by_its_part_and_no_more(self) -> None:
         bucket = QuotaBucket(quota_limit(LARGE, WIDE), 0.5, 0.0)
         first = bucket.take(1000, 0.0)
         self.assertLess(first, 20)
@@ -67,7 +67,7 @@
         self.assertLess(limit.rate_per_s, LARGE.rate_per_s + LARGE.burst / 5)
         self.assertGreater(limit.capacity, 1)
 
-    def test_a_lower_limit_takes_what_was_saved(self) -> None:
+    def test_a_lower_limit_caps_the_content(self) -> None:
         bucket = QuotaBucket(quota_limit(LARGE, WIDE), 1.0, 0.0)
         lower = quota_limit(LARGE._replace(rate_per_s=1, burst=1), WIDE)
         bucket.resize(lower, 1.0, 100.0)
@@ -84,7 +84,7 @@
     def test_what_is_given_and_held_stays_below_the_bound(
         self, rate: float, burst: float, over: float, slack: float, asks: list[tuple[float, int]]
     ) -> None:
-        """Against the plain bound: any asks, each used as late as it may be."""
+        """Any sequence of asks, each grant used as late as it may be, stays below the bound."""
         bounds = Bounds(quota_window_s=5.0, quota_over=over, quota_slack=slack)
         workspace = Workspace("w", (), rate_per_s=rate, burst=burst)
         bucket = QuotaBucket(quota_limit(workspace, bounds), 1.0, 0.0)
@@ -92,19 +92,19 @@
         for pause, count in asks:
             now += pause
             given.append((now, bucket.take(count, now)))
-        reach = bounds.quota_window_s + RETURN_S
+        reach = bounds.quota_window_s + GRANT_RETURNABLE_S
         for start, _ in given:
             most = sum(count for at, count in given if start <= at <= start + reach)
             self.assertLessEqual(most, allowed_in_window(workspace, bounds) + 1e-6)
 
 
 class WorstCase(unittest.TestCase):
-    def test_two_starts_in_a_window_and_all_used_as_late_as_may_be(self) -> None:
+    def test_two_starts_in_a_window_with_all_grants_used_as_late_as_allowed(self) -> None:
         for workspace in (SMALL, LARGE):
             limit = quota_limit(workspace, WIDE)
             bucket = QuotaBucket(limit, 1.0, -1000.0)
             given = bucket.take(100_000, 0.0)
-            for hundredth in range(1, int((WIDE.quota_window_s + RETURN_S) * 100) + 1):
+            for hundredth in range(1, int((WIDE.quota_window_s + GRANT_RETURNABLE_S) * 100) + 1):
                 now = hundredth / 100
                 if hundredth in (100, 200):
                     bucket = QuotaBucket(limit, 1.0, now)
@@ -137,7 +137,7 @@
         seen = {self.owners(members, name).of("w", 40.0, 0.0) for name in ("vm0", "vm7", "vm74")}
         self.assertEqual(len(seen), 1)
         [found] = seen
-        self.assertEqual(len(found), MOST_PARTS)
+        self.assertEqual(len(found), MAX_PARTS)
         self.assertAlmostEqual(sum(owner.part for owner in found), 1.0)
 
     def test_a_small_limit_has_one_part_a_region(self) -> None:
@@ -146,7 +146,7 @@
         self.assertEqual({f"r{int(hall[1]) // 2}" for hall in halls}, {"r0", "r1", "r2"})
         self.assertEqual(len(self.owners(self.members(75), "vm0").of("w", 1.0, 0.0)), 1)
 
-    def test_an_owner_that_is_silent_is_followed_by_the_next(self) -> None:
+    def test_an_unreachable_owner_is_replaced_by_the_next(self) -> None:
         members = self.members(75)
         before = self.owners(members, "vm0").of("w", 40.0, 0.0)
         after = self.owners(members, "vm0", {before[0].name}).of("w", 40.0, 0.0)
@@ -155,7 +155,7 @@
         self.assertLess(after[0].part, before[0].part)
         self.assertEqual(after[1:], before[1:])
 
-    def test_a_vm_that_has_just_begun_takes_nobody_for_silent(self) -> None:
+    def test_a_vm_that_has_just_started_takes_no_vm_for_unreachable(self) -> None:
         members = self.members(12)
         new = QuotaOwners(
             lambda: members,
@@ -170,10 +170,10 @@
 
     @settings(max_examples=100)
     @given(st.lists(st.integers(0, 4), min_size=12, max_size=30), st.integers(0, 99))
-    def test_vms_that_fall_apart_hold_no_more_than_the_whole(
+    def test_vms_that_are_partitioned_hold_no_more_than_the_whole(
         self, groups: list[int], workspace: int
     ) -> None:
-        """Each VM reaches its own group alone; what all of them hold is added up."""
+        """Each VM reaches only its own group; the parts that all of them hold are summed."""
         members = self.members(len(groups))
         quota = Quota(f"w{workspace}", QuotaLimit(40.0, 40.0, 1.0), 40.0)
         held = 0.0
@@ -182,7 +182,7 @@
             held += self.owners(members, f"vm{number}", gone).own_part(quota, 0.0)
         self.assertLessEqual(held, 1.0 + 1e-9)
 
-    def test_a_part_gains_before_it_is_asked_for_the_first_time(self) -> None:
+    def test_a_part_refills_before_it_is_asked_for_the_first_time(self) -> None:
         parts = QuotaParts(self.owners(self.members(1), "vm0"), 0.0)
         at_once = parts.give(LARGE_QUOTA, 1000, 0.1)
         for tenth in range(1, 100):
@@ -192,7 +192,7 @@
         self.assertLess(at_once.count, 25)
         self.assertEqual(later.count, int(quota_limit(LARGE, WIDE).capacity))
 
-    def test_a_part_that_came_later_gains_from_then_on(self) -> None:
+    def test_a_part_that_moved_to_a_vm_refills_from_then_on(self) -> None:
         members, gone = self.members(2, halls=1), set()
         owners = {name: self.owners(members, name, gone) for name in members}
         first = owners["vm0"].of("large", 40.0, 0.0)[0].name
@@ -206,7 +206,7 @@
         assert given is not None
         self.assertLess(given.count, quota_limit(LARGE, WIDE).capacity / 2)
 
-    def test_a_pause_of_the_process_begins_its_parts_again(self) -> None:
+    def test_a_pause_of_the_process_starts_its_parts_anew(self) -> None:
         parts = QuotaParts(self.owners(self.members(1), "vm0"), 0.0)
         parts.tick(99.9)
         parts.tick(100.0)
@@ -224,21 +224,25 @@
 
 
 class Leases(unittest.TestCase):
-    def test_what_was_given_is_used_until_its_time(self) -> None:
+    def test_a_grant_is_used_while_it_is_valid(self) -> None:
         held, owner = lease(), Owner("h0", "vm1", 0.5)
-        held.add(Given(owner, 2, 1.0))
-        used = held.use(1.0 + HOLD_S / 2)
+        held.add(LeaseGrant(owner, 2, 1.0))
+        used = held.use(1.0 + GRANT_VALID_S / 2)
         assert used is not None
         self.assertEqual((used.owner, used.count, used.at), (owner, 1, 1.0))
-        self.assertIsNone(held.use(1.0 + HOLD_S))
-
-    def test_what_was_not_used_is_given_back_for_a_while(self) -> None:
-        for later, returned in ((HOLD_S / 2, []), (HOLD_S * 1.5, [2]), (RETURN_S, [])):
+        self.assertIsNone(held.use(1.0 + GRANT_VALID_S))
+
+    def test_an_unused_grant_may_be_returned_for_a_while(self) -> None:
+        for later, returned in (
+            (GRANT_VALID_S / 2, []),
+            (GRANT_VALID_S * 1.5, [2]),
+            (GRANT_RETURNABLE_S, []),
+        ):
             held = lease()
-            held.add(Given(Owner("h0", "vm1", 0.5), 2, 1.0))
+            held.add(LeaseGrant(Owner("h0", "vm1", 0.5), 2, 1.0))
             self.assertEqual([grant.count for grant in held.unused(1.0 + later)], returned)
 
-    def test_as_many_are_asked_for_as_are_soon_needed(self) -> None:
+    def test_as_many_are_asked_for_as_are_expected_to_be_needed(self) -> None:
         held = lease()
         self.assertEqual(held.wanted(1, 0.0), 1)
         for n in range(40):
@@ -246,7 +250,7 @@
         self.assertEqual(held.wanted(1, 1.0), 3)
         self.assertEqual(held.wanted(30, 1.0), 30)
 
-    def test_near_owners_are_asked_first_and_dry_ones_not(self) -> None:
+    def test_near_owners_are_asked_first_and_empty_ones_not(self) -> None:
         owners = tuple(Owner(f"h{n}", f"vm{n}", 1 / 6) for n in range(6))
         regions = {f"h{n}": f"r{n // 2}" for n in range(6)}
         groups = asking_groups(owners, hall="h3", regions=regions, rng=random.Random(1))
@@ -262,9 +266,9 @@
 
 
 class OneFleet(unittest.TestCase):
-    """Whole VMs on virtual links."""
+    """Whole VMs, connected by virtual links."""
 
-    def test_what_a_fleet_admits_at_once_and_when_callers_return(self) -> None:
+    def test_what_a_fleet_admits_at_once_and_when_callers_may_retry(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = ModelFleet(loop, 12, {"small": SMALL}, WIDE)
             await pass_time(5.0)
@@ -281,8 +285,8 @@
 
         run_virtual(main)
 
-    def test_what_did_not_run_is_left_for_others(self) -> None:
-        """A workspace far above its limit, half of whose requests find no room at servers."""
+    def test_requests_that_did_not_run_are_left_for_others(self) -> None:
+        """A workspace is far above its limit; half of its requests find no room at servers."""
         length_s = 10.0
 
         async def main(loop: VirtualLoop) -> list[float]:
@@ -314,7 +318,7 @@
         most = max(sum(at <= other <= at + 5.0 for other in ran) for at in ran)
         self.assertLessEqual(most, allowed_in_window(LARGE, WIDE))
 
-    def test_a_workspace_that_sends_no_more_is_forgotten(self) -> None:
+    def test_the_lease_of_an_idle_workspace_is_dropped(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = ModelFleet(loop, 12, {"small": SMALL}, WIDE)
             vm = next(iter(fleet.vms.values()))
@@ -343,7 +347,7 @@
 
         run_virtual(main)
 
-    def test_a_caller_that_came_before_the_owners_were_back_is_served_when_it_returns(self) -> None:
+    def test_a_caller_that_came_before_the_owners_restarted_is_served_when_it_retries(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = ModelFleet(loop, 12, {"small": SMALL}, WIDE)
             await pass_time(5.0)
@@ -361,7 +365,7 @@
 
         run_virtual(main)
 
-    def test_owners_that_are_gone_are_an_unknown_limit_not_a_spent_one(self) -> None:
+    def test_lost_owners_give_an_unknown_quota_and_not_a_used_up_one(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = ModelFleet(loop, 12, {"small": SMALL}, WIDE)
             await pass_time(5.0)
