--- a/sprucewinch/gateway/workspaces/admission.py
+++ b/sprucewinch/gateway/workspaces/admission.py
@@ -1,11 +1,14 @@
-"""Step: who calls, and whether its workspace may send one more request.
-
-Owns the order of the two questions and what a request takes along: its workspace, and what it took
-of the workspace's limit. Asked once for a request, before its body is read; `workspace` is asked
-again before each send, as one may be taken away meanwhile. Relies on `key_table` and `quotas` for
-the decisions, and on the view of the store for the configuration and its age. Keys stand in no
-line: a caller that guesses shows in the counter `requests_unknown-key` and, at most every
-`_GUESSES_EVERY_S`, in the event `unknown-keys`. Tests: tests/test_gateway_keys.py.
+"""Admits a request: identifies its caller, and checks whether the workspace may send one more.
+
+This module owns the order of the two checks, and what a request carries along: its workspace, and
+what it took of the workspace's quota. Both are checked once for a request, before its body is read.
+`workspace` is checked again before each send, because a workspace may be removed meanwhile. The
+module relies on `key_table` and `quotas` for the decisions, and on the view of the store for the
+configuration and its age.
+
+Keys are never logged. Callers that guess keys appear in the counter `requests_unknown-key` and, at
+most once every `_UNKNOWN_KEYS_INTERVAL_S`, in the event `unknown-keys`. tests/test_gateway_keys.py
+tests this module.
 """
 
 from collections.abc import Callable
@@ -21,16 +24,16 @@
 from .key_table import Caller, KeyTable
 from .workspace_quota import workspace_quota
 
-_GUESSES_EVERY_S = 10.0
-"""Least time between two lines that tell of requests with unknown keys, in seconds."""
+_UNKNOWN_KEYS_INTERVAL_S = 10.0
+"""Shortest time between two `unknown-keys` events, in seconds."""
 
 
 class CallerRequest(NamedTuple):
-    """What a request took along: its workspace, and what it took of that one's limit.
+    """What a request carries along: its workspace, and what it took of that workspace's quota.
 
     Args:
         workspace: The workspace; None where none is needed.
-        quota: What it took; None where nothing is limited.
+        quota: The decision by which it was admitted; None where no limit applies.
     """
 
     workspace: Optional[Workspace] = None
@@ -38,14 +41,14 @@
 
 
 class WorkspaceAdmission:
-    """Admits requests by key and by limit.
+    """Admits requests by key and by quota.
 
     Args:
         store_view: What this VM holds of the store.
-        quotas: Keeps the limits.
-        bounds: The fleet's figures.
+        quotas: Enforces the quotas.
+        bounds: Bounds that the settings of the fleet state.
         monotonic: Source of time, in seconds.
-        events: Takes lines on unknown keys.
+        events: Takes the event `unknown-keys`.
     """
 
     def __init__(
@@ -62,24 +65,24 @@
         self.monotonic = monotonic
         self.events = events
         self.table: Optional[KeyTable] = None
-        self._guesses = 0
-        self._told_at = float("-inf")
+        self._rejected_keys = 0
+        self._logged_at = float("-inf")
         store_view.listeners.append(self._on_change)
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Use other figures of the fleet from now on."""
+        """Use other bounds from now on."""
         self.bounds = bounds
 
     def workspace(self, name: str) -> Optional[Workspace]:
-        """Return a workspace of the configuration in force; None when it has none of this name."""
+        """Return a workspace of the active configuration by name; None when it has none."""
         return self.table.by_name.get(name) if self.table else None
 
     def caller(self, route: Route, digest: Optional[bytes]) -> Caller:
-        """Return who calls, or why the key is not accepted.
+        """Return the caller's workspace, or why its key is not accepted.
 
         Args:
             route: The request's route.
-            digest: Digest of its key; None when it has none.
+            digest: Digest of the request's key; None when it has none.
         """
         assert self.table is not None, "a route was found, so there is a configuration"
         found = self.table.caller(
@@ -90,15 +93,15 @@
             key_trust_s=self.bounds.key_trust_s,
         )
         if found.problem is not None:
-            self._note_guess()
+            self._count_rejected_key()
         return found
 
     async def take_quota(self, workspace: Workspace) -> QuotaDecision:
-        """Return whether a workspace may send one more request."""
+        """Return whether a workspace may send one more request, and count it if so."""
         return await self.quotas.take(workspace_quota(workspace, self.bounds))
 
     def give_back(self, taken: CallerRequest) -> None:
-        """Count a request no longer that no backend server has run."""
+        """Return what a request took, because no backend server has run it."""
         if taken.workspace is not None and taken.quota is not None:
             self.quotas.give_back(workspace_quota(taken.workspace, self.bounds), taken.quota)
 
@@ -108,16 +111,16 @@
         return workspace_quota(workspace, self.bounds) if workspace else None
 
     def _is_unknown(self, name: str) -> bool:
-        """Return whether a quota is that of a workspace that the configuration has no longer."""
+        """Return whether a quota belongs to a workspace that the configuration no longer has."""
         return self.workspace(name) is None and not is_server_quota(name)
 
-    def _note_guess(self) -> None:
-        self._guesses += 1
+    def _count_rejected_key(self) -> None:
+        self._rejected_keys += 1
         now = self.monotonic()
-        if now - self._told_at >= _GUESSES_EVERY_S:
-            self.events.state("unknown-keys", requests=self._guesses)
-            self._told_at = now
-            self._guesses = 0
+        if now - self._logged_at >= _UNKNOWN_KEYS_INTERVAL_S:
+            self.events.state("unknown-keys", requests=self._rejected_keys)
+            self._logged_at = now
+            self._rejected_keys = 0
 
     def _on_change(self, change: Change) -> None:
         if isinstance(change.after, RouteConfiguration):
--- a/sprucewinch/gateway/workspaces/allowed_regions.py
+++ b/sprucewinch/gateway/workspaces/allowed_regions.py
@@ -1,9 +1,9 @@
-"""Rule: in which regions a request may run when its route and its workspace both name some.
+"""Decides in which regions a request may run when its route and its workspace both name some.
 
-Question: which regions are allowed? Inputs: the route's regions and the workspace's, each empty for
-all. Rule: both bind. Where they have none in common, no region is allowed, which differs from all.
-Constants: none. Shows in: event `request`, `outcome` `no-region`. Tests:
-tests/test_gateway_keys.py.
+The inputs are the regions of the route and of the workspace; each is empty for all regions. Both
+lists apply. Where they have no region in common, no region is allowed, which differs from an empty
+list. The result appears in the event `request` as `outcome` `no-region`.
+tests/test_gateway_keys.py tests this module.
 """
 
 from typing import Optional
@@ -15,8 +15,8 @@
     """Return the regions that may run a request; empty for all, None for no region at all.
 
     Args:
-        route: Its route.
-        workspace: Its workspace, if any.
+        route: Route of the request.
+        workspace: Workspace of the request; None where none is needed.
     """
     if workspace is None or not workspace.regions:
         return route.regions
--- a/sprucewinch/gateway/workspaces/fair_order.py
+++ b/sprucewinch/gateway/workspaces/fair_order.py
@@ -1,20 +1,23 @@
-"""Rule: how far a workspace is ahead of its share of what callers send here.
-
-Question: which of two requests of the same rank gets room first? Inputs: the requests of each
-workspace at this VM for a service, each counted less as it grows older, the workspace's weight (the
-rate that it may send), time in monotonic seconds. Rule: fair share by decayed usage (Kay and
-Lauder, 1988). A workspace's usage for its weight is compared with that of all that send; twice as
-much is one step ahead, three times two, and so on. Those that are not ahead stand in the order of
-their callers' deadlines, as if there were one workspace.
-
-Why: a workspace that sends many times its usual fills servers and the places in which requests wait
-for room; others that stay within their share must not pay for it. Start-time fair queueing was
-ruled out: its virtual time moves with what is sent, and most requests are sent without waiting, so
-that a workspace which sends much is never far ahead of it.
-
-Load pattern: one workspace at 7.5 times its usual beside others at nine tenths of what the servers
-bear. Constants: `_DECAY_S`, `_LEAST_WEIGHT`, `_FORGOTTEN`. Shows in: order of the answers; no line.
-Tests: tests/test_gateway_fair_order.py.
+"""Decides by how much a workspace exceeds its fair share of the requests that callers send here.
+
+The result determines which of two requests of the same rank gets room at a server first. The inputs
+are the requests of each workspace to one service at this VM, each of which counts less as it ages,
+the workspace's weight (the rate that it may send), and monotonic time in seconds.
+
+The order is fair share by decayed usage (Kay and Lauder, 1988). A workspace's usage in relation to
+its weight is compared with that of all workspaces that send: twice as much is one step ahead, three
+times as much two, and so on. Requests of workspaces that are not ahead are ordered by the deadlines
+of their callers, as if there were one workspace.
+
+A workspace that sends many times its usual rate fills the servers and the places in which requests
+wait for room, and workspaces that stay within their share must not suffer from it. The load that
+the rule is for is one workspace at 7.5 times its usual rate, beside others at nine tenths of the
+servers' capacity. Start-time fair queueing is not used: its virtual time advances with what is
+sent, and most requests are sent without waiting, so that a workspace which sends much is never far
+ahead of it.
+
+`_DECAY_S`, `_MIN_WEIGHT_PER_S` and `_MIN_USAGE_REQUESTS` are its parameters. The result shows only
+in the order of the answers; no event tells it. tests/test_gateway_fair_order.py tests this module.
 """
 
 import math
@@ -23,24 +26,24 @@
 from ..resources import Workspace
 
 _DECAY_S = 1.0
-"""Time after which a request counts 1/e, in seconds: longer than a caller needs for some requests
-at once, shorter than a burst that fills servers."""
+"""Time after which a request counts 1/e, in seconds: longer than a caller takes to send a few
+requests together, shorter than a burst that fills the servers."""
 
-_LEAST_WEIGHT = 1.0
+_MIN_WEIGHT_PER_S = 1.0
 """Weight of a workspace without a limit, or with a smaller one, in requests a second."""
 
-_FORGOTTEN = 0.01
-"""Usage below which a workspace counts as one that sends nothing, in requests."""
+_MIN_USAGE_REQUESTS = 0.01
+"""Usage below which a workspace counts as idle, in requests."""
 
-_SWEEP_EVERY = 256
-"""Requests between two looks for workspaces that send nothing."""
+_SWEEP_INTERVAL_REQUESTS = 256
+"""Requests between two checks for idle workspaces."""
 
 
 class Usage:
-    """What one workspace sent lately.
+    """Decayed count of the requests of one workspace, or of all.
 
     Args:
-        weight: Its weight.
+        weight: Weight of the workspace, in requests a second.
     """
 
     __slots__ = ("at", "requests", "weight")
@@ -51,14 +54,14 @@
         self.at = 0.0
 
     def decay(self, now: float) -> float:
-        """Return what counts at a monotonic time, in requests."""
+        """Decay the usage to a monotonic time in seconds, and return it in requests."""
         self.requests *= math.exp(-max(0.0, now - self.at) / _DECAY_S)
         self.at = now
         return self.requests
 
 
 class FairOrder:
-    """Usage of all workspaces of one service."""
+    """Usage of all workspaces that send to one service."""
 
     __slots__ = ("_all", "_since_sweep", "by_name")
 
@@ -71,7 +74,7 @@
         """Count a request, and return by how many steps its workspace is ahead of its share.
 
         Args:
-            workspace: Its workspace; one without is never ahead.
+            workspace: Workspace of the request; a request without one is never ahead.
             now: Monotonic time, in seconds.
         """
         if workspace is None:
@@ -86,7 +89,7 @@
         return max(0, int(usage.requests / usage.weight / mean) - 1)
 
     def _usage(self, workspace: Workspace) -> Usage:
-        weight = max(_LEAST_WEIGHT, workspace.rate_per_s)
+        weight = max(_MIN_WEIGHT_PER_S, workspace.rate_per_s)
         usage = self.by_name.get(workspace.name)
         if usage is None:
             usage = self.by_name[workspace.name] = Usage(weight)
@@ -97,11 +100,13 @@
         return usage
 
     def _sweep(self, now: float) -> None:
-        """Forget workspaces that send nothing, so that the others are compared among themselves."""
+        """Remove idle workspaces, so that the others are compared only with each other."""
         self._since_sweep += 1
-        if self._since_sweep < _SWEEP_EVERY:
+        if self._since_sweep < _SWEEP_INTERVAL_REQUESTS:
             return
         self._since_sweep = 0
-        for name in [n for n, usage in self.by_name.items() if usage.decay(now) < _FORGOTTEN]:
+        for name in [
+            n for n, usage in self.by_name.items() if usage.decay(now) < _MIN_USAGE_REQUESTS
+        ]:
             del self.by_name[name]
         self._all.weight = sum(usage.weight for usage in self.by_name.values())
--- a/sprucewinch/gateway/workspaces/key_table.py
+++ b/sprucewinch/gateway/workspaces/key_table.py
@@ -1,21 +1,22 @@
-"""Rule: which workspace calls, and what a VM says of a key that it does not know.
+"""Decides which workspace a caller belongs to, and how a VM refuses a key that it does not know.
 
-Question: may this caller's request be run, and in whose name? Inputs: the key's digest, the route,
-the workspaces of the configuration in force, the age of what this VM holds of the store in seconds.
+The inputs are the key's digest, the route, the workspaces of the active configuration, and the age
+in seconds of what this VM holds of the store.
 
-Rule: a public route needs no key, nor does any route while the configuration has no workspaces.
-A missing key is refused for good. So is an unknown one, but only while this VM has heard from
-the store, itself or through other VMs, within the time in which a change has to be in force
-everywhere (`config_s`): behind that the key may have been added meanwhile, and the caller is told
-to come back. A known key is accepted however old the configuration is, unless operators bound that
-(`key_trust_s`).
+A public route needs no key, nor does any route while the configuration has no workspaces. A missing
+key is refused for good. So is an unknown key, but only while this VM has heard from the store,
+itself or through other VMs, within the time in which a change has to be active at all VMs
+(`config_s`). A VM that is further behind may have missed the addition of the key, so the caller is
+told to retry. A known key is accepted however old the configuration is, unless operators limit its
+age (`key_trust_s`).
 
-Why: a 401 ends a caller's tries, so a VM that may be behind must not say it of a key that was just
-added. Refusing known keys in an outage of the store would turn all callers of a data hall away that
-is cut off, and keys are taken away seldom; where that matters more, operators set the bound.
+A caller that gets a 401 stops retrying, so a VM that may be behind must not send it for a key that
+was just added. Refusing known keys while the store is unavailable would turn away all callers of a
+data hall that is cut off, and keys are seldom revoked; operators for whom a revocation matters more
+set the limit.
 
-Constants: none; the times come from the settings. Shows in: event `request`, `outcome`
-`unknown-key` or `behind`. Tests: tests/test_gateway_keys.py.
+Both times come from the settings. The result appears in the event `request` as `outcome`
+`unknown-key` or `behind`. tests/test_gateway_keys.py tests this module.
 """
 
 import enum
@@ -30,11 +31,11 @@
     UNKNOWN = "unknown"
     """No workspace has it, or none was sent."""
     BEHIND = "behind"
-    """This VM has not heard from the store for too long to say."""
+    """This VM has not heard from the store for too long to tell."""
 
 
 class Caller(NamedTuple):
-    """Who calls.
+    """The caller of a request.
 
     Args:
         workspace: The workspace of the key; None where none is needed.
@@ -46,10 +47,10 @@
 
 
 class KeyTable:
-    """Workspaces of one configuration by key and by name.
+    """Workspaces of one configuration by key digest and by name.
 
     Args:
-        configuration: The version in force.
+        configuration: The active version.
     """
 
     __slots__ = ("by_key", "by_name")
@@ -68,14 +69,14 @@
         config_s: float,
         key_trust_s: Optional[float],
     ) -> Caller:
-        """Return who calls, or why the key is not accepted.
+        """Return the caller's workspace, or why its key is not accepted.
 
         Args:
             route: The request's route.
-            digest: Digest of its key; None when it has none.
-            age_s: Time since this VM knew to hold what the store holds, in seconds.
-            config_s: See `Bounds`.
-            key_trust_s: See `Bounds`.
+            digest: Digest of the request's key; None when it has none.
+            age_s: Time since this VM was last known to hold what the store holds, in seconds.
+            config_s: See `Bounds`, in seconds.
+            key_trust_s: See `Bounds`, in seconds; None for no limit.
         """
         if route.public or not self.by_name:
             return Caller()
--- a/sprucewinch/gateway/workspaces/workspace_quota.py
+++ b/sprucewinch/gateway/workspaces/workspace_quota.py
@@ -1,15 +1,13 @@
-"""Rule: what a workspace may send over the whole fleet, as buckets keep it.
+"""Computes the quota of a workspace from its rate, its burst and the fleet's bounds on a window.
 
-Question: at which rate do the buckets of a workspace's quota gain, and how wide are they? Inputs:
-the workspace's rate and burst, the fleet's bounds on a window. Rule: the rate is what a window
-allows, rate x window + burst, spread over the window; the width and the first content are parts of
-the margin that the bounds leave.
+A window allows rate x window + burst requests. The rate of the buckets is that number spread over
+the window. Their capacity and initial content are parts of the margin that the bounds leave.
 
-Why so: the burst is in the rate, not in the width: a workspace that goes on above its rate is
+The burst is part of the rate and not of the capacity: a workspace that continues above its rate is
 served as much as a window allows, and one that sends its whole burst at once gets it spread over
 some tenths of a second.
 
-Constants: those below. Shows in: `operate.py workspaces`. Tests: tests/test_gateway_quota.py.
+What is used appears in `operate.py workspaces`. tests/test_gateway_quota.py tests this module.
 """
 
 from ..quotas.bucket import GRANT_RETURNABLE_S
@@ -17,34 +15,35 @@
 from ..resources import Workspace
 from ..settings import Bounds
 
-_USED_PART = 0.2
-"""Part of the excess that the bounds allow by which the rate lies above the limit, so that what is
-lost on the way does not take a workspace below it."""
+_RATE_EXCESS_RATIO = 0.2
+"""Part of the allowed excess that is added to the rate, so that lost messages do not take a
+workspace below its limit."""
 
-_WIDTH_PART = 0.7
-"""Part of the margin that buckets are wide."""
+_CAPACITY_RATIO = 0.7
+"""Part of the margin that is the capacity of the buckets."""
 
-_FIRST_PART = 0.15
-"""Part of the margin that buckets begin with: two starts in a window are the rest of it."""
+_INITIAL_RATIO = 0.15
+"""Part of the margin that is the initial content of the buckets: two starts of VMs in a window use
+the rest of the margin."""
 
-_LEAST_MARGIN = 5.0
-"""Least margin that is kept for the width of buckets, in requests: one narrower than a request
-would never give any."""
+_MIN_MARGIN_REQUESTS = 5.0
+"""Smallest margin that is kept for the capacity of buckets, in requests: a bucket that holds less
+than one request would never grant any."""
 
 
 def workspace_quota(workspace: Workspace, bounds: Bounds) -> Quota:
-    """Return the quota of a workspace within the fleet's bounds on a window."""
+    """Return the quota of a workspace within the fleet's bounds on a window, see `Bounds`."""
     return Quota(workspace.name, quota_limit(workspace, bounds), workspace.rate_per_s)
 
 
 def quota_limit(workspace: Workspace, bounds: Bounds) -> QuotaLimit:
-    """Return the limit of a workspace within the fleet's bounds on a window."""
+    """Return the limit of a workspace within the fleet's bounds on a window, see `Bounds`."""
     allowed = workspace.rate_per_s * bounds.quota_window_s + workspace.burst
     bound = allowed * (1 + bounds.quota_over) + bounds.quota_slack
-    rate = allowed * (1 + _USED_PART * bounds.quota_over) / bounds.quota_window_s
+    rate = allowed * (1 + _RATE_EXCESS_RATIO * bounds.quota_over) / bounds.quota_window_s
     margin = bound - rate * (bounds.quota_window_s + GRANT_RETURNABLE_S)
-    if margin < _LEAST_MARGIN:
-        # Bounds that leave nothing: the burst is the margin.
-        rate = max(0.0, bound - _LEAST_MARGIN) / (bounds.quota_window_s + GRANT_RETURNABLE_S)
-        margin = min(bound, _LEAST_MARGIN)
-    return QuotaLimit(rate, _WIDTH_PART * margin, _FIRST_PART * margin)
+    if margin < _MIN_MARGIN_REQUESTS:
+        # The bounds leave too small a margin, so it is taken from the rate, which holds the burst.
+        rate = max(0.0, bound - _MIN_MARGIN_REQUESTS) / (bounds.quota_window_s + GRANT_RETURNABLE_S)
+        margin = min(bound, _MIN_MARGIN_REQUESTS)
+    return QuotaLimit(rate, _CAPACITY_RATIO * margin, _INITIAL_RATIO * margin)
--- a/tests/test_gateway_fair_order.py
+++ b/tests/test_gateway_fair_order.py
@@ -1,4 +1,4 @@
-"""Fair shares of workspaces: one that sends many times its usual takes no other's room."""
+"""Fair shares: a workspace that sends many times its usual rate takes no room from others."""
 
 import math
 import random
@@ -22,13 +22,13 @@
 
 
 class Shares(unittest.TestCase):
-    def test_who_keeps_to_its_share_is_not_ahead(self) -> None:
+    def test_a_workspace_within_its_share_is_not_ahead(self) -> None:
         order = FairOrder()
         for step in range(60):
             steps = [order.arrived(workspace(name), step / 10) for name in "abc"]
             self.assertEqual(steps[-1], 0)
 
-    def test_who_sends_more_is_ahead_by_what_it_sends_more(self) -> None:
+    def test_a_workspace_that_sends_more_is_ahead_by_its_excess(self) -> None:
         order = FairOrder()
         ahead = 0
         for step in range(400):
@@ -47,7 +47,7 @@
                 order.arrived(workspace("small", 4.0), now)
             self.assertEqual(order.arrived(workspace("large", 40.0), now), 0)
 
-    def test_a_time_of_silence_is_forgotten(self) -> None:
+    def test_an_idle_workspace_is_removed(self) -> None:
         order = FairOrder()
         for step in range(200):
             order.arrived(workspace("was hot"), step / 100)
@@ -57,13 +57,15 @@
         self.assertEqual(list(order.by_name), ["other"])
         self.assertEqual(order.arrived(workspace("was hot"), 34.0), 0)
 
-    def test_without_workspaces_nobody_is_ahead(self) -> None:
+    def test_requests_without_a_workspace_are_not_ahead(self) -> None:
         order = FairOrder()
         self.assertEqual([order.arrived(None, 0.0) for _ in range(3)], [0, 0, 0])
 
     @given(st.lists(st.tuples(st.sampled_from("aabc"), st.floats(0, 0.5)), max_size=200))
-    def test_against_counts_of_a_plain_list(self, sent: list[tuple[str, float]]) -> None:
-        """The oracle adds up every request since the start."""
+    def test_the_result_agrees_with_counts_of_a_plain_list(
+        self, sent: list[tuple[str, float]]
+    ) -> None:
+        """The oracle sums every request since the start, each decayed."""
         order, now, past = FairOrder(), 0.0, []
         for name, pause in sent:
             now += pause
@@ -76,8 +78,8 @@
             self.assertAlmostEqual(ahead, max(0, math.floor(expected) - 1), delta=1)
 
 
-async def served_in_time(loop: VirtualLoop, hot_factor: float) -> Counter[str]:
-    """Return the requests served in time of each workspace, at nine tenths of what servers bear."""
+async def served_in_time(loop: VirtualLoop, burst_factor: float) -> Counter[str]:
+    """Return each workspace's requests served in time, at nine tenths of the servers' capacity."""
     path = Path(loop, servers=4)
     for server in path.servers.values():
         server.slots, server.work_s = 6, 0.1
@@ -99,7 +101,7 @@
 
     async def caller(name: str) -> None:
         rng = random.Random(name)
-        rate = 0.9 * 240 / len(names) * (hot_factor if name == "w0" else 1.0)
+        rate = 0.9 * 240 / len(names) * (burst_factor if name == "w0" else 1.0)
         for number in range(int(rate * 8)):
             await pass_time(rng.expovariate(rate))
             loop.create_task(send(name, number, f"object-{rng.randrange(40)}"))
@@ -112,13 +114,13 @@
 
 
 class HotWorkspace(unittest.TestCase):
-    def test_a_burst_of_one_takes_no_other_ones_room(self) -> None:
+    def test_a_burst_of_one_workspace_takes_no_room_from_others(self) -> None:
         calm = run_virtual(lambda loop: served_in_time(loop, 1.0))
         hot = run_virtual(lambda loop: served_in_time(loop, 7.5))
         others = [hot[name] / calm[name] for name in calm if name != "w0"]
         self.assertGreater(min(others), 0.95, (calm, hot))
 
-    def test_the_pipeline_has_one_order_a_service(self) -> None:
+    def test_the_pipeline_has_one_order_for_each_service(self) -> None:
         async def main(loop: VirtualLoop) -> Pipeline:
             path = Path(loop)
             path.world.configure(route())
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -1,4 +1,4 @@
-"""Who calls: keys, workspaces, what a VM that is behind says, and where a key may never stand."""
+"""Callers: keys, workspaces, answers of a VM that is behind, and where a key must never appear."""
 
 import unittest
 from typing import Any, Optional
@@ -33,7 +33,7 @@
 
 
 class KeptEvents(EventLog):
-    """Keeps lines."""
+    """Keeps the events that are written."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
@@ -42,18 +42,18 @@
         self.lines.append((event, inputs))
 
     def count(self, counter: str) -> None:
-        """Drop a count."""
+        """Ignore a count."""
 
 
 def configured(world: World, *workspaces: Workspace, version: int = 1, **changes: object) -> None:
-    """Put workspaces in force beside a route."""
+    """Configure workspaces and a route."""
     world.configure(route(**changes), version=version)
     held = world.store_view.configuration
     assert held is not None
     world.say("configuration", held._replace(workspaces=workspaces, version=version + 1))
 
 
-class WhoCalls(unittest.TestCase):
+class CallerLookup(unittest.TestCase):
     def ask(
         self,
         key: Optional[str],
@@ -69,7 +69,7 @@
         digest = None if key is None else key_digest(key)
         return table.caller(route(public=public), digest, age_s, config_s=3.0, key_trust_s=trust_s)
 
-    def test_a_key_names_its_workspace(self) -> None:
+    def test_a_key_identifies_its_workspace(self) -> None:
         self.assertEqual(self.ask(KEY).workspace, SHIPPER)
         self.assertEqual(self.ask("second").workspace, SHIPPER)
         self.assertEqual(self.ask("third").workspace, BROKER)
@@ -79,14 +79,14 @@
         self.assertIs(self.ask("nobody's").problem, KeyProblem.UNKNOWN)
         self.assertIs(self.ask(None, age_s=99.0).problem, KeyProblem.UNKNOWN)
 
-    def test_a_vm_that_is_behind_says_so_of_an_unknown_key(self) -> None:
+    def test_a_vm_that_is_behind_reports_it_for_an_unknown_key(self) -> None:
         self.assertIs(self.ask("just added", age_s=3.1).problem, KeyProblem.BEHIND)
         self.assertIs(self.ask("just added", age_s=2.9).problem, KeyProblem.UNKNOWN)
 
     def test_a_vm_that_is_behind_goes_on_accepting_known_keys(self) -> None:
         self.assertEqual(self.ask(KEY, age_s=3600.0).workspace, SHIPPER)
 
-    def test_operators_bound_how_long(self) -> None:
+    def test_operators_limit_how_long_known_keys_are_accepted(self) -> None:
         self.assertEqual(self.ask(KEY, age_s=4.9, trust_s=5.0).workspace, SHIPPER)
         self.assertIs(self.ask(KEY, age_s=5.1, trust_s=5.0).problem, KeyProblem.BEHIND)
 
@@ -106,7 +106,7 @@
         self.assertNotEqual(key_digest(KEY), key_digest(KEY + "x"))
         self.assertNotIn(KEY.encode(), key_digest(KEY))
 
-    def test_guesses_are_told_seldom(self) -> None:
+    def test_guesses_are_logged_seldom(self) -> None:
         async def main(loop: VirtualLoop) -> list:
             world, events = World(), KeptEvents()
             admission = WorkspaceAdmission(
@@ -123,7 +123,7 @@
 
 
 class Regions(unittest.TestCase):
-    def test_both_bind(self) -> None:
+    def test_the_regions_of_route_and_workspace_both_apply(self) -> None:
         both = route(regions=("east", "west"))
         self.assertEqual(allowed_regions(route(), None), ())
         self.assertEqual(allowed_regions(both, None), ("east", "west"))
@@ -133,7 +133,9 @@
         self.assertEqual(allowed_regions(both, SHIPPER), ("east", "west"))
 
     @given(st.sets(st.sampled_from("abcd")), st.sets(st.sampled_from("abcd")))
-    def test_against_sets(self, of_route: set[str], of_workspace: set[str]) -> None:
+    def test_the_result_equals_the_intersection_of_sets(
+        self, of_route: set[str], of_workspace: set[str]
+    ) -> None:
         everywhere = set("abcd")
         expected = (of_route or everywhere) & (of_workspace or everywhere)
         found = allowed_regions(
@@ -144,14 +146,14 @@
 
 
 class Requests(unittest.TestCase):
-    """The step in the pipeline."""
+    """Admission as a step of the pipeline."""
 
     async def admitted(self, path: Path, key: Optional[str], **changes: object) -> Any:
         digest = None if key is None else key_digest(key)
         request = path.request("q1", api_key=digest, **changes)
         return request, await path.pipeline.admit(request)
 
-    def test_the_workspace_goes_on_and_its_regions_bind(self) -> None:
+    def test_the_workspace_is_passed_on_and_its_regions_apply(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=4, halls=("east-a", "west-a"))
             configured(path.world, SHIPPER, BROKER)
@@ -180,7 +182,7 @@
 
         run_virtual(main)
 
-    def test_a_workspace_that_goes_meanwhile(self) -> None:
+    def test_a_workspace_that_is_removed_meanwhile(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=2)
             configured(path.world, SHIPPER, BROKER)
@@ -191,7 +193,7 @@
 
         run_virtual(main)
 
-    def test_over_quota_is_429_with_the_time_to_return(self) -> None:
+    def test_over_quota_is_429_with_retry_after(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=2)
             configured(path.world, SHIPPER)
@@ -204,7 +206,7 @@
 
         run_virtual(main)
 
-    def test_what_did_not_run_is_given_back(self) -> None:
+    def test_a_request_that_did_not_run_is_given_back(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=2)
             configured(path.world, SHIPPER)
@@ -239,9 +241,9 @@
 
 
 class WholeVm(unittest.TestCase):
-    """What callers and servers see, and where no key may stand."""
+    """What callers and servers see, and where no key may appear."""
 
-    def test_keys_on_the_way(self) -> None:
+    def test_keys_appear_in_no_header_log_or_state(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             vm = VirtualGateway(loop, servers=1)
             vm.store.put("op/config", KEYED)
@@ -278,7 +280,7 @@
 
         run_virtual(main)
 
-    def test_a_caller_that_leaves_while_its_limit_is_asked_for(self) -> None:
+    def test_a_caller_that_leaves_while_its_quota_is_asked_for(self) -> None:
         class SlowQuotas(FreeQuotas):
             async def take(self, workspace: Workspace) -> QuotaDecision:
                 await pass_time(0.1)
@@ -317,7 +319,7 @@
 
         run_virtual(main)
 
-    def test_an_unusable_configuration_tells_no_key(self) -> None:
+    def test_an_unusable_configuration_reveals_no_key(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             vm = VirtualGateway(loop, servers=1)
             vm.store.put("op/config", KEYED)
@@ -360,7 +362,7 @@
         self.assertEqual(request.api_key, key_digest(KEY))
         self.assertNotIn(KEY, repr(request))
 
-    def test_two_keys_are_no_proof_of_either(self) -> None:
+    def test_a_request_with_two_keys_has_none(self) -> None:
         for second in (KEY, "another"):
             keys = [(b"api-key", KEY.encode()), (b"API-Key".lower(), second.encode())]
             scope = {"method": "GET", "raw_path": b"/rates/a", "headers": keys}
