--- a/sprucewinch/gateway/crashes/guilt.py
+++ b/sprucewinch/gateway/crashes/guilt.py
@@ -1,19 +1,19 @@
 """Decides whether a request crashes the backend servers that run it.
 
-The question is whether a request that is sent again and again ends the servers, or was only there
-when they crashed. The evidence is, since the last success of an equal request: its runs at servers
-whose processes ended, the crashes at which it was absent, and which other requests were present at
+The question is whether a request that is sent again and again crashes the servers, or was only
+present when they crashed. The evidence is, since the last success of an equal request: its runs at
+servers that crashed, the crashes at which it was absent, and which other requests were present at
 each crash. Times are monotonic, in seconds.
 
-Two loads have to be told apart. In one, a single request ends each server that runs it, beside
+Two loads have to be told apart. In one, a single request crashes each server that runs it, beside
 hundreds of requests that were present by chance. In the other, servers crash for reasons of their
 own, one at a time, in series or a whole data hall at once, under requests that did nothing.
 
 A request is refused after `MIN_CRASHES` consecutive runs that ended in a crash: each began after
-the one before had ended, within `_SKEW_S`. A crash at which another request was present that is
-refused already does not count. One more crash is needed for each incident in which servers of the
-same service crashed without the request, and one more while another request was present at all of
-the same crashes; `_MAX_EXTRA_CRASHES` in total.
+the one before had ended, with a tolerance of `_SKEW_S`. A crash at which another request was
+present that is refused already does not count. One more crash is needed for each incident in which
+servers of the same service crashed without the request, and one more while another request was
+present at all of the same crashes; `_MAX_EXTRA_CRASHES` in total.
 
 One success clears a request, so a popular one never comes near the limit. Overlapping runs count
 once, because servers that crash together have a common cause of their own. Where one of twelve
@@ -54,8 +54,8 @@
 all its servers within that time."""
 
 
-class Judgement(NamedTuple):
-    """The evidence against a request, counted.
+class Assessment(NamedTuple):
+    """The evidence against a request, as counts.
 
     Args:
         crashes: Consecutive runs of it that ended in a crash.
@@ -71,13 +71,13 @@
         return self.crashes >= self.needed
 
 
-def judge(
+def assess(
     log: CrashLog,
     fingerprint: bytes,
     refused: Collection[bytes] = (),
     *,
     until: float = float("inf"),
-) -> Judgement:
+) -> Assessment:
     """Count the evidence against a request.
 
     Args:
@@ -95,7 +95,7 @@
         if crash.at <= until and not _is_attributed(crash, fingerprint, refused)
     ]
     if not crashes:
-        return Judgement(0, MIN_CRASHES)
+        return Assessment(0, MIN_CRASHES)
     runs = [SuspectRun(crash.suspects[fingerprint].started, crash.at) for crash in crashes]
     without = [
         crash.at
@@ -103,7 +103,7 @@
         if not _is_attributed(crash, fingerprint, refused)
     ]
     more = count_incidents(without) + _has_co_suspect(fingerprint, crashes)
-    return Judgement(count_consecutive(runs), MIN_CRASHES + min(_MAX_EXTRA_CRASHES, more))
+    return Assessment(count_consecutive(runs), MIN_CRASHES + min(_MAX_EXTRA_CRASHES, more))
 
 
 def _is_attributed(crash: Crash, fingerprint: bytes, refused: Collection[bytes]) -> bool:
--- a/sprucewinch/gateway/crashes/quarantine.py
+++ b/sprucewinch/gateway/crashes/quarantine.py
@@ -1,6 +1,6 @@
 """Decides which requests are refused because they crash servers, and for how long.
 
-The quarantine tells whether a request may be sent now. Its inputs are the request's fingerprint,
+The quarantine decides whether a request may be sent now, from the request's fingerprint,
 the requests that are confirmed to crash servers (`suspects`, `guilt`), the quarantined requests in
 the store, and monotonic time in seconds.
 
@@ -39,13 +39,13 @@
 from .crash_log import Crash
 from .crash_reports import GoodEndReport
 from .fingerprint import FingerprintedRequest, Fingerprinter
-from .guilt import MAX_CRASHES, Judgement
+from .guilt import MAX_CRASHES, Assessment
 from .held import Held
 from .suspects import ConfirmedSuspect, Suspects
 
 _MIN_TRIALS = 1
-"""Trials of a request that crashed many servers before any VM could know of it: the attribution may
-be wrong."""
+"""Trials of a request that crashed many servers before any VM could know of it: the decision to
+refuse it may be wrong."""
 
 MAX_QUARANTINED = 256
 """Requests that are quarantined at once; the oldest is evicted, so that callers who send many such
@@ -77,7 +77,7 @@
         held: Requests that are refused, by fingerprint.
         pending_removals: Requests whose items are to be removed from the store, by fingerprint,
             each with the monotonic time until which that applies, in seconds.
-        changed: Set when evidence is to be evaluated, or the store is to be written.
+        changed: Set when evidence is to be assessed, or the store is to be written.
     """
 
     def __init__(
@@ -104,9 +104,9 @@
 
     def refusal(self, request: FingerprintedRequest) -> Optional[Held]:
         """Return the entry by which a request is refused; None when it may be sent."""
-        if request.on_trial or not (self._targets or self.suspects.has_unjudged):
+        if request.on_trial or not (self._targets or self.suspects.has_unassessed):
             return None
-        self.judge_due()
+        self.assess_due()
         if not self._targets[self.names.target_of(request)]:
             return None
         held = self.held.get(self.names.fingerprint_of(request))
@@ -117,14 +117,14 @@
             return None
         return held
 
-    def judgement(self, request: FingerprintedRequest) -> Judgement:
+    def judgement(self, request: FingerprintedRequest) -> Assessment:
         """Return the evidence against a request that is not refused.
 
         It holds no crashes when the request is no suspect.
         """
-        return self.suspects.judgement(request, self.held)
+        return self.suspects.assessment(request, self.held)
 
-    def judge_due(self) -> None:
+    def assess_due(self) -> None:
         """Quarantine the requests that are confirmed to crash servers by now."""
         for confirmed in self.suspects.confirmed(self.held):
             if confirmed.suspect.fingerprint not in self.held:
@@ -174,7 +174,7 @@
             what=suspect.what,
             since=round(self.wall(), _AGE_DIGITS),
             crashes=_evidence(crashes, now),
-            trials_left=max(_MIN_TRIALS, MAX_CRASHES - confirmed.judgement.crashes),
+            trials_left=max(_MIN_TRIALS, MAX_CRASHES - confirmed.assessment.crashes),
         )
         self._put(Held(request, now, witnessed=witnessed))
         self.changed.set()
@@ -183,7 +183,7 @@
             "request-quarantined",
             fingerprint=request.fingerprint,
             what=request.what,
-            needed=confirmed.judgement.needed,
+            needed=confirmed.assessment.needed,
             crashes=[each._asdict() for each in request.crashes],
         )
 
--- a/sprucewinch/gateway/crashes/quarantine_store.py
+++ b/sprucewinch/gateway/crashes/quarantine_store.py
@@ -114,9 +114,9 @@
         )
 
     async def _wait(self) -> None:
-        """Wait for a change, or until a write may be due or evidence is to be evaluated."""
+        """Wait for a change, or until a write may be due or evidence is to be assessed."""
         self.quarantine.changed.clear()
-        due_in_s = self.quarantine.suspects.next_judgement_in_s()
+        due_in_s = self.quarantine.suspects.next_assessment_in_s()
         try:
             async with asyncio.timeout(
                 _CHECK_INTERVAL_S if due_in_s is None else min(_CHECK_INTERVAL_S, due_in_s)
@@ -128,7 +128,7 @@
 
     async def _step(self) -> None:
         """Remove the items of released requests, then write those of refused ones."""
-        self.quarantine.judge_due()
+        self.quarantine.assess_due()
         now = self.timing.monotonic()
         pending_removals = self.quarantine.pending_removals
         for fingerprint, until in list(pending_removals.items()):
--- a/sprucewinch/gateway/crashes/suspects.py
+++ b/sprucewinch/gateway/crashes/suspects.py
@@ -1,10 +1,10 @@
-"""Tracks the requests that servers had when they crashed, and when the evidence is evaluated.
+"""Tracks the requests that servers had when they crashed, and when the evidence is assessed.
 
 This module owns the evidence of one VM, from its own requests and from the reports of others, and
-the set of requests that are to be evaluated again. A crash counts once it is older than
+the set of requests that are to be assessed again. A crash counts once it is older than
 `MIN_CRASH_AGE_S`. Evaluated sooner, a request that was present by chance could be known for one
 crash more than the request that caused it, and be refused in its place. The module relies on
-`crash_log` to merge the evidence and on `guilt` to evaluate it; `quarantine` refuses the requests
+`crash_log` to merge the evidence and on `guilt` to assess it; `quarantine` refuses the requests
 that are confirmed. `test_gateway_quarantine` and `test_gateway_crash_reports` test this module.
 """
 
@@ -15,7 +15,7 @@
 from .crash_log import Crash, CrashLog, ServerProcess, Suspect
 from .crash_reports import CrashReport, ObservedCrash, observed_crash
 from .fingerprint import FingerprintedRequest, Fingerprinter
-from .guilt import MAX_CRASHES, MIN_CRASHES, Judgement, judge
+from .guilt import MAX_CRASHES, MIN_CRASHES, Assessment, assess
 
 MIN_CRASH_AGE_S = 0.15
 """Age from which a crash counts, in seconds: two transits of 35 ms between regions and the delay of
@@ -30,15 +30,15 @@
 
     Args:
         suspect: The request.
-        judgement: The evidence that confirms it.
+        assessment: The evidence that confirms it.
     """
 
     suspect: Suspect
-    judgement: Judgement
+    assessment: Assessment
 
 
-class _Unjudged(NamedTuple):
-    """Crashes of a request that are to be evaluated: monotonic times, in seconds."""
+class _Unassessed(NamedTuple):
+    """Crashes of a request that are to be assessed: monotonic times, in seconds."""
 
     first: float
     last: float
@@ -61,7 +61,7 @@
         name: Name of this VM.
         names: Computes the fingerprints of requests.
         monotonic: Source of time, in seconds.
-        on_evidence: Called when a request is to be evaluated.
+        on_evidence: Called when a request is to be assessed.
 
     Attributes:
         reporter: Reports to other VMs; None while there is no other VM.
@@ -81,12 +81,12 @@
         self.log = CrashLog()
         self.reporter: Optional[Reporter] = None
         self.on_evidence = on_evidence
-        self._unjudged: dict[bytes, _Unjudged] = {}
+        self._unassessed: dict[bytes, _Unassessed] = {}
 
     @property
-    def has_unjudged(self) -> bool:
-        """Whether a request is to be evaluated."""
-        return bool(self._unjudged)
+    def has_unassessed(self) -> bool:
+        """Whether a request is to be assessed."""
+        return bool(self._unassessed)
 
     def note_crash(
         self, request: FingerprintedRequest, server: BackendServer, started: float, ended: float
@@ -122,7 +122,7 @@
                     found.setdefault(crash, []).append(crash.suspects[suspect.fingerprint])
         return [_observation(crash, suspects) for crash, suspects in found.items()]
 
-    def judgement(self, request: FingerprintedRequest, refused: Collection[bytes]) -> Judgement:
+    def assessment(self, request: FingerprintedRequest, refused: Collection[bytes]) -> Assessment:
         """Return the evidence against a request; with no crashes when it is no suspect.
 
         Args:
@@ -130,8 +130,8 @@
             refused: Fingerprints of requests that are refused already.
         """
         if not self.log.crashes or not self.log.has_target(self.names.target_of(request)):
-            return Judgement(0, MIN_CRASHES)
-        return judge(self.log, self.names.fingerprint_of(request), refused)
+            return Assessment(0, MIN_CRASHES)
+        return assess(self.log, self.names.fingerprint_of(request), refused)
 
     def confirmed(self, refused: Collection[bytes]) -> list[ConfirmedSuspect]:
         """Return the requests that are confirmed by crashes older than `MIN_CRASH_AGE_S`.
@@ -140,35 +140,35 @@
             refused: Fingerprints of requests that are refused already.
         """
         until = self.monotonic() - MIN_CRASH_AGE_S
-        due = [key for key, crashes in self._unjudged.items() if crashes.first <= until]
+        due = [key for key, crashes in self._unassessed.items() if crashes.first <= until]
         found = []
         for fingerprint in due:
-            last = self._unjudged.pop(fingerprint).last
+            last = self._unassessed.pop(fingerprint).last
             if last > until:
-                self._unjudged[fingerprint] = _Unjudged(last, last)
-            judgement = judge(self.log, fingerprint, refused, until=until)
+                self._unassessed[fingerprint] = _Unassessed(last, last)
+            assessment = assess(self.log, fingerprint, refused, until=until)
             suspect = self.log.suspect(fingerprint)
-            if suspect is not None and judgement.must_refuse:
-                found.append(ConfirmedSuspect(suspect, judgement))
+            if suspect is not None and assessment.must_refuse:
+                found.append(ConfirmedSuspect(suspect, assessment))
         return found
 
-    def next_judgement_in_s(self) -> Optional[float]:
-        """Return the time until the next evaluation, in seconds; None when none is due."""
-        if not self._unjudged:
+    def next_assessment_in_s(self) -> Optional[float]:
+        """Return the time until the next assessment, in seconds; None when none is due."""
+        if not self._unassessed:
             return None
-        first = min(crashes.first for crashes in self._unjudged.values())
+        first = min(crashes.first for crashes in self._unassessed.values())
         return max(0.0, first + MIN_CRASH_AGE_S - self.monotonic())
 
     def _add(self, observed: ObservedCrash) -> None:
-        """Merge a crash, and have its requests evaluated once the reports of other VMs are in."""
+        """Merge a crash, and have its requests assessed once the reports of other VMs are in."""
         suspects = {suspect.fingerprint: suspect for suspect in observed.suspects}
         self.log.add(observed.process, observed.service, observed.at, suspects, observed.seen_by)
         for fingerprint in suspects:
             if self.log.crash_count(fingerprint) < MIN_CRASHES:
                 continue
-            before = self._unjudged.get(fingerprint, _Unjudged(observed.at, observed.at))
+            before = self._unassessed.get(fingerprint, _Unassessed(observed.at, observed.at))
             first, last = min(before.first, observed.at), max(before.last, observed.at)
-            self._unjudged[fingerprint] = _Unjudged(first, last)
+            self._unassessed[fingerprint] = _Unassessed(first, last)
             self.on_evidence()
 
 
--- a/sprucewinch/gateway/quotas/owners.py
+++ b/sprucewinch/gateway/quotas/owners.py
@@ -37,8 +37,8 @@
 """Data halls that hold parts of one quota: a VM that finds parts empty asks one after the other."""
 
 MIN_PART_CAPACITY = 4.0
-"""Capacity of a part in requests, where there are more parts than regions: a small bucket is often
-empty by chance, and then another region has to be asked."""
+"""Smallest capacity of a part, in requests, where there are more parts than regions: a small bucket
+is often empty by chance, and then another region has to be asked."""
 
 _SINGLE_OWNER = 0
 """Number of parts in the cache key of a quota that has one owner."""
--- a/sprucewinch/gateway/quotas/quota.py
+++ b/sprucewinch/gateway/quotas/quota.py
@@ -8,11 +8,11 @@
 from typing import NamedTuple
 
 _CAPACITY_REQUESTS = 1.5
-"""Requests that the bucket of a hall's quota holds beyond `_CAPACITY_S` of its rate: a single one
-would often be missed by a moment."""
+"""Requests that the bucket of a hall's quota holds beyond `_CAPACITY_S` of its rate. With only one,
+a request would often be missed by a moment."""
 
 _CAPACITY_S = 0.25
-"""Capacity of the bucket of a hall's quota, as seconds of its rate."""
+"""Part of the capacity of a hall's quota that depends on its rate, as seconds of that rate."""
 
 _INITIAL_REQUESTS = 1.0
 """Initial content of the bucket of a hall's quota, in requests: its owner may change twice in a
--- a/sprucewinch/gateway/quotas/quotas.py
+++ b/sprucewinch/gateway/quotas/quotas.py
@@ -46,7 +46,7 @@
 
 _UNRESPONSIVE_S = 0.15
 """Time for which an owner that did not answer is not asked again, for any quota, in seconds: short,
-because after a loss of all VMs they restart some tenths of a second apart."""
+because after a loss of all VMs each restarts some tenths of a second before the next."""
 
 _UNKNOWN_RETRY_AFTER_S = 0.2
 """Retry-After when a VM reached no owner, in seconds: by then the VM asks the owners again."""
--- a/tests/test_gateway_crash_reports.py
+++ b/tests/test_gateway_crash_reports.py
@@ -1,6 +1,6 @@
 """How fast all VMs of a fleet know of a request that crashes servers, and at which network cost.
 
-Only the parts that report and evaluate crashes run, on virtual links between three regions, without
+Only the parts that report and assess crashes run, on virtual links between three regions, without
 heartbeats, store and servers, so that a fleet of 300 VMs takes seconds.
 """
 
--- a/tests/test_gateway_guilt.py
+++ b/tests/test_gateway_guilt.py
@@ -10,7 +10,12 @@
 
 from sprucewinch.gateway.crashes import crash_log
 from sprucewinch.gateway.crashes.crash_log import CrashLog, ServerProcess, Suspect, SuspectRun
-from sprucewinch.gateway.crashes.guilt import MIN_CRASHES, count_consecutive, count_incidents, judge
+from sprucewinch.gateway.crashes.guilt import (
+    MIN_CRASHES,
+    assess,
+    count_consecutive,
+    count_incidents,
+)
 
 REQUESTS = tuple(bytes([number]) * 16 for number in range(4))
 
@@ -159,8 +164,8 @@
             deliver(log, report)
         refused = frozenset(request for request in REQUESTS if rng.random() < 0.2)
         for request in REQUESTS:
-            judgement = judge(log, request, refused)
-            self.assertEqual(tuple(judgement), oracle(events, request, refused))
+            assessment = assess(log, request, refused)
+            self.assertEqual(tuple(assessment), oracle(events, request, refused))
 
     @settings(max_examples=100)
     @given(histories(), st.randoms(use_true_random=False))
@@ -175,7 +180,7 @@
             there = sum(
                 isinstance(e, Crash) and request in {s.request for s in e.runs} for e in events
             )
-            if judge(log, request).must_refuse:
+            if assess(log, request).must_refuse:
                 self.assertGreaterEqual(there, MIN_CRASHES)
 
 
@@ -183,11 +188,11 @@
     def test_one_request_that_ends_each_server_is_refused_at_the_third(self) -> None:
         log = CrashLog()
         for number in range(3):
-            self.assertFalse(judge(log, REQUESTS[0]).must_refuse)
+            self.assertFalse(assess(log, REQUESTS[0]).must_refuse)
             beside = Run(bytes([100 + number]), number - 0.4, "vm1")
             crashing = Run(REQUESTS[0], number - 0.04, "vm0")
             deliver(log, Crash(number, float(number), (crashing, beside)))
-        self.assertTrue(judge(log, REQUESTS[0]).must_refuse)
+        self.assertTrue(assess(log, REQUESTS[0]).must_refuse)
 
     def test_a_data_hall_that_loses_power_gets_no_request_refused(self) -> None:
         log = CrashLog()
@@ -195,7 +200,7 @@
             runs = tuple(Run(request, -0.3, "vm0") for request in REQUESTS)
             deliver(log, Crash(number, number * 0.02, runs))
         for request in REQUESTS:
-            self.assertEqual(judge(log, request).crashes, 1)
+            self.assertEqual(assess(log, request).crashes, 1)
 
     def test_servers_that_crash_in_series_get_no_popular_request_refused(self) -> None:
         """30 crashes, 0.3 s apart, under popular requests that succeed elsewhere meanwhile."""
@@ -204,7 +209,7 @@
             at = number * 0.3
             deliver(log, Crash(number, at, tuple(Run(r, at - 0.1, "vm0") for r in REQUESTS)))
             for request in REQUESTS:
-                self.assertFalse(judge(log, request).must_refuse)
+                self.assertFalse(assess(log, request).must_refuse)
                 deliver(log, Success(request, at + 0.15))
 
     def test_crashes_without_a_request_raise_the_number_needed(self) -> None:
@@ -213,16 +218,16 @@
             deliver(log, Crash(number, float(number), (Run(REQUESTS[0], number - 0.04, "vm0"),)))
             other = (Run(REQUESTS[1], number + 0.4, "vm0"),)
             deliver(log, Crash(100 + number, number + 0.5, other))
-        self.assertEqual(judge(log, REQUESTS[0]), (3, 5))
+        self.assertEqual(assess(log, REQUESTS[0]), (3, 5))
 
     def test_a_request_at_all_of_the_same_crashes_is_told_apart_by_the_next_run(self) -> None:
         log = CrashLog()
         for number in range(3):
             both = tuple(Run(request, number - 0.04, "vm0") for request in REQUESTS[:2])
             deliver(log, Crash(number, float(number), both))
-        self.assertEqual([judge(log, r) for r in REQUESTS[:2]], [(3, 4), (3, 4)])
+        self.assertEqual([assess(log, r) for r in REQUESTS[:2]], [(3, 4), (3, 4)])
         deliver(log, Success(REQUESTS[1], 3.5))
-        self.assertTrue(judge(log, REQUESTS[0]).must_refuse)
+        self.assertTrue(assess(log, REQUESTS[0]).must_refuse)
 
     def test_crashes_of_a_request_that_is_refused_count_for_no_other(self) -> None:
         log = CrashLog()
@@ -230,8 +235,8 @@
             runs = [Run(REQUESTS[0], number - 0.04, "vm0")]
             runs += [Run(REQUESTS[1], number - 0.04, "vm0")] if number < 3 else []
             deliver(log, Crash(number, float(number), tuple(runs)))
-        self.assertTrue(judge(log, REQUESTS[0]).must_refuse)
-        self.assertEqual(judge(log, REQUESTS[1], {REQUESTS[0]}).crashes, 0)
+        self.assertTrue(assess(log, REQUESTS[0]).must_refuse)
+        self.assertEqual(assess(log, REQUESTS[1], {REQUESTS[0]}).crashes, 0)
 
     def test_two_crashing_requests_are_both_refused_after_five(self) -> None:
         log = CrashLog()
@@ -239,7 +244,7 @@
             for request in REQUESTS[:2]:
                 at = number + request[0] / 2
                 deliver(log, Crash(10 * number + request[0], at, (Run(request, at - 0.04, "vm0"),)))
-        self.assertTrue(all(judge(log, request).must_refuse for request in REQUESTS[:2]))
+        self.assertTrue(all(assess(log, request).must_refuse for request in REQUESTS[:2]))
 
 
 class Bounds(unittest.TestCase):
@@ -263,14 +268,14 @@
                 at = number * 5.0 + server * 0.1
                 deliver(log, Crash(server, at, (Run(REQUESTS[0], at - 0.04, "vm0"),)))
                 deliver(log, Crash(server, at + 0.1, (Run(REQUESTS[0], at - 0.04, "vm1"),)))
-        self.assertEqual(judge(log, REQUESTS[0]).crashes, 4)
+        self.assertEqual(assess(log, REQUESTS[0]).crashes, 4)
 
     def test_a_process_with_an_incarnation_crashes_once(self) -> None:
         log = CrashLog()
         for at in (0.0, 5.0):
             suspect = _suspect(Run(REQUESTS[0], at - 0.1, "vm0"))
             log.add(ServerProcess("i-1", 7), "rates", at, {REQUESTS[0]: suspect}, ("vm0",))
-        self.assertEqual(judge(log, REQUESTS[0]).crashes, 1)
+        self.assertEqual(assess(log, REQUESTS[0]).crashes, 1)
 
     def test_old_crashes_are_forgotten(self) -> None:
         log = CrashLog()
--- a/tools/wrong_version_list.py
+++ b/tools/wrong_version_list.py
@@ -50,7 +50,7 @@
         "BUDGET",
         "a request that crashes servers is never refused",
         f"{_GATEWAY}/crashes/quarantine.py",
-        "if request.on_trial or not (self._targets or self.suspects.has_unjudged):",
+        "if request.on_trial or not (self._targets or self.suspects.has_unassessed):",
         "if self.held is not None:",
         ("tests.test_gateway_crashing_requests",),
     ),
