--- a/sprucewinch/gateway/crashes/guilt.py
+++ b/sprucewinch/gateway/crashes/guilt.py
@@ -97,13 +97,13 @@
     if not crashes:
         return Assessment(0, MIN_CRASHES)
     runs = [SuspectRun(crash.suspects[fingerprint].started, crash.at) for crash in crashes]
-    without = [
+    crash_times_without = [
         crash.at
         for crash in _crashes_without(log, fingerprint, crashes, until)
         if not _is_attributed(crash, fingerprint, refused)
     ]
-    more = count_incidents(without) + _has_co_suspect(fingerprint, crashes)
-    return Assessment(count_consecutive(runs), MIN_CRASHES + min(_MAX_EXTRA_CRASHES, more))
+    extra = count_incidents(crash_times_without) + _has_co_suspect(fingerprint, crashes)
+    return Assessment(count_consecutive(runs), MIN_CRASHES + min(_MAX_EXTRA_CRASHES, extra))
 
 
 def _is_attributed(crash: Crash, fingerprint: bytes, refused: Collection[bytes]) -> bool:
--- a/sprucewinch/gateway/crashes/held.py
+++ b/sprucewinch/gateway/crashes/held.py
@@ -59,8 +59,8 @@
             return max(0.0, self.since + UNSTORED_REFUSAL_S - now)
         if not self.request.trials_left:
             return NO_TRIAL_RETRY_AFTER_S
-        hold_s = TRIAL_DELAYS_S[min(self.request.trials, len(TRIAL_DELAYS_S) - 1)]
-        return max(0.0, self.since + hold_s - now)
+        delay_s = TRIAL_DELAYS_S[min(self.request.trials, len(TRIAL_DELAYS_S) - 1)]
+        return max(0.0, self.since + delay_s - now)
 
     def trial_is_due(self, now: float) -> bool:
         """Return whether it may be tried now."""
--- a/sprucewinch/gateway/quotas/quotas.py
+++ b/sprucewinch/gateway/quotas/quotas.py
@@ -216,8 +216,8 @@
         """Ask one owner; return whether it granted something."""
         asked_at = self.timing.monotonic()
         count = lease.wanted(self._waiting[quota.name], asked_at)
-        far = self.regions.get(owner.hall) != self.regions.get(self.hall)
-        timeout_s = _FAR_TIMEOUT_S if far else _NEAR_TIMEOUT_S
+        is_remote = self.regions.get(owner.hall) != self.regions.get(self.hall)
+        timeout_s = _FAR_TIMEOUT_S if is_remote else _NEAR_TIMEOUT_S
         grant = await self.exchange.ask(owner, quota, count, timeout_s)
         now = self.timing.monotonic()
         if grant is None:
