--- a/tests/test_gateway_quarantine.py
+++ b/tests/test_gateway_quarantine.py
@@ -1,4 +1,4 @@
-"""How a request that crashes servers is refused, tried again and let go, in whole fleets."""
+"""How a request that crashes servers is refused, tried again and released, in whole fleets."""
 
 import asyncio
 import random
@@ -8,17 +8,17 @@
 from unittest import mock
 
 from sprucewinch.gateway.crashes import held, quarantine
-from sprucewinch.gateway.crashes.held import NO_TRIAL_RETRY_S
+from sprucewinch.gateway.crashes.held import NO_TRIAL_RETRY_AFTER_S
 from sprucewinch.gateway.requests.client_request import RefusalReason
 from standins.consortium_store import Fault
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .crash_fleet import SICK, SICK_BOOKING, Callers, CrashFleet, repeat
+from .crash_fleet import CRASHING_BOOKING, CRASHING_TARGET, Callers, CrashFleet, send_repeatedly
 
 _ITEMS = "sprucewinch/quarantine/"
 
-HOLDS_S = (30.0, 60.0, 120.0)
-"""Holds in place of minutes and hours, so that whole fleets can run through them."""
+TRIAL_DELAYS_S = (30.0, 60.0, 120.0)
+"""Replace minutes and hours, so that whole fleets can run through all trials."""
 
 
 def _items(fleet: CrashFleet) -> list[str]:
@@ -29,79 +29,81 @@
     return [len(vm.gateway.crashes.quarantine.held) for vm in fleet.vms]
 
 
-async def _caught(loop: VirtualLoop, **options: Any) -> CrashFleet:
-    """Return a fleet that refuses a sick request, whose servers are back."""
+async def _refusing_fleet(loop: VirtualLoop, **options: Any) -> CrashFleet:
+    """Return a fleet that refuses a crashing request and whose servers have restarted."""
     fleet = await CrashFleet(loop, **options).ready()
-    await repeat(fleet, SICK, 2.0)
+    await send_repeatedly(fleet, CRASHING_TARGET, 2.0)
     await pass_time(8.0)
     return fleet
 
 
 class _Fleet(unittest.TestCase):
     def run_fleet(self, main: Callable[[VirtualLoop], Coroutine[Any, Any, None]]) -> None:
-        with mock.patch.object(held, "HOLDS_S", HOLDS_S):
+        with mock.patch.object(held, "TRIAL_DELAYS_S", TRIAL_DELAYS_S):
             run_virtual(main)
 
 
 class Refusals(_Fleet):
-    def test_it_is_refused_at_once_with_the_time_of_its_trial(self) -> None:
+    def test_it_is_refused_at_once_with_the_time_until_its_trial(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
+            fleet = await _refusing_fleet(loop)
             for number in range(4):
                 started = loop.time()
-                reply = await fleet.ask(number, SICK)
+                reply = await fleet.ask(number, CRASHING_TARGET)
                 self.assertEqual(loop.time(), started)
                 self.assertEqual(reply.status, 503)
                 self.assertIs(reply.refusal, RefusalReason.CRASHES_SERVERS)
-                self.assertAlmostEqual(reply.retry_after_s or 0, HOLDS_S[0] - 10, delta=2)
+                self.assertAlmostEqual(reply.retry_after_s or 0, TRIAL_DELAYS_S[0] - 10, delta=2)
 
         self.run_fleet(main)
 
     def test_no_other_request_is_refused_for_it(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
-            fleet.sick.clear()
-            self.assertEqual((await fleet.ask(0, SICK, key="another-caller")).status, 200)
-            self.assertEqual((await fleet.ask(0, SICK + "?q=2")).status, 200)
-            self.assertEqual((await fleet.ask(0, SICK, method="POST")).status, 200)
-            self.assertEqual((await fleet.ask(0, SICK)).status, 503)
+            fleet = await _refusing_fleet(loop)
+            fleet.crashing_targets.clear()
+            self.assertEqual(
+                (await fleet.ask(0, CRASHING_TARGET, key="another-caller")).status, 200
+            )
+            self.assertEqual((await fleet.ask(0, CRASHING_TARGET + "?q=2")).status, 200)
+            self.assertEqual((await fleet.ask(0, CRASHING_TARGET, method="POST")).status, 200)
+            self.assertEqual((await fleet.ask(0, CRASHING_TARGET)).status, 503)
 
         self.run_fleet(main)
 
-    def test_one_try_of_it_ends_two_servers_at_the_most(self) -> None:
+    def test_one_request_crashes_two_servers_at_most(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
-            reply = await fleet.ask(0, SICK)
+            reply = await fleet.ask(0, CRASHING_TARGET)
             self.assertEqual(reply.status, 502)
-            self.assertEqual(fleet.sends(SICK), 2)
+            self.assertEqual(fleet.sends(CRASHING_TARGET), 2)
 
         self.run_fleet(main)
 
-    def test_an_answer_to_what_has_not_run_clears_nobody(self) -> None:
-        """The same request without an id: no server runs it, and it proves nothing."""
+    def test_an_answer_to_a_request_that_has_not_run_clears_no_suspect(self) -> None:
+        """Without an id no server runs the same request, so the answer is no evidence."""
 
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
-            await fleet.ask(0, SICK)
+            await fleet.ask(0, CRASHING_TARGET)
             rule = fleet.vms[0].gateway.crashes.quarantine
-            before = rule.judgement(fleet.request(SICK))
-            nameless = fleet.request(SICK)
+            before = rule.judgement(fleet.request(CRASHING_TARGET))
+            nameless = fleet.request(CRASHING_TARGET)
             nameless.id, nameless.headers = "", nameless.headers[1:]
             reply = await fleet.vms[0].gateway.requests.pipeline.run(nameless)
             self.assertEqual(reply.status, 400)
             self.assertEqual(before.crashes, 2)
-            self.assertEqual(rule.judgement(fleet.request(SICK)), before)
+            self.assertEqual(rule.judgement(fleet.request(CRASHING_TARGET)), before)
 
         self.run_fleet(main)
 
-    def test_a_vm_that_waits_for_a_connection_looks_again_before_the_first_byte(self) -> None:
+    def test_a_vm_that_waits_for_a_connection_checks_again_before_the_first_byte(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             for listener in loop.listeners.values():
                 listener.late_s = 0.3
-            late = asyncio.create_task(fleet.ask(3, SICK))
+            late = asyncio.create_task(fleet.ask(3, CRASHING_TARGET))
             await pass_time(0.01)
-            request = fleet.request(SICK)
+            request = fleet.request(CRASHING_TARGET)
             rule = fleet.vms[3].gateway.crashes.quarantine
             log = fleet.vms[0].gateway.crashes.quarantine
             for listener in loop.listeners.values():
@@ -112,13 +114,13 @@
                 log.note_crash(request, server, ended - 0.05, ended)
             self.assertEqual((await late).status, 503)
             self.assertEqual(len(rule.held), 1)
-            self.assertEqual(fleet.sends(SICK), 0)
+            self.assertEqual(fleet.sends(CRASHING_TARGET), 0)
 
         self.run_fleet(main)
 
 
 class _Server:
-    """A backend server as far as `note_crash` reads it."""
+    """The parts of a backend server that `note_crash` reads."""
 
     def __init__(self, server_id: str) -> None:
         self.backend = _Backend(server_id)
@@ -132,58 +134,60 @@
 
 
 class Ends(_Fleet):
-    def test_an_operator_lets_it_go_at_all_vms(self) -> None:
+    def test_an_operator_releases_it_at_all_vms(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
-            fleet.sick.clear()
+            fleet = await _refusing_fleet(loop)
+            fleet.crashing_targets.clear()
             for key in _items(fleet):
                 fleet.store.remove(key)
             await pass_time(2.0)
             self.assertEqual(_held(fleet), [0, 0, 0, 0])
-            self.assertEqual([(await fleet.ask(n, SICK)).status for n in range(4)], [200] * 4)
+            self.assertEqual(
+                [(await fleet.ask(n, CRASHING_TARGET)).status for n in range(4)], [200] * 4
+            )
 
         self.run_fleet(main)
 
-    def test_it_is_tried_again_once_in_the_fleet_and_let_go_when_it_runs(self) -> None:
+    def test_it_is_tried_once_in_the_fleet_and_released_when_it_succeeds(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
-            fleet.sick.clear()
-            sent = fleet.sends(SICK)
-            await pass_time(HOLDS_S[0])
-            replies = await asyncio.gather(*(fleet.ask(n, SICK) for n in range(12)))
+            fleet = await _refusing_fleet(loop)
+            fleet.crashing_targets.clear()
+            sent = fleet.sends(CRASHING_TARGET)
+            await pass_time(TRIAL_DELAYS_S[0])
+            replies = await asyncio.gather(*(fleet.ask(n, CRASHING_TARGET) for n in range(12)))
             self.assertEqual(sorted(reply.status for reply in replies), [200] + [503] * 11)
-            self.assertEqual(fleet.sends(SICK), sent + 1)
+            self.assertEqual(fleet.sends(CRASHING_TARGET), sent + 1)
             await pass_time(2.0)
             self.assertEqual((_held(fleet), _items(fleet)), ([0, 0, 0, 0], []))
-            self.assertEqual((await fleet.ask(1, SICK)).status, 200)
+            self.assertEqual((await fleet.ask(1, CRASHING_TARGET)).status, 200)
 
         self.run_fleet(main)
 
-    def test_a_trial_that_fails_ends_one_server_and_the_next_one_is_later(self) -> None:
+    def test_a_trial_that_fails_crashes_one_server_and_the_next_one_is_later(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
-            crashes = len(fleet.crashes[SICK])
-            await pass_time(HOLDS_S[0])
-            await repeat(fleet, SICK, 5.0)
-            self.assertEqual(len(fleet.crashes[SICK]), crashes + 1)
-            reply = await fleet.ask(0, SICK)
-            self.assertAlmostEqual(reply.retry_after_s or 0, HOLDS_S[1], delta=10)
+            fleet = await _refusing_fleet(loop)
+            crashes = len(fleet.crashes[CRASHING_TARGET])
+            await pass_time(TRIAL_DELAYS_S[0])
+            await send_repeatedly(fleet, CRASHING_TARGET, 5.0)
+            self.assertEqual(len(fleet.crashes[CRASHING_TARGET]), crashes + 1)
+            reply = await fleet.ask(0, CRASHING_TARGET)
+            self.assertAlmostEqual(reply.retry_after_s or 0, TRIAL_DELAYS_S[1], delta=10)
 
         self.run_fleet(main)
 
-    def test_after_the_last_trial_only_an_operator_lets_it_go(self) -> None:
+    def test_after_the_last_trial_only_an_operator_releases_it(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
-            for hold_s in HOLDS_S:
+            fleet = await _refusing_fleet(loop)
+            for hold_s in TRIAL_DELAYS_S:
                 await pass_time(hold_s + 20)
-                await repeat(fleet, SICK, 1.0)
-            await pass_time(HOLDS_S[-1])
-            sent = fleet.sends(SICK)
-            reply = await fleet.ask(0, SICK)
-            self.assertEqual((reply.status, reply.retry_after_s), (503, NO_TRIAL_RETRY_S))
-            self.assertEqual(fleet.sends(SICK), sent)
-            third = sorted(fleet.crashes[SICK])[2]
-            self.assertLessEqual(fleet.sends(SICK, after=third + 3.0), 3)
+                await send_repeatedly(fleet, CRASHING_TARGET, 1.0)
+            await pass_time(TRIAL_DELAYS_S[-1])
+            sent = fleet.sends(CRASHING_TARGET)
+            reply = await fleet.ask(0, CRASHING_TARGET)
+            self.assertEqual((reply.status, reply.retry_after_s), (503, NO_TRIAL_RETRY_AFTER_S))
+            self.assertEqual(fleet.sends(CRASHING_TARGET), sent)
+            third = sorted(fleet.crashes[CRASHING_TARGET])[2]
+            self.assertLessEqual(fleet.sends(CRASHING_TARGET, after=third + 3.0), 3)
 
         self.run_fleet(main)
 
@@ -191,29 +195,29 @@
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             fleet.store.fault = Fault.SILENT
-            await repeat(fleet, SICK, 2.0)
-            sent = fleet.sends(SICK)
+            await send_repeatedly(fleet, CRASHING_TARGET, 2.0)
+            sent = fleet.sends(CRASHING_TARGET)
             self.assertEqual((_held(fleet), _items(fleet)), ([1, 1, 1, 1], []))
-            await pass_time(HOLDS_S[0])
-            self.assertEqual((await fleet.ask(2, SICK)).status, 503)
-            self.assertEqual(fleet.sends(SICK), sent)
+            await pass_time(TRIAL_DELAYS_S[0])
+            self.assertEqual((await fleet.ask(2, CRASHING_TARGET)).status, 503)
+            self.assertEqual(fleet.sends(CRASHING_TARGET), sent)
             fleet.store.fault = Fault.NONE
             await pass_time(10.0)
             self.assertEqual(len(_items(fleet)), 1)
 
         self.run_fleet(main)
 
-    def test_without_the_store_for_long_it_is_let_go_as_nobody_else_could(self) -> None:
+    def test_it_is_released_when_the_store_is_unavailable_for_too_long(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             fleet.store.fault = Fault.SILENT
-            await repeat(fleet, SICK, 2.0)
-            fleet.sick.clear()
-            self.assertEqual((await fleet.ask(1, SICK)).status, 503)
-            await pass_time(held.UNSTORED_HOLD_S)
-            self.assertEqual((await fleet.ask(1, SICK)).status, 200)
+            await send_repeatedly(fleet, CRASHING_TARGET, 2.0)
+            fleet.crashing_targets.clear()
+            self.assertEqual((await fleet.ask(1, CRASHING_TARGET)).status, 503)
+            await pass_time(held.UNSTORED_REFUSAL_S)
+            self.assertEqual((await fleet.ask(1, CRASHING_TARGET)).status, 200)
 
-        with mock.patch.object(held, "UNSTORED_HOLD_S", 60.0):
+        with mock.patch.object(held, "UNSTORED_REFUSAL_S", 60.0):
             self.run_fleet(main)
 
 
@@ -225,10 +229,10 @@
 
     async def _lossy(self, loop: VirtualLoop, seed: int) -> None:
         fleet = await CrashFleet(loop, vms=12, servers=20, seed=seed).ready()
-        fleet.lose_part = 0.1
-        await repeat(fleet, SICK, 4.0, pause_s=0.3)
-        third = sorted(fleet.crashes[SICK])[2]
-        self.assertLessEqual(fleet.sends(SICK, after=third + 1.0), 0)
+        fleet.loss_ratio = 0.1
+        await send_repeatedly(fleet, CRASHING_TARGET, 4.0, pause_s=0.3)
+        third = sorted(fleet.crashes[CRASHING_TARGET])[2]
+        self.assertLessEqual(fleet.sends(CRASHING_TARGET, after=third + 1.0), 0)
 
     def test_a_vm_without_other_vms_learns_it_from_the_store(self) -> None:
         async def main(loop: VirtualLoop) -> None:
@@ -236,31 +240,31 @@
             fleet.cut.add("vm3")
             loop.listeners[fleet.vms[3].address].silent = True
             for number in (0, 1, 0, 1):
-                await fleet.ask(number, SICK)
+                await fleet.ask(number, CRASHING_TARGET)
             await pass_time(3.0)
-            self.assertEqual((await fleet.ask(3, SICK)).status, 503)
+            self.assertEqual((await fleet.ask(3, CRASHING_TARGET)).status, 503)
 
         self.run_fleet(main)
 
     def test_a_vm_that_starts_refuses_it_before_it_is_ready(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            fleet = await _caught(loop)
+            fleet = await _refusing_fleet(loop)
             fleet.restart(2)
             while not fleet.vms[2].gateway.ready():
                 await pass_time(0.001)
-            self.assertEqual((await fleet.ask(2, SICK)).status, 503)
+            self.assertEqual((await fleet.ask(2, CRASHING_TARGET)).status, 503)
 
         self.run_fleet(main)
 
 
 class Others(_Fleet):
-    def test_servers_that_die_by_themselves_get_no_popular_request_refused(self) -> None:
+    def test_servers_that_crash_by_themselves_get_no_popular_request_refused(self) -> None:
         for seed in range(1, 4):
             with self.subTest(seed=seed):
-                run_virtual(lambda loop, seed=seed: self._dying(loop, seed))
+                run_virtual(lambda loop, seed=seed: self._crashing_servers(loop, seed))
 
-    async def _dying(self, loop: VirtualLoop, seed: int) -> None:
-        """Thirty deaths within 20 s, under 6 popular requests and 20 that come once each second."""
+    async def _crashing_servers(self, loop: VirtualLoop, seed: int) -> None:
+        """30 crashes within 20 s, under 6 popular requests and 20 that are sent once a second."""
         fleet = await CrashFleet(loop, seed=seed).ready()
         popular = Callers(fleet, pause_s=0.02, targets=[f"/rates/popular{n}" for n in range(6)])
         rare = Callers(fleet, pause_s=0.05, targets=[f"/rates/rare{n}" for n in range(20)])
@@ -276,7 +280,7 @@
         for callers in (popular, rare):
             self.assertNotIn(RefusalReason.CRASHES_SERVERS.value, callers.answers)
 
-    def test_a_data_hall_that_loses_power_gets_nobody_refused(self) -> None:
+    def test_a_data_hall_that_loses_power_gets_no_request_refused(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             callers = Callers(fleet, pause_s=0.02, targets=[f"/rates/{n}" for n in range(6)])
@@ -291,37 +295,37 @@
 
         self.run_fleet(main)
 
-    def test_requests_for_the_same_object_are_served_beside_it(self) -> None:
+    def test_other_requests_for_the_same_object_are_served_meanwhile(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop).ready()
             targets = [f"/rates/{n}" for n in range(3)]
-            work = [asyncio.create_task(_same_object(fleet, target)) for target in targets]
-            await repeat(fleet, SICK, 5.0)
+            work = [asyncio.create_task(_served_ratio(fleet, target)) for target in targets]
+            await send_repeatedly(fleet, CRASHING_TARGET, 5.0)
             served = [await task for task in work]
             self.assertEqual(_held(fleet), [1, 1, 1, 1])
             self.assertGreaterEqual(min(served), 0.95)
 
         self.run_fleet(main)
 
-    def test_many_sick_requests_cost_bounded_memory_and_writes(self) -> None:
+    def test_many_crashing_requests_cost_bounded_memory_and_writes(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             fleet = await CrashFleet(loop, vms=2).ready()
             rule = fleet.vms[0].gateway.crashes.quarantine
-            for number in range(quarantine.MOST_HELD + 40):
-                request = fleet.request(f"{SICK_BOOKING}{number}")
+            for number in range(quarantine.MAX_QUARANTINED + 40):
+                request = fleet.request(f"{CRASHING_BOOKING}{number}")
                 for each in range(5):
                     at = loop.time() + each
                     server = _Server(f"gone-{number}-{each}")
                     rule.note_crash(request, server, at, at + 0.01)
             await pass_time(30.0)
-            self.assertLessEqual(max(_held(fleet)), quarantine.MOST_HELD)
-            self.assertLessEqual(len(_items(fleet)), quarantine.MOST_HELD)
+            self.assertLessEqual(max(_held(fleet)), quarantine.MAX_QUARANTINED)
+            self.assertLessEqual(len(_items(fleet)), quarantine.MAX_QUARANTINED)
 
         self.run_fleet(main)
 
 
-async def _same_object(fleet: CrashFleet, target: str) -> float:
-    """Ask for a request of the sick one's object for 5 s; return the part that is served."""
+async def _served_ratio(fleet: CrashFleet, target: str) -> float:
+    """Send a request for the crashing one's object for 5 s; return the ratio served."""
     answers = []
     for number in range(50):
         answers.append((await fleet.ask(number, target)).status)
