--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -311,7 +311,7 @@
 
         told = f"vm1 at {ip}: ended with exit status {status}; last lines: "
         with (
-            mock.patch.object(gateway_process, "_START_S", 0.0),
+            mock.patch.object(gateway_process, "_CONDITION_TIMEOUT_S", 0.0),
             self.assertRaisesRegex(AssertionError, told),
         ):
             await case.until(never, "what never comes")
