--- a/sprucewinch/hall/loops.py
+++ b/sprucewinch/hall/loops.py
@@ -22,8 +22,8 @@
 from .store.store_reader import PlatformReader
 
 TICK_S = 0.5
-"""Time between two rounds of the node, in seconds; `slots.TRUST_S` and `slots.HOLD_S` depend on
-it."""
+"""Time between two rounds of the node, in seconds; `slots.MEMBER_LIST_TTL_S` and
+`slots.TAKEOVER_DELAY_S` depend on it."""
 
 EXCHANGE_S = 1.0
 """Mean time between two exchanges with peers, in seconds. It has to stay well below the 3 s of
--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -25,7 +25,7 @@
 from .planning.topology import Topology
 from .requests.admissions import HallDispatch
 from .requests.tickets import TicketBook
-from .slots import SlotShare, view_digest
+from .slots import SlotShare, member_list_digest
 from .store.documents import CONFIGURATION_KEY, DocumentShelf
 
 LEAVING_S = 10.0
@@ -132,12 +132,12 @@
 
     def _join(self, now: float) -> None:
         """Start serving once a configuration is in force and earlier owners of slots are gone."""
-        waited = now - self.started_at >= self.slots.hold_s
+        waited = now - self.started_at >= self.slots.takeover_delay_s
         if self.own.state != JOINING or not waited or self.topology is None:
             return
         self.entry.set_state(SERVING)
         self.tickets = TicketBook(self.own.vm, self.own.incarnation, self.ticket_key)
-        self.slots.identify(member_id(self.own))
+        self.slots.set_own_id(member_id(self.own))
 
     def _renew_slots(self, now: float) -> None:
         pools = self.topology.pools_of(self.settings.hall) if self.topology else ()
@@ -149,7 +149,7 @@
             confirmed=self.membership.view_confirmed(now),
             finished=self.membership.finished(),
         )
-        self.entry.set_hall_view(view_digest(holders))
+        self.entry.set_hall_view(member_list_digest(holders))
         for member in self.membership.of_hall(now):
             if member is not self.own:
                 self.hall.mark_heard_leaving(member.leaving_servers, now + _PASSED_ON_LEAVING_S)
--- a/sprucewinch/hall/peers/membership.py
+++ b/sprucewinch/hall/peers/membership.py
@@ -7,13 +7,13 @@
 
 from typing import Optional
 
-from ..slots import view_digest
+from ..slots import member_list_digest
 from .peer_pb2 import GONE, JOINING, LEAVING, SERVING, Member
 
 SILENT_S = 3.0
 """Time without a newer entry after which a member is not live, in seconds: three rounds of exchange
-of 1 s. With the 1.5 s for which a VM trusts its list it stays under `slots.SlotShare`'s `hold_s` of
-5 s."""
+of 1 s. Together with the 1.5 s of `slots.MEMBER_LIST_TTL_S` it stays below the 5 s of
+`slots.TAKEOVER_DELAY_S`."""
 
 FORGET_S = 60.0
 """Time without a newer entry after which a member is dropped from the table, in seconds."""
@@ -120,7 +120,7 @@
 
     def view_confirmed(self, now: float) -> bool:
         """Return whether every other slot holder of the hall lists the same slot holders."""
-        view = view_digest(self.slot_holders(now))
+        view = member_list_digest(self.slot_holders(now))
         others = [m for m in self.of_hall(now) if m is not self.own]
         return all(m.hall_view == view for m in others if m.state in (SERVING, LEAVING))
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from sprucewinch.config.configuration import Pool
-from sprucewinch.hall.slots import SlotShare, slot_owner, view_digest
+from sprucewinch.hall.slots import SlotShare, member_list_digest, slot_owner
 
 POOL = Pool(hall="h", service="s", servers=("127.0.0.1:1", "127.0.0.1:2"), slots=4)
 SETTINGS = settings(max_examples=100, stateful_step_count=40, deadline=None)
@@ -15,7 +15,7 @@
 
 
 class _Vm:
-    """A VM of the hall as the oracle runs it: it hears others, ticks, and may be frozen."""
+    """A simulated VM of the hall: it receives the others' lists, ticks, and may be frozen."""
 
     def __init__(self, name: str, now: float, share_class: type[SlotShare]) -> None:
         self.name = name
@@ -27,25 +27,25 @@
 
     def members(self, now: float) -> tuple[str, ...]:
         live = [n for n, (at, _) in self.heard.items() if now - at <= SILENT_S]
-        joined = [self.name] if now - self.started >= self.share.hold_s else []
+        joined = [self.name] if now - self.started >= self.share.takeover_delay_s else []
         return tuple(sorted(live + joined))
 
     def tick(self, now: float) -> None:
         members = self.members(now)
-        view = view_digest(members)
+        view = member_list_digest(members)
         others = [n for n in members if n != self.name]
         confirmed = all(self.heard[n][1] == view for n in others)
         self.share.renew(members, (POOL,), now, confirmed=confirmed)
         self.view = view
 
     def joined(self, now: float) -> bool:
-        return now - self.started >= self.share.hold_s
+        return now - self.started >= self.share.takeover_delay_s
 
 
 class HallSlots(RuleBasedStateMachine):
-    """VMs of a hall that come, are killed, and are frozen past every deadline and wake.
+    """VMs of a hall that start, are killed, or freeze past every time limit and resume.
 
-    The oracle adds up the slots that running VMs would use: never more than a server has.
+    The invariant: the slots that running VMs may use on a server never add up to more than it has.
     """
 
     share_class = SlotShare
@@ -98,7 +98,7 @@
 
     @rule(index=st.integers(0, 4))
     def a_vm_wakes(self, index: int) -> None:
-        """Before its first tick it may already be asked to dispatch."""
+        """A VM that resumes may have to dispatch a request before its first tick."""
         self.vms[index % len(self.vms)].frozen = False
         self.check()
 
@@ -113,17 +113,17 @@
 TestHallSlots = HallSlots.TestCase
 
 
-class HastyShare(SlotShare):
-    """A wrong version: takes slots as soon as its own list says so."""
+class NoDelayShare(SlotShare):
+    """A wrong version: claims slots as soon as its own list names it their owner."""
 
     def renew(self, members, pools, now, *, confirmed, finished=frozenset()) -> None:
         super().renew(members, pools, now, confirmed=True, finished=frozenset(self.members))
-        self._settled_at = now
-        self._take()
+        self._claim_allowed_at = now
+        self._claim_owned()
 
 
-class TrustingShare(SlotShare):
-    """A wrong version: trusts its old list after a pause."""
+class NoExpiryShare(SlotShare):
+    """A wrong version: still uses its old list after a pause."""
 
     def usable(self, server: str, now: float) -> int:
         return sum(self._held.get(server, ()))
@@ -131,7 +131,7 @@
 
 class WrongVersionsAreFound(unittest.TestCase):
     def play(self, share_class: type[SlotShare]) -> None:
-        """One VM freezes, the other takes its slots, and the first wakes."""
+        """Freeze one VM until the other has claimed its slots, then resume the first."""
         machine = type("Hall", (HallSlots,), {"share_class": share_class})()
         order = random.Random(1)
         machine.time_passes(20, order)
@@ -142,7 +142,7 @@
         machine.time_passes(20, order)
 
     def test_proof_fails(self) -> None:
-        for wrong in (HastyShare, TrustingShare):
+        for wrong in (NoDelayShare, NoExpiryShare):
             with self.subTest(wrong.__name__), self.assertRaises(AssertionError):
                 self.play(wrong)
 
@@ -164,7 +164,7 @@
             now = step * STEP_S
             share.renew(("a",), (POOL,), now, confirmed=True)
             held = share.usable(POOL.servers[0], now)
-            self.assertEqual(held, 4 if now >= share.hold_s else 0)
+            self.assertEqual(held, 4 if now >= share.takeover_delay_s else 0)
 
     def test_member_that_finished_is_not_waited_for(self) -> None:
         share = SlotShare("a")
