--- a/sprucewinch/retry.py
+++ b/sprucewinch/retry.py
@@ -1,70 +1,71 @@
-"""Three rules on trying again: how many retries, when refused callers return, how long to back off.
+"""Retry limits: a budget for retries, return times for refused callers, and back-off.
 
-Question 1: may this request be retried? `TokenRetryBudget`: each first try that succeeds adds a
-tenth of a token, a retry takes a whole one, and ten are kept at most. Retries then stay under a
-tenth of the successes, and no storm of them is saved up while all goes well; a fixed number of
-tries a request would multiply the load of a failing service.
+`TokenRetryBudget` decides whether a request may be retried. Each first attempt that succeeds adds a
+tenth of a token, a retry takes a whole one, and at most ten are kept. Retries thus stay below a
+tenth of the successes, and a healthy period does not accumulate tokens for a retry storm. A fixed
+number of attempts per request would instead multiply the load of a failing service.
 
-Question 2: when may a refused caller return, in milliseconds? `ReturnSchedule`: each gets the next
-moment at which a slot becomes free, at a measured rate in requests a second. Callers that are
-refused together then do not return together, and those refused first return about first.
+`ReturnSchedule` decides when a refused caller may return, in milliseconds. Each caller gets the
+next time at which a slot is expected to become free, at a measured rate in requests a second.
+Callers that are refused together therefore do not return together, and those refused first return
+about first. The result is sent as `retry_after_ms` of refusals.
 
-Question 3: how long to wait before a failed call to the platform or a peer, in seconds?
-`backoff_s`: full jitter under a bound that doubles with each failure, so that VMs that lost the
+`backoff_s` returns how long to wait before a failed call to the platform or a peer is repeated, in
+seconds: full jitter below a limit that doubles with each failure, so that VMs that lost the
 platform together do not return together.
 
-Each object owns its own count; time and random source are arguments. All figures are guesses. Shows
-in: `retry_after_ms` of refusals. Tests: `tests.test_retry`.
+Each object owns its own count; time and random source are arguments. Tested by `tests.test_retry`.
 """
 
 import random
 
 _MAX_TOKENS = 10.0
-"""Most retries saved up, in tokens."""
+"""Most retries that may be accumulated, in tokens."""
 
-_FIRST_TOKENS = 1.0
+_INITIAL_TOKENS = 1.0
 """Tokens at the start, so that the first failure of a process may be retried."""
 
 _RETRY_RATIO = 0.1
-"""Tokens that one success adds: a tenth of the load at most is retries."""
+"""Tokens that one success adds, so that retries are at most a tenth of the load."""
 
-_LEAST_RETURN_MS = 100.0
-"""Shortest time until a refused caller returns, and the spread of each return, in milliseconds."""
+_MIN_RETRY_AFTER_MS = 100.0
+"""Shortest time until a refused caller returns, and the jitter added to each time, in
+milliseconds."""
 
-_MOST_RETURN_MS = 30_000.0
+_MAX_RETRY_AFTER_MS = 30_000.0
 """Longest time until a refused caller returns, in milliseconds."""
 
 _BACKOFF_BASE_S = 0.5
-"""Base of the bound of waits, in seconds; doubles with each failure, so the first wait is below 1
-s."""
+"""Base of the back-off limit, in seconds. The limit doubles with each failure, so the first wait is
+below 1 s."""
 
-_BACKOFF_MOST_S = 30.0
-"""Upper bound of all waits, in seconds."""
+_MAX_BACKOFF_S = 30.0
+"""Longest back-off, in seconds."""
 
-_MOST_DOUBLINGS = 16
-"""Doublings of the base; only keeps the power small, as the upper bound is reached long
+_MAX_DOUBLINGS = 16
+"""Most doublings of the base. Only keeps the power small: `_MAX_BACKOFF_S` is reached long
 before."""
 
 
 class TokenRetryBudget:
-    """Keeps retries under a part of the recent successes.
+    """Limits retries to a fraction of the recent successes.
 
     Args:
-        ratio: Retries allowed for each success.
+        ratio: Tokens added, and so retries allowed, for each success.
     """
 
     __slots__ = ("ratio", "tokens")
 
     def __init__(self, *, ratio: float = _RETRY_RATIO) -> None:
         self.ratio = ratio
-        self.tokens = _FIRST_TOKENS
+        self.tokens = _INITIAL_TOKENS
 
     def succeeded(self) -> None:
-        """Count a first try that succeeded."""
+        """Count a first attempt that succeeded."""
         self.tokens = min(_MAX_TOKENS, self.tokens + self.ratio)
 
     def take(self) -> bool:
-        """Take one retry; return False when none is allowed."""
+        """Take the token of one retry; return False when no retry is allowed."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -72,15 +73,15 @@
 
 
 class ReturnSchedule:
-    """Gives refused callers times to return, one after the other.
+    """Assigns return times to refused callers, one after the other.
 
-    Each refusal gets the next free moment at the rate at which slots become free. A caller whose
-    moment is later than the longest time gets a random time in the upper half of it.
+    Successive refusals are spaced by the rate at which slots become free. A caller whose time would
+    be later than `most_ms` gets a random time between half of `most_ms` and `most_ms`.
 
     Args:
         rng: Source of randomness.
-        least_ms: Shortest time, in milliseconds.
-        most_ms: Longest time, in milliseconds.
+        least_ms: Shortest time until a caller returns, in milliseconds; also the most jitter added.
+        most_ms: Longest time until a caller returns before jitter, in milliseconds.
     """
 
     __slots__ = ("_next_at", "least_ms", "most_ms", "rng")
@@ -89,8 +90,8 @@
         self,
         rng: random.Random,
         *,
-        least_ms: float = _LEAST_RETURN_MS,
-        most_ms: float = _MOST_RETURN_MS,
+        least_ms: float = _MIN_RETRY_AFTER_MS,
+        most_ms: float = _MAX_RETRY_AFTER_MS,
     ) -> None:
         self.rng = rng
         self.least_ms = least_ms
@@ -102,16 +103,16 @@
 
         Args:
             now: Monotonic time, in seconds.
-            rate_per_s: Requests a second that can be run; 0 when unknown.
+            rate_per_s: Requests that can be run, per second; 0 when unknown.
         """
         earliest = now + self.least_ms / 1000
-        gap = 1.0 / rate_per_s if rate_per_s > 0 else 0.0
-        self._next_at = max(self._next_at + gap, earliest)
-        wait = (self._next_at - now) * 1000
-        if wait > self.most_ms:
+        interval_s = 1.0 / rate_per_s if rate_per_s > 0 else 0.0
+        self._next_at = max(self._next_at + interval_s, earliest)
+        wait_ms = (self._next_at - now) * 1000
+        if wait_ms > self.most_ms:
             self._next_at = now + self.most_ms / 1000
             return int(self.rng.uniform(self.most_ms / 2, self.most_ms))
-        return int(wait + self.rng.uniform(0, self.least_ms))
+        return int(wait_ms + self.rng.uniform(0, self.least_ms))
 
 
 def backoff_s(
@@ -119,14 +120,14 @@
     rng: random.Random,
     *,
     base_s: float = _BACKOFF_BASE_S,
-    most_s: float = _BACKOFF_MOST_S,
+    most_s: float = _MAX_BACKOFF_S,
 ) -> float:
-    """Return a wait with full jitter before a failed call is tried again, in seconds.
+    """Return how long to wait before a failed call is repeated, in seconds, with full jitter.
 
     Args:
-        attempt: How many tries have failed in a row, from 1.
+        attempt: Number of attempts that have failed in a row, from 1.
         rng: Source of randomness.
-        base_s: Base of the upper bound, in seconds: the first wait is below twice that.
-        most_s: Upper bound of all waits, in seconds.
+        base_s: Base of the limit, in seconds: the first wait is below twice that.
+        most_s: Longest wait, in seconds.
     """
-    return rng.uniform(0, min(most_s, base_s * 2 ** min(attempt, _MOST_DOUBLINGS)))
+    return rng.uniform(0, min(most_s, base_s * 2 ** min(attempt, _MAX_DOUBLINGS)))
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -18,7 +18,7 @@
         self.assertLessEqual(retries, 0.1 * successes + 1)
         self.assertGreater(retries, 0.09 * successes)
 
-    def test_nothing_saved_up_for_a_storm(self) -> None:
+    def test_tokens_are_bounded(self) -> None:
         budget = TokenRetryBudget()
         for _ in range(100_000):
             budget.succeeded()
@@ -33,7 +33,7 @@
         busiest = max(sum(a <= t < a + 1000 for t in times) for a in range(0, 6000, 100))
         self.assertLessEqual(busiest, 115)
 
-    def test_nobody_is_sent_away_for_ever(self) -> None:
+    def test_return_time_is_bounded(self) -> None:
         schedule = ReturnSchedule(random.Random(1), most_ms=2000)
         times = [schedule.retry_after_ms(0.0, 1.0) for _ in range(100)]
         self.assertLessEqual(max(times), 2200)
@@ -48,19 +48,21 @@
 
 
 class Link(unittest.TestCase):
-    def passed(self, allowances: list[RateAllowance], sharers: list[int], seconds: int) -> int:
+    def count_taken(
+        self, allowances: list[RateAllowance], entry_vms: list[int], seconds: int
+    ) -> int:
         count = 0
         for step in range(seconds * 100):
             now = step / 100
-            for allowance, seen in zip(allowances, sharers, strict=True):
+            for allowance, vm_count in zip(allowances, entry_vms, strict=True):
                 if step % 50 == 0:
-                    allowance.renew(100.0, seen, now)
+                    allowance.renew(100.0, vm_count, now)
                 count += sum(allowance.take(now) for _ in range(5))
         return count
 
     def test_all_vms_together_keep_to_the_limit(self) -> None:
         allowances = [RateAllowance() for _ in range(4)]
-        self.assertLessEqual(self.passed(allowances, [4] * 4, 10), 100 * 10 + 4 * 25)
+        self.assertLessEqual(self.count_taken(allowances, [4] * 4, 10), 100 * 10 + 4 * 25)
 
     def test_vm_that_sees_a_peer_go_waits_before_it_takes_more(self) -> None:
         allowance = RateAllowance(hold_s=10.0)
