--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -114,7 +114,7 @@
         """
         self.load.tick(now - self.ticked_at)
         self.ticked_at = now
-        self.membership.forget(now)
+        self.membership.drop_expired(now)
         self._join(now)
         self._renew_slots(now)
         held: dict[str, int] = {}
--- a/sprucewinch/hall/peers/exchange.py
+++ b/sprucewinch/hall/peers/exchange.py
@@ -1,8 +1,8 @@
-"""Exchange of members and documents between entry VMs; each sends only newer versions.
+"""Anti-entropy between entry VMs: members and documents, of which each sends only newer versions.
 
-Makes and answers the messages of an anti-entropy round and chooses its partners. Owns no state: the
-members belong to `membership`, the documents to the node's shelf. Relies on both to reject versions
-that are not newer, so a lost or repeated message does no harm.
+`Exchange` builds and answers the messages of a round, and `choose_partners` selects the VMs that
+take part. Neither owns state: the members belong to `membership`, the documents to the node's
+`DocumentShelf`. Both reject versions that are not newer, so a lost or repeated message is harmless.
 """
 
 import random
@@ -21,15 +21,15 @@
     Member,
 )
 
-OTHER_HALL_PARTNERS = 2
-"""VMs of other halls in a round of exchange."""
+MAX_OTHER_HALL_PARTNERS = 2
+"""Most VMs of other halls in a round of exchange."""
 
 _NO_VERSION = (0, 0)
-"""Version of a member of which the other VM has no entry: below any that is sent."""
+"""Version of a member of which the other VM has no entry: lower than any that is sent."""
 
 
 class Exchange:
-    """Makes and answers the messages by which members and documents spread.
+    """Builds and answers the messages that distribute members and documents.
 
     Args:
         node: This VM's state.
@@ -47,7 +47,7 @@
         )
 
     def answer(self, message: ExchangeRequest, now: float) -> ExchangeReply:
-        """Store what is newer in a message, and answer with what is newer here."""
+        """Store what is newer in a message; return what is newer here and which keys to send."""
         self._store(message.members, message.documents, now)
         theirs = {row.key: row.revision for row in message.revisions}
         membership = self.node.membership
@@ -62,7 +62,8 @@
         """Store what is newer in a reply.
 
         Returns:
-            A message with what the other VM lacks; None when it lacks nothing.
+            A message with the entries and documents that the other VM asked for; None when it
+            asked for nothing that is held here.
         """
         self._store(reply.members, reply.documents, now)
         members = _select(self.node.membership, reply.wanted_members)
@@ -83,7 +84,7 @@
 
 
 def choose_partners(
-    node: Node, rng: random.Random, now: float, *, others: int = OTHER_HALL_PARTNERS
+    node: Node, rng: random.Random, now: float, *, others: int = MAX_OTHER_HALL_PARTNERS
 ) -> list[str]:
     """Return the peer addresses to exchange with this round.
 
@@ -94,33 +95,34 @@
         others: Most VMs of other data halls.
 
     Returns:
-        All live VMs of this hall, so that slots are divided by a fresh list, some VMs of other
-        halls, and one listed address that no member has, if there is one.
+        All live VMs of this hall, so that slots are divided by a current list; a random sample of
+        the live VMs of other halls; and one random address of the setting `peers` that none of
+        these members has, if there is one.
     """
     members = [m for m in node.membership.live(now) if m is not node.own and m.state != GONE]
-    near = [m.peer_address for m in members if m.hall == node.own.hall]
-    far = [m.peer_address for m in members if m.hall != node.own.hall]
-    chosen = near + rng.sample(far, min(others, len(far)))
+    same_hall = [m.peer_address for m in members if m.hall == node.own.hall]
+    other_halls = [m.peer_address for m in members if m.hall != node.own.hall]
+    chosen = same_hall + rng.sample(other_halls, min(others, len(other_halls)))
     known = {m.peer_address for m in members}
-    seeds = [s for s in node.settings.peers if s not in known]
+    seeds = [address for address in node.settings.peers if address not in known]
     return chosen + rng.sample(seeds, min(1, len(seeds)))
 
 
 def _known(membership: Membership) -> list[Known]:
-    """Return the versions held here."""
+    """Return the member versions held here."""
     return [
         Known(vm=m.vm, incarnation=m.incarnation, version=m.version) for m in membership.entries()
     ]
 
 
 def _newer_than(membership: Membership, known: Iterable[Known]) -> list[Member]:
-    """Return the entries held here that are newer than another VM's versions."""
+    """Return the entries held here that are newer than another VM's."""
     theirs = {k.vm: (k.incarnation, k.version) for k in known}
     return [m for m in membership.entries() if version_of(m) > theirs.get(m.vm, _NO_VERSION)]
 
 
 def _older_than(membership: Membership, known: Iterable[Known]) -> list[str]:
-    """Return the members of which another VM has a newer version."""
+    """Return the names of the members of which another VM has a newer entry."""
     wanted = []
     for k in known:
         member = membership.find(k.vm)
@@ -130,7 +132,7 @@
 
 
 def _select(membership: Membership, vms: Iterable[str]) -> list[Member]:
-    """Return the entries of some members; those that are gone from the table are left out."""
+    """Return the entries of the named members; unknown names are skipped."""
     return [m for m in map(membership.find, vms) if m is not None]
 
 
--- a/sprucewinch/hall/peers/membership.py
+++ b/sprucewinch/hall/peers/membership.py
@@ -1,8 +1,9 @@
-"""Membership: which entry VMs exist, as far as this one knows, and which of them are live.
+"""Membership: the entry VMs that this one knows of, and which of them are live.
 
-Owns the table of members, this VM's own entry and the time at which each entry was last replaced by
-a newer one; that time is the failure detector. Relies on `exchange` to bring entries in. Entries of
-this hall are also kept apart, since `slots` divides the hall's slots by them on every tick.
+`Membership` owns the table of members, this VM's own entry, and the time at which each entry was
+last replaced by a newer one; the failure detector is based on that time. `exchange` passes received
+entries in. Entries of this hall are also indexed separately, since `slots` divides the hall's slots
+by them on every tick.
 """
 
 from typing import Optional
@@ -15,7 +16,7 @@
 of 1 s. Together with the 1.5 s of `slots.MEMBER_LIST_TTL_S` it stays below the 5 s of
 `slots.TAKEOVER_DELAY_S`."""
 
-FORGET_S = 60.0
+MEMBER_RETENTION_S = 60.0
 """Time without a newer entry after which a member is dropped from the table, in seconds."""
 
 
@@ -35,7 +36,7 @@
 
 
 def member_id(member: Member) -> str:
-    """Return the name of one incarnation of an entry VM."""
+    """Return the id of one incarnation of an entry VM: its name and incarnation."""
     return f"{member.vm}#{member.incarnation:x}"
 
 
@@ -43,8 +44,13 @@
     """The table of members.
 
     Args:
-        own: This entry VM's own entry; its version grows with `touch`.
+        own: This entry VM's own entry; `touch` increments its version.
         silent_s: Time without a newer entry after which a member is not live, in seconds.
+
+    Attributes:
+        records: Newest entry of every other member, by VM name.
+        hall_records: The part of `records` that belongs to this VM's data hall.
+        superseded: True once another process of this VM's name has a higher incarnation.
     """
 
     def __init__(self, own: Member, *, silent_s: float = SILENT_S) -> None:
@@ -55,7 +61,7 @@
         self.superseded = False
 
     def touch(self) -> None:
-        """Raise the version of this VM's own entry."""
+        """Increment the version of this VM's own entry, so that other VMs replace theirs."""
         self.own.version += 1
 
     def observe(self, member: Member, now: float) -> bool:
@@ -66,7 +72,7 @@
             now: Monotonic time, in seconds.
 
         Returns:
-            True when it was newer; False also for an entry of this VM's own name.
+            True when it was newer. False otherwise, and for any entry with this VM's own name.
         """
         if member.vm == self.own.vm:
             self._observe_own_name(member)
@@ -74,10 +80,10 @@
         known = self.records.get(member.vm)
         if known is not None and version_of(member) <= version_of(known.member):
             return False
-        # A copy of its own, since a part of a message would keep the whole message in memory.
-        own_copy = Member()
-        own_copy.CopyFrom(member)
-        record = self.records[member.vm] = MemberRecord(own_copy, now)
+        # The entry is copied, since a reference to it would keep the whole message in memory.
+        copy = Member()
+        copy.CopyFrom(member)
+        record = self.records[member.vm] = MemberRecord(copy, now)
         if member.hall == self.own.hall:
             self.hall_records[member.vm] = record
         else:
@@ -85,10 +91,10 @@
         return True
 
     def _observe_own_name(self, member: Member) -> None:
-        """Compare with another process of this VM's name; the higher incarnation stays.
+        """Resolve a conflict with another process of this VM's name: the higher incarnation wins.
 
-        A process that still joins takes a higher incarnation, since its clock may be slow. One that
-        serves already is superseded.
+        A process that is still joining takes a higher incarnation, since its clock may be slow. One
+        that is past joining is superseded.
         """
         if member.incarnation <= self.own.incarnation:
             return
@@ -102,7 +108,7 @@
         return [self.own, *self._live_of(self.records, now)]
 
     def serving(self, now: float) -> list[Member]:
-        """Return the live members that take callers."""
+        """Return the live members that accept callers."""
         return [m for m in self.live(now) if m.state == SERVING]
 
     def of_hall(self, now: float) -> list[Member]:
@@ -110,24 +116,24 @@
         return [self.own, *self._live_of(self.hall_records, now)]
 
     def _live_of(self, records: dict[str, MemberRecord], now: float) -> list[Member]:
-        since = now - self.silent_s
-        return [r.member for r in records.values() if r.received_at >= since]
+        oldest = now - self.silent_s
+        return [r.member for r in records.values() if r.received_at >= oldest]
 
     def slot_holders(self, now: float) -> tuple[str, ...]:
-        """Return the incarnations that divide the hall's slots, sorted."""
+        """Return the ids of the members that divide the hall's slots, sorted."""
         holding = (SERVING, LEAVING)
         return tuple(sorted(member_id(m) for m in self.of_hall(now) if m.state in holding))
 
     def view_confirmed(self, now: float) -> bool:
-        """Return whether every other slot holder of the hall lists the same slot holders."""
-        view = member_list_digest(self.slot_holders(now))
+        """Return whether every other slot holder of the hall reports the same list of them."""
+        digest = member_list_digest(self.slot_holders(now))
         others = [m for m in self.of_hall(now) if m is not self.own]
-        return all(m.hall_view == view for m in others if m.state in (SERVING, LEAVING))
+        return all(m.hall_view == digest for m in others if m.state in (SERVING, LEAVING))
 
     def finished(self) -> frozenset[str]:
-        """Return the incarnations of this hall that report that they have finished."""
-        gone = (r.member for r in self.hall_records.values() if r.member.state == GONE)
-        return frozenset(member_id(member) for member in gone)
+        """Return the ids of this hall's members that report that they hold no slots any more."""
+        finished = (r.member for r in self.hall_records.values() if r.member.state == GONE)
+        return frozenset(member_id(member) for member in finished)
 
     def find(self, vm: str) -> Optional[Member]:
         """Return a member by its name, live or not."""
@@ -147,20 +153,24 @@
         """Return all entries held, live or not; this VM's own comes first."""
         return [self.own, *(record.member for record in self.records.values())]
 
-    def forget(self, now: float) -> None:
-        """Drop members without a newer entry for `FORGET_S`."""
-        old = [vm for vm, record in self.records.items() if now - record.received_at > FORGET_S]
-        for vm in old:
+    def drop_expired(self, now: float) -> None:
+        """Drop members without a newer entry for `MEMBER_RETENTION_S`."""
+        expired = [
+            vm
+            for vm, record in self.records.items()
+            if now - record.received_at > MEMBER_RETENTION_S
+        ]
+        for vm in expired:
             del self.records[vm]
             self.hall_records.pop(vm, None)
 
 
 def version_of(member: Member) -> tuple[int, int]:
-    """Return what orders the entries of one member: incarnation, then version."""
+    """Return the sort key of one member's entries: incarnation, then version."""
     return (member.incarnation, member.version)
 
 
 def _start_incarnation(member: Member, incarnation: int) -> None:
-    """Give an entry a higher incarnation, whose versions start anew."""
+    """Set an entry's incarnation and restart its versions at 1."""
     member.incarnation = incarnation
     member.version = 1
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -19,14 +19,14 @@
 
 
 def wire(message):
-    """Encode and decode a message, as a connection does."""
+    """Return a message encoded and decoded, as a connection does."""
     return type(message).FromString(message.SerializeToString())
 
 
 class Spreading(RuleBasedStateMachine):
-    """Three VMs that exchange over links that come and go; VMs restart empty.
+    """Three VMs exchange over links that fail and recover; VMs restart without any documents.
 
-    The oracle is the newest accepted revision, and what each process had in force before.
+    The oracle is the newest accepted revision and the revision that each process had in force.
     """
 
     shelf_class = DocumentShelf
@@ -79,7 +79,7 @@
         held.offer(Revisioned("steer/configuration", revision, value))
 
     @rule(index=st.integers(0, 2), size=st.integers(0, 200))
-    def half_a_value_arrives(self, index: int, size: int) -> None:
+    def a_truncated_value_arrives(self, index: int, size: int) -> None:
         value = msgspec.json.encode(DOCUMENT)[:size]
         self.nodes[index].shelf.offer(Revisioned("steer/configuration", 999, value))
 
@@ -90,13 +90,13 @@
         self.seen[index] = 0
 
     @rule(pair=st.permutations([0, 1, 2]), cut=st.booleans())
-    def a_link_is_cut_or_mended(self, pair: list[int], cut: bool) -> None:
+    def a_link_fails_or_recovers(self, pair: list[int], cut: bool) -> None:
         link = frozenset(pair[:2])
         self.cut = self.cut | {link} if cut else self.cut - {link}
 
     @rule()
-    def all_meet(self) -> None:
-        """With no link cut, two rounds bring the newest that anyone holds to all."""
+    def all_exchange(self) -> None:
+        """With all links up, two rounds bring the newest revision held by any VM to all."""
         held, before = self.cut, max(n.revision for n in self.nodes)
         self.cut = set()
         for _ in range(2):
@@ -106,7 +106,7 @@
         self.cut = held
 
     @invariant()
-    def never_an_older_one(self) -> None:
+    def revisions_never_decrease(self) -> None:
         for index, each in enumerate(getattr(self, "nodes", [])):
             assert each.revision >= self.seen[index]
             self.seen[index] = each.revision
@@ -118,8 +118,8 @@
 TestSpreading = Spreading.TestCase
 
 
-class GullibleShelf(DocumentShelf):
-    """A wrong version: takes whatever comes last."""
+class UncheckedShelf(DocumentShelf):
+    """A wrong version: accepts the last document offered, however old."""
 
     def offer(self, document: Revisioned) -> bool:
         if not self.accept(document):
@@ -133,13 +133,13 @@
         machine = type("Spread", (Spreading,), {"shelf_class": shelf_class})()
         machine.start()
         machine.a_change_is_accepted(0)
-        machine.never_an_older_one()
+        machine.revisions_never_decrease()
         machine.the_platform_shows_an_older_value(0, 1)
-        machine.never_an_older_one()
+        machine.revisions_never_decrease()
 
     def test_proof_fails_with_a_wrong_version(self) -> None:
         with self.assertRaises(AssertionError):
-            self.play(GullibleShelf)
+            self.play(UncheckedShelf)
         self.play(DocumentShelf)
 
 
@@ -158,13 +158,13 @@
         self.assertFalse(table.observe(self.member("a", 1, 9), 1.0))
         self.assertTrue(table.observe(self.member("a", 3, 1), 1.0))
 
-    def test_silent_members_are_not_live_and_then_forgotten(self) -> None:
+    def test_silent_members_are_not_live_and_then_dropped(self) -> None:
         table = self.table()
         table.observe(self.member("a", state=SERVING), 0.0)
         self.assertEqual(len(table.live(3.0)), 2)
         self.assertEqual(len(table.live(3.1)), 1)
         self.assertIsNotNone(table.find("a"))
-        table.forget(61.0)
+        table.drop_expired(61.0)
         self.assertIsNone(table.find("a"))
 
     def test_older_process_of_the_same_name_is_superseded(self) -> None:
