--- a/sprucewinch/hall/peers/frames.py
+++ b/sprucewinch/hall/peers/frames.py
@@ -1,7 +1,8 @@
 """Conversion between requests and the frames of `peer.proto` that entry VMs send each other.
 
-Owns the decoding of each kind of frame and `FrameBody`, a body that arrives in frames. Relies on
-the generated messages and `net`; `peer_client` and `peer_server` send and receive.
+The module owns the encoding and decoding of each kind of frame, and `FrameBody`, a request body
+that arrives in frames. It relies on the generated messages and `net`; `peer_client` and
+`peer_server` send and receive the frames.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -13,14 +14,14 @@
 from .peer_pb2 import Accepted, End, Frame, Head, Header, Open, Refused
 
 CHUNK = 65_536
-"""Most bytes of body in one frame."""
+"""Most bytes of a body in one frame."""
 
-Receive = Callable[[], Awaitable[Optional[Frame]]]
+ReceiveFrame = Callable[[], Awaitable[Optional[Frame]]]
 """Returns the next frame; None when the stream has ended."""
 
 
 def open_frame(request: Request, *, now: float, from_region: str, home: bool) -> Frame:
-    """Return the frame that begins a handed-on request."""
+    """Return the first frame of a forwarded request. `now` is monotonic time, in seconds."""
     body = request.body
     return Frame(
         open=Open(
@@ -41,7 +42,7 @@
 
 
 def request_of(opened: Open, body: Body, now: float) -> Request:
-    """Return the request that an opening frame describes."""
+    """Return the request that an opening frame describes. `now` is monotonic time, in seconds."""
     return Request(
         request_id=opened.request_id,
         service=opened.service,
@@ -56,7 +57,7 @@
 
 
 def headers_of(headers: object) -> Headers:
-    """Return headers as pairs."""
+    """Return the headers of a frame as pairs of name and value."""
     return [(header.name, header.value) for header in headers]  # type: ignore[attr-defined]
 
 
@@ -66,13 +67,13 @@
 
 
 def head_frame(request_id: str, status: int, headers: Headers) -> Frame:
-    """Return the frame that begins an answer."""
+    """Return the first frame of an answer: status and headers."""
     listed = [Header(name=name, value=value) for name, value in headers]
     return Frame(head=Head(request_id=request_id, status=status, headers=listed))
 
 
 def end_frame(request_id: str, length: int) -> Frame:
-    """Return the frame that ends a body of so many bytes."""
+    """Return the frame that ends a body. `length` is the body's total length, in bytes."""
     return Frame(end=End(request_id=request_id, length=length))
 
 
@@ -89,18 +90,18 @@
 
 
 def refusal_of(refused: Refused) -> Refusal:
-    """Return the refusal that a frame carries; an unknown reason counts as a failed peer."""
+    """Return the refusal that a frame carries; an unknown reason becomes `PEER_FAILED`."""
     try:
         reason = Reason(refused.reason)
     except ValueError:
-        # A newer release may send reasons that this one lacks; the outcome still holds.
+        # A newer release may send reasons that this one lacks; the outcome is still valid.
         reason = Reason.PEER_FAILED
     outcome = Outcome.NOT_RUN if refused.outcome == Outcome.NOT_RUN.value else Outcome.UNKNOWN
     return Refusal(outcome, reason, refused.retry_after_ms)
 
 
 def split(chunk: bytes) -> list[Frame]:
-    """Return frames for a piece of body."""
+    """Return the frames of a piece of a body."""
     return [Frame(chunk=chunk[i : i + CHUNK]) for i in range(0, len(chunk), CHUNK)]
 
 
@@ -110,36 +111,42 @@
     Args:
         opened: The opening frame.
         receive: Receives frames.
-        ask: Asks the sender for the rest of the body.
+        request_rest: Asks the sender for the rest of the body.
     """
 
-    def __init__(self, opened: Open, receive: Receive, ask: Callable[[], Awaitable[None]]) -> None:
+    def __init__(
+        self, opened: Open, receive: ReceiveFrame, request_rest: Callable[[], Awaitable[None]]
+    ) -> None:
         self.first = opened.first_chunk
         self.complete = opened.body_complete
         self._request_id = opened.request_id
         self._receive = receive
-        self._ask = ask
-        self._asked = False
+        self._request_rest = request_rest
+        self._rest_requested = False
         self._length = len(opened.first_chunk)
 
     async def next_chunk(self) -> Optional[bytes]:
-        """Return the next piece; None at the end."""
-        if not self._asked:
-            self._asked = True
-            await self._ask()
+        """Return the next piece, or None at the end.
+
+        Raises:
+            CallerLeftError: When the stream ended early or the length is not the one sent.
+        """
+        if not self._rest_requested:
+            self._rest_requested = True
+            await self._request_rest()
         frame = await self._receive()
         kind = frame.WhichOneof("kind") if frame is not None else None
         if frame is not None and kind == "chunk":
             self._length += len(frame.chunk)
             return frame.chunk
-        whole = kind == "end" and frame.end.request_id == self._request_id
-        if whole and frame.end.length == self._length:
+        ended = kind == "end" and frame.end.request_id == self._request_id
+        if ended and frame.end.length == self._length:
             return None
-        raise CallerLeftError("the sender of the body left")
+        raise CallerLeftError("the sender closed the stream before the body was complete")
 
 
 async def body_frames(body: Body, request_id: str) -> AsyncIterator[Frame]:
-    """Yield the frames of a body after its first chunk, and its end."""
+    """Yield the frames of a body after its first chunk, then its end frame."""
     length = len(body.first)
     body.consumed = True
     while (chunk := await body.next_chunk()) is not None:
--- a/sprucewinch/hall/peers/peer_client.py
+++ b/sprucewinch/hall/peers/peer_client.py
@@ -1,10 +1,11 @@
-"""Calls to other entry VMs: exchanges, and requests handed on.
+"""Calls to other entry VMs: exchanges and forwarded requests.
 
-Owns the gRPC channels to each peer address and drops them when an exchange fails. Requests that
-may be sent again end then, and are tried elsewhere; operations go on, as their answers may still
-come. Relies on `frames` for the messages. Decides whether a handed-on request certainly did not
-run: it did not if the stream to the other VM was not opened, or if that VM reports so. Tests:
-`test_peer_client`.
+`PeerClient` owns the gRPC channels to each peer address and closes them when an exchange fails.
+Requests that may be repeated then fail and are retried elsewhere; operations continue, since their
+answers may still arrive. `frames` converts the messages.
+
+The client also decides whether a forwarded request certainly did not run: that is so if the stream
+to the other VM was never opened, or if that VM reports it. Tested by `tests.test_peer_client`.
 """
 
 import asyncio
@@ -27,19 +28,20 @@
 from .peer_grpc import PeerStub
 from .peer_pb2 import ExchangeReply, ExchangeRequest, Frame, Member
 
-WINDOW = 1 << 20
-"""Bytes on their way on one connection between two entry VMs, and on one stream of it. With it a 1
-GB upload was handed on at 165 MB/s and the two daemons grew by 2.2 and 2.0 MB."""
+FLOW_CONTROL_WINDOW_BYTES = 1 << 20
+"""HTTP/2 flow-control window of a connection between two entry VMs and of each of its streams, in
+bytes. With it, a 1 GB upload was forwarded at 165 MB/s and the memory of the two daemons grew by
+2.2 and 2.0 MB."""
 
-_EXCHANGE_S = 2.0
-"""Longest time for an exchange, in seconds: two rounds of it."""
+_EXCHANGE_TIMEOUT_S = 2.0
+"""Longest time for an exchange, in seconds: two intervals of `loops.EXCHANGE_S`."""
 
-_FAILURES = (GRPCError, StreamTerminatedError, OSError, asyncio.TimeoutError)
-"""Errors of a call to a VM that is gone, frozen or cut off."""
+_CALL_ERRORS = (GRPCError, StreamTerminatedError, OSError, asyncio.TimeoutError)
+"""Errors of a call to a VM that has ended, is frozen or cannot be reached."""
 
 
 class PeerClient(PeerLink):
-    """Channels to other entry VMs, kept by address.
+    """Client of other entry VMs; keeps the channels to each address.
 
     Args:
         region: This VM's region.
@@ -60,13 +62,17 @@
         self.channels.clear()
 
     async def exchange(self, address: str, message: ExchangeRequest) -> Optional[ExchangeReply]:
-        """Exchange members and documents with one entry VM; None when it does not answer."""
+        """Exchange members and documents with one entry VM.
+
+        Returns:
+            Its reply; None when the call failed or took longer than `_EXCHANGE_TIMEOUT_S`.
+        """
         self.bytes_sent += message.ByteSize()
         try:
             stub = PeerStub(self._channels(address).shared)
-            reply = await stub.Exchange(message, timeout=_EXCHANGE_S)
-        except _FAILURES:
-            # The VM's entry grows old by itself, which shows in its `age_s`; no line is needed.
+            reply = await stub.Exchange(message, timeout=_EXCHANGE_TIMEOUT_S)
+        except _CALL_ERRORS:
+            # No log line is needed: the failure shows as a growing `age_s` of the VM's entry.
             self.drop(address)
             return None
         self.bytes_received += reply.ByteSize()
@@ -75,30 +81,30 @@
     async def hand_on(
         self, member: Member, request: Request, responder: Responder, *, home: bool
     ) -> Attempt:
-        """Hand a request on to another entry VM; see `PeerLink.hand_on`."""
-        left = request.deadline - self.clock.monotonic()
-        if left <= 0:
+        """Forward a request to another entry VM; see `PeerLink.hand_on`."""
+        remaining_s = request.deadline - self.clock.monotonic()
+        if remaining_s <= 0:
             return Attempt(not_run(Reason.DEADLINE_PASSED))
-        hand_on = _HandOn(request, responder)
+        forwarded = _ForwardedRequest(request, responder)
         frame = open_frame(request, now=self.clock.monotonic(), from_region=self.region, home=home)
         channels = self._channels(member.peer_address)
         try:
-            with channels.used(operation=request.ticket is not None) as channel:
+            with channels.channel_of(operation=request.ticket is not None) as channel:
                 async with (
-                    asyncio.timeout(left) as limit,
+                    asyncio.timeout(remaining_s) as timeout,
                     PeerStub(channel).Handle.open() as stream,
                 ):
-                    await hand_on.run(stream, frame, limit)
+                    await forwarded.run(stream, frame, timeout)
         except TimeoutError:
-            return hand_on.failed(Reason.BACKEND_TIMEOUT)
+            return forwarded.failed(Reason.BACKEND_TIMEOUT)
         except CallerLeftError:
-            return hand_on.failed(Reason.CALLER_LEFT)
-        except _FAILURES:
-            return hand_on.failed(Reason.PEER_FAILED)
-        return hand_on.attempt or hand_on.failed(Reason.PEER_FAILED)
+            return forwarded.failed(Reason.CALLER_LEFT)
+        except _CALL_ERRORS:
+            return forwarded.failed(Reason.PEER_FAILED)
+        return forwarded.attempt or forwarded.failed(Reason.PEER_FAILED)
 
     def drop(self, address: str) -> None:
-        """Let go of the channels to an address, so that the next call connects afresh."""
+        """Remove and close the channels to an address; the next call opens new ones."""
         channels = self.channels.pop(address, None)
         if channels is not None:
             channels.drop()
@@ -111,7 +117,9 @@
 
 
 class _PeerChannels:
-    """The channels to one peer: operations have one of their own. Each connects when it is used.
+    """The channels to one peer: one for operations and one for everything else.
+
+    Each channel connects when it is first used.
 
     Args:
         address: The peer's address.
@@ -124,8 +132,8 @@
         self.dropped = False
 
     @contextlib.contextmanager
-    def used(self, *, operation: bool) -> Iterator[Channel]:
-        """Return the channel of a request, which is kept open for an operation until it ends."""
+    def channel_of(self, *, operation: bool) -> Iterator[Channel]:
+        """Yield the channel for a request; an operation's stays open until the operation ends."""
         if not operation:
             yield self.shared
             return
@@ -134,20 +142,20 @@
             yield self.for_operations
         finally:
             self.operations -= 1
-            self._close_unused()
+            self._close_if_unused()
 
     def drop(self) -> None:
-        """Close the channels; that of operations once the last one at work there has ended."""
+        """Close the channels; that of operations only once the last operation on it has ended."""
         self.shared.close()
         self.dropped = True
-        self._close_unused()
+        self._close_if_unused()
 
     def close(self) -> None:
         """Close the channels at once."""
         self.shared.close()
         self.for_operations.close()
 
-    def _close_unused(self) -> None:
+    def _close_if_unused(self) -> None:
         if self.dropped and not self.operations:
             self.for_operations.close()
 
@@ -155,17 +163,18 @@
 def _channel(address: str) -> Channel:
     host, port = parse_address(address)
     window = ChannelConfiguration(
-        http2_connection_window_size=WINDOW, http2_stream_window_size=WINDOW
+        http2_connection_window_size=FLOW_CONTROL_WINDOW_BYTES,
+        http2_stream_window_size=FLOW_CONTROL_WINDOW_BYTES,
     )
     return Channel(host, port, config=window)
 
 
-class _HandOn:
-    """One handed-on request.
+class _ForwardedRequest:
+    """One forwarded request.
 
     Args:
         request: The request.
-        responder: Where its answer goes.
+        responder: Receives the answer.
     """
 
     def __init__(self, request: Request, responder: Responder) -> None:
@@ -174,51 +183,54 @@
         self.sent = False
         self.attempt: Optional[Attempt] = None
 
-    async def run(self, stream: Stream, opening: Frame, limit: asyncio.Timeout) -> None:
-        """Send the request and pass its answer on; sets `attempt` when a final answer came."""
+    async def run(self, stream: Stream, opening: Frame, timeout: asyncio.Timeout) -> None:
+        """Send the request and relay its answer; `attempt` is set when the final frame arrives."""
         await stream.send_request()
         self.sent = True
         await stream.send_message(opening, end=self.request.body.complete)
         frame = await stream.recv_message()
         if frame is not None and frame.WhichOneof("kind") == "accepted":
             frame = await self._send_body(stream)
-        if frame is None or not self._ours(frame):
+        if frame is None or not self._has_request_id(frame):
             return
         kind = frame.WhichOneof("kind")
         if kind == "refused":
             refusal = refusal_of(frame.refused)
             self.attempt = Attempt(refusal, sent=True)
         elif kind == "head":
-            limit.reschedule(None)
-            await self._pass_on(stream, frame)
+            timeout.reschedule(None)
+            await self._relay_answer(stream, frame)
 
     async def _send_body(self, stream: Stream) -> Optional[Frame]:
-        """Send the rest of the body, while the answer may already begin."""
-        answer = asyncio.ensure_future(stream.recv_message())
+        """Send the rest of the body, and return the first frame of the answer.
+
+        The answer may begin before the body is complete.
+        """
+        receiving = asyncio.ensure_future(stream.recv_message())
         sending = asyncio.ensure_future(self._send_frames(stream))
         try:
-            done, _ = await asyncio.wait({answer, sending}, return_when=asyncio.FIRST_COMPLETED)
+            done, _ = await asyncio.wait({receiving, sending}, return_when=asyncio.FIRST_COMPLETED)
             if sending in done:
                 await sending
-            return await answer
+            return await receiving
         finally:
-            for task in (answer, sending):
+            for task in (receiving, sending):
                 task.cancel()
-            await asyncio.gather(answer, sending, return_exceptions=True)
+            await asyncio.gather(receiving, sending, return_exceptions=True)
 
     async def _send_frames(self, stream: Stream) -> None:
         async for frame in body_frames(self.request.body, self.request.request_id):
             await stream.send_message(frame)
         await stream.end()
 
-    def _ours(self, frame: Frame) -> bool:
-        """Return whether a frame belongs to this request; frames without an id never do."""
+    def _has_request_id(self, frame: Frame) -> bool:
+        """Return whether a frame carries this request's id; kinds without an id never match."""
         kind = frame.WhichOneof("kind")
         if kind not in ("head", "refused", "end"):
             return False
         return getattr(frame, kind).request_id == self.request.request_id
 
-    async def _pass_on(self, stream: Stream, head: Frame) -> None:
+    async def _relay_answer(self, stream: Stream, head: Frame) -> None:
         await self.responder.start(head.head.status, headers_of(head.head.headers))
         length = 0
         while (frame := await stream.recv_message()) is not None:
@@ -226,7 +238,7 @@
                 length += len(frame.chunk)
                 await self.responder.write(frame.chunk)
                 continue
-            if frame.WhichOneof("kind") == "end" and self._ours(frame):
+            if frame.WhichOneof("kind") == "end" and self._has_request_id(frame):
                 if frame.end.length != length:
                     return
                 await self.responder.finish()
@@ -237,7 +249,7 @@
         """Return the result of a call that ended without a final answer.
 
         Raises:
-            BrokenAnswerError: When the answer broke off after its start was passed on.
+            BrokenAnswerError: When the answer broke off after its start had been relayed.
         """
         if self.attempt is not None:
             return self.attempt
--- a/sprucewinch/hall/peers/peer_listener.py
+++ b/sprucewinch/hall/peers/peer_listener.py
@@ -1,7 +1,8 @@
-"""The peers' listener, with a limit on connections.
+"""The listener for other entry VMs, with a limit on connections.
 
-Owns the count of open connections and the line that reports a full listener. Relies on grpclib's
-server, whose protocol factory it replaces while the limit is reached.
+`PeerListener` counts the open connections and logs `event=peer-connections` when the limit is
+reached and when it no longer is. It relies on grpclib's server, whose protocol factory it replaces
+while the limit is reached.
 """
 
 import asyncio
@@ -11,12 +12,12 @@
 from grpclib.server import Server
 
 from ... import log
-from .peer_client import WINDOW
+from .peer_client import FLOW_CONTROL_WINDOW_BYTES
 from .peer_grpc import PeerBase
 
 
 class _RefusingProtocol(asyncio.Protocol):
-    """Closes a connection at once; the peer sees that nothing was sent on it."""
+    """Closes a connection as soon as it opens, before any request can be sent on it."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport.close()
@@ -25,15 +26,18 @@
 class PeerListener(Server):
     """A listener that closes connections beyond a limit.
 
-    Header lists are bounded by the HTTP/2 library, requests by `PeerServer`.
+    The HTTP/2 library limits header lists, and `PeerServer` limits requests.
 
     Args:
-        service: What is served.
+        service: Handles the calls of peers.
         connections: Most open connections.
     """
 
     def __init__(self, service: PeerBase, *, connections: int) -> None:
-        window = Configuration(http2_connection_window_size=WINDOW, http2_stream_window_size=WINDOW)
+        window = Configuration(
+            http2_connection_window_size=FLOW_CONTROL_WINDOW_BYTES,
+            http2_stream_window_size=FLOW_CONTROL_WINDOW_BYTES,
+        )
         super().__init__([service], config=window)
         self.connections = connections
         self.full = False
--- a/sprucewinch/hall/peers/peer_server.py
+++ b/sprucewinch/hall/peers/peer_server.py
@@ -1,9 +1,10 @@
-"""The server for other entry VMs: exchanges, and requests that they hand on.
+"""The server for other entry VMs: exchanges and requests that they forward.
 
-Refuses requests beyond this VM's limits, runs the others through the dispatcher and sends each
-answer back as frames. Owns no state; the node counts the requests in flight. Relies on
-`exchange`, `frames` and `requests.dispatch`. A request handed on for this hall's slots is not
-handed on again; one handed to its ticket's home is decided as if it came from a caller.
+`PeerServer` refuses requests beyond this VM's limits, runs the others through the dispatcher and
+sends each answer back as frames. It owns no state; the node counts the requests in flight. It
+relies on `exchange`, `frames` and `requests.dispatch`. A request that was forwarded for this hall's
+slots is not forwarded again; one that was forwarded to its ticket's home is decided as if it came
+from a caller.
 """
 
 from collections.abc import Callable
@@ -33,18 +34,19 @@
 from .peer_pb2 import ExchangeReply, ExchangeRequest, Frame, Open
 
 MAX_REQUESTS = 1000
-"""Most requests in flight without a setting: as `limits.requests`."""
+"""Most requests in flight by default; the same as the default of the setting
+`limits.requests`."""
 
 
 class PeerServer(PeerBase):
-    """Serves exchanges and handed-on requests.
+    """Serves exchanges and forwarded requests.
 
     Args:
         exchange: Answers exchanges.
         dispatcher: Runs requests.
         clock: Source of time.
-        max_requests: Requests in flight at this VM beyond which handed-on ones are refused.
-        changed: Called when an exchange brought a newer document.
+        max_requests: Requests in flight at this VM beyond which forwarded ones are refused.
+        changed: Called when an exchange delivered a newer document.
     """
 
     def __init__(
@@ -76,10 +78,16 @@
         await stream.send_message(reply)
 
     async def Handle(self, stream: "Stream[Frame, Frame]") -> None:  # noqa: N802
-        """Run a handed-on request and send its answer back."""
+        """Run a forwarded request and send its answer back.
+
+        Raises:
+            GRPCError: When the first frame is no opening frame, or the answer broke off.
+        """
         frame = await stream.recv_message()
         if frame is None or frame.WhichOneof("kind") != "open":
-            raise GRPCError(Status.INVALID_ARGUMENT, "begin with an opening frame")
+            raise GRPCError(
+                Status.INVALID_ARGUMENT, "the first frame of a request must be an opening frame"
+            )
         opened = frame.open
         responder = _FrameResponder(stream, opened.request_id)
         node = self.dispatcher.node
@@ -99,10 +107,10 @@
         node = self.dispatcher.node
         now = self.clock.monotonic()
 
-        async def ask() -> None:
+        async def request_rest() -> None:
             await stream.send_message(accepted_frame(opened.request_id))
 
-        request = request_of(opened, FrameBody(opened, stream.recv_message, ask), now)
+        request = request_of(opened, FrameBody(opened, stream.recv_message, request_rest), now)
         if opened.home:
             return await self._run_home(request, responder)
         if node.in_flight.count > self.max_requests:
@@ -113,7 +121,7 @@
         return attempt.refusal
 
     async def _run_home(self, request: Request, responder: Responder) -> Refusal | None:
-        """Run an operation whose ticket names this process; no other home is looked for."""
+        """Run an operation at its ticket's home; refuse it when this process is not the home."""
         tickets = self.dispatcher.node.tickets
         ticket = parse_ticket(request.ticket or "")
         if tickets is None or ticket is None or not tickets.is_home(ticket):
@@ -126,7 +134,7 @@
 
     Args:
         stream: The stream of the request.
-        request_id: The request's id, which the first and the last frame carry.
+        request_id: The request's id, which the first and the last frame of the answer carry.
     """
 
     def __init__(self, stream: "Stream[Frame, Frame]", request_id: str) -> None:
--- a/tests/test_peer_client.py
+++ b/tests/test_peer_client.py
@@ -22,15 +22,15 @@
 from sprucewinch.net.outcome import Reason
 from sprucewinch.net.request import Headers, Request, Responder
 
-_EXCHANGE_S = 0.1
+_EXCHANGE_TIMEOUT_S = 0.1
 """Longest time for an exchange in these tests, in seconds."""
 
-_LATE_S = 30.0
-"""Seconds after which a test has failed."""
+_TIMEOUT_S = 30.0
+"""Time after which a test has failed, in seconds."""
 
 
 class _Peer(PeerBase):
-    """Answers no exchange, and a request once it is told to."""
+    """A peer that never answers an exchange, and answers a request once the test allows it."""
 
     def __init__(self) -> None:
         self.running = asyncio.Event()
@@ -73,7 +73,9 @@
 
 class LatePeer(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.enterContext(mock.patch.object(peer_client, "_EXCHANGE_S", _EXCHANGE_S))
+        self.enterContext(
+            mock.patch.object(peer_client, "_EXCHANGE_TIMEOUT_S", _EXCHANGE_TIMEOUT_S)
+        )
         self.peer = _Peer()
         server = Server([self.peer])
         await server.start("127.0.0.1", 0)
@@ -85,23 +87,23 @@
         self.addCleanup(self.client.close)
 
     def hand_on(self, answer: Responder, ticket: str | None) -> "asyncio.Task[Attempt]":
-        """Hand a request on to the peer; one with a ticket is an operation."""
-        until = self.clock.monotonic() + _LATE_S
+        """Forward a request to the peer; one with a ticket is an operation."""
+        until = self.clock.monotonic() + _TIMEOUT_S
         request = Request("q1", "booking", "east", "POST", "/a", [], _Empty(), until, ticket)
         member = Member(peer_address=self.address)
         call = self.client.hand_on(member, request, answer, home=False)
         return asyncio.create_task(call)
 
     async def _fail_exchange(self) -> None:
-        """Let an exchange fail while the peer has a request at work."""
+        """Let an exchange fail while the peer runs a request."""
         await self.peer.running.wait()
         self.assertIsNone(await self.client.exchange(self.address, ExchangeRequest()))
 
     async def test_an_exchange_that_fails_ends_no_operation_at_the_same_peer(self) -> None:
-        """It ended as unknown although the peer, which was only late, had its answer."""
+        """The operation must not end as unknown when the peer, which was only late, answers it."""
         answer = _Answer()
         sending = self.hand_on(answer, "ticket")
-        async with asyncio.timeout(_LATE_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             await self._fail_exchange()
             self.peer.may_answer.set()
             attempt = await sending
@@ -111,7 +113,7 @@
 
     async def test_a_request_that_may_be_sent_again_ends_with_it(self) -> None:
         sending = self.hand_on(_Answer(), None)
-        async with asyncio.timeout(_LATE_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             await self._fail_exchange()
             attempt = await sending
         assert attempt.refusal is not None
