--- a/sprucewinch/hall/peers/view.py
+++ b/sprucewinch/hall/peers/view.py
@@ -1,8 +1,8 @@
-"""Snapshots for planning: the reports of all members, added up for each region.
+"""Snapshots for planning: the load reports of all members, aggregated by region.
 
-Owns the addition of loads by service and region and the age of the oldest report of each region.
-Relies on `membership` for the reports and on the topology for drains, distances and links. It is
-built again in each round and keeps nothing between rounds.
+`View` sums the loads by service and region and records the age of the oldest report of each region.
+It takes the reports from `membership`, and drains, distances and links from the topology. A view is
+built in each planning round and keeps nothing between rounds.
 """
 
 from collections.abc import Iterable
@@ -13,17 +13,17 @@
 from .membership import Membership
 from .peer_pb2 import LEAVING, SERVING, Member, ServiceLoad
 
-_IDLE_WEIGHT = 1.0
-"""Requests added to a member's own in the weight of its latency, so that an idle one counts too."""
+_IDLE_WEIGHT_REQUESTS = 1.0
+"""Requests added to those in use when latencies are weighted, so that an idle member counts too."""
 
-KEEP_S = 60.0
-"""Age of a report above which it is left out of snapshots, in seconds."""
+MAX_REPORT_AGE_S = 60.0
+"""Age of a report above which snapshots leave it out, in seconds."""
 
 
 class _Sum:
     """The sum of the reports of one region's members on one service.
 
-    Latency is weighted by the requests in use.
+    `latency` is the sum of latencies, in milliseconds, each times its `weight`.
     """
 
     __slots__ = ("arrivals", "capacity", "demand", "in_use", "latency", "weight")
@@ -42,7 +42,7 @@
         self.arrivals += sum(load.demand.values())
         self.demand += load.demand.get(client_region, 0.0)
         if load.latency_ms >= 0:
-            weight = load.in_use + _IDLE_WEIGHT
+            weight = load.in_use + _IDLE_WEIGHT_REQUESTS
             self.latency += weight * load.latency_ms
             self.weight += weight
 
@@ -61,7 +61,7 @@
 
 
 class View:
-    """The reports of all members, added up in one pass for the callers of one region.
+    """The reports of all members, aggregated in one pass for the callers of one region.
 
     Args:
         topology: The configuration in force.
@@ -106,7 +106,8 @@
 def _recent(membership: Membership, now: float) -> Iterable[tuple[Member, float]]:
     """Yield members with the age of their report, in seconds.
 
-    Live members come first; of a region without any, those with a report of at most `KEEP_S`.
+    Live members come first. Of a region without live members, those follow whose report is at most
+    `MAX_REPORT_AGE_S` old.
     """
     live = [m for m in membership.live(now) if m.state in (SERVING, LEAVING)]
     live_regions = {member.region for member in live}
@@ -114,5 +115,5 @@
         yield member, membership.age_s(member.vm, now) or 0.0
     for record in membership.records.values():
         age_s = now - record.received_at
-        if record.member.region not in live_regions and age_s <= KEEP_S:
+        if record.member.region not in live_regions and age_s <= MAX_REPORT_AGE_S:
             yield record.member, age_s
