--- a/sprucewinch/hall/loops.py
+++ b/sprucewinch/hall/loops.py
@@ -135,7 +135,7 @@
             others: VMs of other halls to choose.
         """
         partners = choose_partners(self.node, self.rng, self.clock.monotonic(), others=others)
-        unknown = [address for address in self.reader.listed if address not in partners]
+        unknown = [address for address in self.reader.listed_peers if address not in partners]
         return partners or self.rng.sample(unknown, min(_SEED_PARTNERS, len(unknown)))
 
     async def exchange_with(self, addresses: list[str]) -> None:
--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -26,7 +26,7 @@
 from .requests.admissions import HallDispatch
 from .requests.tickets import TicketBook
 from .slots import SlotShare, member_list_digest
-from .store.documents import CONFIGURATION_KEY, DocumentShelf
+from .store.documents import CONFIGURATION_KEY, DocumentReplica
 
 LEAVING_S = 10.0
 """Time for which a backend server's report that it is leaving counts, in seconds: ten probes of
@@ -77,7 +77,7 @@
         self.steering = Steering()
         self.regions = RegionTables(settings.region, self.steering)
         self.in_force = DocumentsInForce(self.hall, self.steering, log)
-        self.shelf = DocumentShelf(self.in_force.accept)
+        self.shelf = DocumentReplica(self.in_force.accept)
         self.load = LoadReport(self.hall, self.metrics, self.label)
         self.drains = DrainTimer(self.metrics, log)
 
--- a/sprucewinch/hall/peers/exchange.py
+++ b/sprucewinch/hall/peers/exchange.py
@@ -2,7 +2,8 @@
 
 `Exchange` builds and answers the messages of a round, and `choose_partners` selects the VMs that
 take part. Neither owns state: the members belong to `membership`, the documents to the node's
-`DocumentShelf`. Both reject versions that are not newer, so a lost or repeated message is harmless.
+`DocumentReplica`. Both reject versions that are not newer, so a lost or repeated message is
+harmless.
 """
 
 import random
--- a/sprucewinch/hall/store/documents.py
+++ b/sprucewinch/hall/store/documents.py
@@ -1,7 +1,8 @@
-"""Versioned documents that entry VMs pass on to each other; only a higher revision counts.
+"""Versioned documents that entry VMs replicate: a document is replaced only by a higher revision.
 
-Owns the newest revision of each document that this VM has accepted, and the names of the store's
-keys. Relies on the caller to check and apply a document before it replaces an older one.
+`DocumentReplica` owns the newest revision of each document that this VM has accepted, and the
+module owns the names of the store's keys. The caller checks and applies a document before it
+replaces an older one.
 """
 
 from collections.abc import Callable, Iterable
@@ -10,20 +11,20 @@
 import msgspec
 
 WATCH_PREFIX = "steer/"
-"""Start of the keys that every entry VM holds."""
+"""Prefix of the keys of the documents that every entry VM holds."""
 
 CONFIGURATION_KEY = "steer/configuration"
 """Key of the configuration in force."""
 
 PLAN_PREFIX = "steer/plan/"
-"""Start of the keys of plans; the client region's name follows."""
+"""Prefix of the keys of plans; the client region's name follows."""
 
 AUDIT_PREFIX = "audit/"
-"""Start of the keys under which older parts of the audit trail are kept."""
+"""Prefix of the keys under which older parts of the audit trail are archived."""
 
 
 class Revisioned(NamedTuple):
-    """A document's bytes with its revision."""
+    """A document's key, revision and encoded bytes."""
 
     key: str
     revision: int
@@ -35,31 +36,31 @@
 
 
 def revisioned(key: str, value: bytes) -> Optional[Revisioned]:
-    """Return a stored value with the revision that it names; None when it names none."""
+    """Return a stored value with the revision in its JSON text; None when it has no revision."""
     try:
         return Revisioned(key, msgspec.json.decode(value, type=_Envelope).revision, value)
     except msgspec.MsgspecError:
-        # None is the typed result: `PlatformReader.take` logs the key as `event=unreadable`.
+        # `PlatformReader.take` logs the key as `event=unreadable`.
         return None
 
 
-Accept = Callable[[Revisioned], bool]
+AcceptDocument = Callable[[Revisioned], bool]
 """Checks and applies a document; returns False when it cannot be used."""
 
 
-class DocumentShelf:
-    """The newest documents that this entry VM knows.
+class DocumentReplica:
+    """This entry VM's replica of the documents.
 
     Args:
-        accept: Called before a document replaces an older one.
+        accept: Called before a document replaces an older one; returns False to reject it.
     """
 
-    def __init__(self, accept: Accept) -> None:
+    def __init__(self, accept: AcceptDocument) -> None:
         self.accept = accept
         self.documents: dict[str, Revisioned] = {}
 
     def offer(self, document: Revisioned) -> bool:
-        """Accept a document when it is newer and usable.
+        """Store a document when it is newer and `accept` applies it.
 
         Returns:
             True when the document replaces the one held.
@@ -77,7 +78,7 @@
         return held.revision if held else 0
 
     def get(self, key: str) -> Optional[Revisioned]:
-        """Return a document."""
+        """Return the document held under a key; None when there is none."""
         return self.documents.get(key)
 
     def revisions(self) -> dict[str, int]:
@@ -93,5 +94,5 @@
         return [key for key, revision in revisions.items() if revision > self.revision(key)]
 
     def select(self, keys: Iterable[str]) -> list[Revisioned]:
-        """Return the documents held under some keys."""
+        """Return the documents held under the given keys; keys without a document are skipped."""
         return [self.documents[key] for key in keys if key in self.documents]
--- a/sprucewinch/hall/store/http_store.py
+++ b/sprucewinch/hall/store/http_store.py
@@ -1,7 +1,8 @@
 """Client of the store over HTTP and JSON, with values in base64.
 
-Owns one HTTP session and the count of calls. Relies on `net.http_client`, which never resends a
-request, and turns every failure into `PlatformError`, or `WriteUnknownError` after a lost write.
+`HttpPlatform` owns one HTTP session and counts the calls. It relies on `net.http_client`, which
+never resends a request, and raises `PlatformError` for every failure, or `WriteUnknownError` when
+the answer to a write was lost.
 """
 
 import base64
@@ -16,25 +17,25 @@
 
 _Answer = TypeVar("_Answer")
 
-_TIMEOUT_S = 3.0
-"""Longest wait for an answer, in seconds, on top of a watch's own wait."""
+_CALL_TIMEOUT_S = 3.0
+"""Longest time for a call, in seconds; the wait of a watch is added to it."""
 
-_REMEDY = "check that the platform's service runs and try again"
-_MISMATCH = 409
-"""HTTP status: the key holds another version."""
+_REMEDY = "check that the platform's service is running, then try again"
+_STATUS_CONFLICT = 409
+"""HTTP status: the key holds another version than expected."""
 
-_TOO_MANY = 429
+_STATUS_TOO_MANY_REQUESTS = 429
 """HTTP status: the rate limit is reached."""
 
-_OK = 200
-"""HTTP status: done."""
+_STATUS_OK = 200
+"""HTTP status: success."""
 
-_NOT_FOUND = 404
+_STATUS_NOT_FOUND = 404
 """HTTP status: the key holds no value."""
 
 
 class _StoredValue(msgspec.Struct):
-    """One value as the service sends it; `value` is base64 text on the wire."""
+    """One value as the service sends it; `value` is base64 text."""
 
     key: str
     version: int
@@ -51,7 +52,7 @@
 
 
 class _Version(msgspec.Struct):
-    """The answer to a write: the version written, or the one that the key holds."""
+    """The answer to a write: the version written, or that of the value that the key holds."""
 
     version: int
 
@@ -81,10 +82,10 @@
 
     Args:
         address: `IP:PORT`.
-        timeout_s: Longest wait for an answer, in seconds.
+        timeout_s: Longest time for a call, in seconds, without the wait of a watch.
     """
 
-    def __init__(self, address: str, *, timeout_s: float = _TIMEOUT_S) -> None:
+    def __init__(self, address: str, *, timeout_s: float = _CALL_TIMEOUT_S) -> None:
         self.base = f"http://{address}"
         self.timeout_s = timeout_s
         self.calls = 0
@@ -93,39 +94,39 @@
     async def get(self, key: str) -> Optional[Entry]:
         """Return the entry of a key."""
         status, body = await self._call("GET", f"/v1/values/{key}")
-        if status == _NOT_FOUND:
+        if status == _STATUS_NOT_FOUND:
             return None
-        return self._expect(status, body, _StoredValue).entry()
+        return self._decode(status, body, _StoredValue).entry()
 
     async def put(self, key: str, value: bytes, expected: int) -> Union[Written, Mismatch]:
         """Write a value if the key holds the expected version."""
         params = {"expected": str(expected)}
         status, body = await self._call("PUT", f"/v1/values/{key}", params, value, writes=True)
-        if status == _MISMATCH:
+        if status == _STATUS_CONFLICT:
             return Mismatch(msgspec.convert(body, _Version).version)
-        return Written(self._expect(status, body, _Version).version)
+        return Written(self._decode(status, body, _Version).version)
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> list[Entry]:
         """Wait for entries under a prefix that are newer than a version."""
         params = {"prefix": prefix, "after": str(after), "wait_s": str(wait_s)}
         status, body = await self._call("GET", "/v1/watch", params, wait_s=wait_s)
-        return [row.entry() for row in self._expect(status, body, _StoredValues).entries]
+        return [row.entry() for row in self._decode(status, body, _StoredValues).entries]
 
     async def lease(self, name: str, holder: str, ttl_s: float) -> bool:
         """Take or renew a lease."""
         params = {"holder": holder, "ttl_s": str(ttl_s)}
         status, body = await self._call("POST", f"/v1/leases/{name}", params)
-        return self._expect(status, body, _LeaseAnswer).held
+        return self._decode(status, body, _LeaseAnswer).held
 
     async def release(self, name: str, holder: str) -> None:
         """Release a lease."""
         status, body = await self._call("DELETE", f"/v1/leases/{name}", {"holder": holder})
-        self._expect(status, body, object)
+        self._decode(status, body, object)
 
     async def members(self) -> list[VmListing]:
         """Return the list of live and leaving VMs."""
         status, body = await self._call("GET", "/v1/vms")
-        rows = self._expect(status, body, _Vms).vms
+        rows = self._decode(status, body, _Vms).vms
         return [VmListing(row.kind, row.address, row.leaving) for row in rows]
 
     async def close(self) -> None:
@@ -158,17 +159,23 @@
         except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError) as error:
             problem = f"no usable answer from the platform: {type(error).__name__}"
             if writes:
-                raise WriteUnknownError(problem, "read the value back") from None
+                raise WriteUnknownError(
+                    problem, "read the value back to see whether it was written"
+                ) from None
             raise PlatformError(problem, _REMEDY) from None
 
-    def _expect(self, status: int, body: Any, answer: type[_Answer]) -> _Answer:
-        """Return the body of an answer as its type.
+    def _decode(self, status: int, body: Any, answer: type[_Answer]) -> _Answer:
+        """Return the body of an answer, converted to a type.
 
         Raises:
-            PlatformError: When the service refuses the call.
+            PlatformError: When the status is not 200.
         """
-        if status == _OK:
+        if status == _STATUS_OK:
             return msgspec.convert(body, answer)
         retry_after_s = float(body.get("retry_after_s", 0)) if isinstance(body, dict) else 0.0
-        problem = "the platform's rate limit is reached" if status == _TOO_MANY else "refused"
+        problem = (
+            "the platform's rate limit is reached"
+            if status == _STATUS_TOO_MANY_REQUESTS
+            else "the platform refused the call"
+        )
         raise PlatformError(f"{problem} (status {status})", _REMEDY, retry_after_s)
--- a/sprucewinch/hall/store/store.py
+++ b/sprucewinch/hall/store/store.py
@@ -1,7 +1,7 @@
-"""Interface of the store: values with compare-and-swap, leases, watches, the list of VMs.
+"""Interface of the store: values with compare-and-swap, leases, watches and the list of VMs.
 
-Owns the interface and its result types. Relies on nothing; `http_store` implements it, and no other
-module knows the store's protocol.
+The module owns the interface and its result types, and relies on nothing. `http_store` implements
+it; no other module knows the store's protocol.
 """
 
 import abc
@@ -9,11 +9,11 @@
 
 
 class Entry(NamedTuple):
-    """A value held by the platform.
+    """A value held by the store.
 
     Args:
         key: Its key.
-        version: Grows with every write to any key; never 0.
+        version: Increases with every write to any key; never 0.
         value: Its bytes, at most 1 MB.
     """
 
@@ -29,18 +29,18 @@
 
 
 class Mismatch(NamedTuple):
-    """A write that did not take effect, since the key holds another version (0: none)."""
+    """A write that did not take effect: the key holds another version (0: no value)."""
 
     version: int
 
 
 class VmListing(NamedTuple):
-    """One row of the platform's list of live and leaving VMs; the list lags behind.
+    """One row of the platform's list of live and leaving VMs; the list may be out of date.
 
     Args:
         kind: `entry` for an entry VM, `backend` for a backend server.
-        address: Its peer address, or a backend server's address.
-        leaving: True when it is about to go away.
+        address: The entry VM's peer address, or the backend server's address.
+        leaving: True when it is about to stop.
     """
 
     kind: str
@@ -63,7 +63,7 @@
 
     @abc.abstractmethod
     async def put(self, key: str, value: bytes, expected: int) -> Union[Written, Mismatch]:
-        """Write a value if the key holds the expected version (0: no value).
+        """Write a value if the key holds the expected version (0: no value yet).
 
         Raises:
             WriteUnknownError: When the answer was lost; the write may have taken effect.
@@ -74,21 +74,21 @@
         """Wait for entries under a prefix that are newer than a version.
 
         Args:
-            prefix: Start of the keys.
-            after: Version; 0 for all entries, at once.
+            prefix: Prefix of the keys.
+            after: Version; 0 returns all entries at once.
             wait_s: Longest wait, in seconds.
 
         Returns:
-            The newer entries; none when the wait ended.
+            The newer entries; empty when the wait ended without any.
         """
 
     @abc.abstractmethod
     async def lease(self, name: str, holder: str, ttl_s: float) -> bool:
-        """Take or renew a lease; returns True while the holder has it."""
+        """Acquire or renew a lease for `ttl_s` seconds; return whether the holder has it."""
 
     @abc.abstractmethod
     async def release(self, name: str, holder: str) -> None:
-        """Release a lease."""
+        """Release a holder's lease."""
 
     @abc.abstractmethod
     async def members(self) -> list[VmListing]:
--- a/sprucewinch/hall/store/store_reader.py
+++ b/sprucewinch/hall/store/store_reader.py
@@ -1,13 +1,14 @@
-"""Reads the store: its documents and its list of VMs. The rule on which VM watches it stands here.
+"""Reads the store's documents and its list of VMs, and decides which VM of a hall watches it.
 
-Owns the versions read so far, the listed VMs and whether the store is reachable. Relies on the
-store's client for calls and on the node for the documents in force and the members of the hall.
+`PlatformReader` owns the versions read so far, the listed VMs and whether the store is reachable.
+It relies on the store's client for calls and on the node for the documents in force and the members
+of the hall.
 
-The rule: does this VM watch the store, or poll it rarely? The first live VM of each hall by name
-watches, since changes spread from it to its hall by exchange; the others poll every `POLL_S`.
-Fewer watches mean fewer calls to the store for each change (docs/CAPACITY.md, "Platform use"). The
-log does not show which VM watches; it shows an outage as `event=platform`. Tests:
-`tests.test_formats_own_lines`, `tests.test_process_configuration`.
+The live VM of each hall that is first by name watches the store, since changes reach the rest of
+its hall by exchange; the others poll every `POLL_INTERVAL_S`. Fewer watches mean fewer calls to the
+store for each change (docs/CAPACITY.md, "Platform use"). The log does not show which VM watches; it
+shows an outage as `event=platform`. Tested by `tests.test_formats_own_lines` and
+`tests.test_process_configuration`.
 """
 
 import asyncio
@@ -24,27 +25,28 @@
 from .documents import WATCH_PREFIX, revisioned
 from .store import Entry, Platform, VmListing
 
-WATCH_S = 20.0
+WATCH_TIMEOUT_S = 20.0
 """Longest wait of one watch, in seconds."""
 
-POLL_S = 30.0
-"""Longest time between two reads of a VM that does not watch, in seconds. docs/CAPACITY.md computes
-the calls at 2,800 VMs from it."""
+POLL_INTERVAL_S = 30.0
+"""Longest time between two reads by a VM that does not watch, in seconds. docs/CAPACITY.md computes
+the number of calls at 2,800 VMs from it."""
 
-_POLL_LEAST = 0.5
-"""Shortest time between two such reads, as a part of `POLL_S`: spreads the VMs' reads."""
+_MIN_POLL_FRACTION = 0.5
+"""Shortest time between two such reads, as a fraction of `POLL_INTERVAL_S`. The time is drawn at
+random, so that the VMs' reads do not coincide."""
 
-_LISTING_HOLD = 2
-"""Polls for which the list's mark of a leaving server counts, so that one lost poll does not undo
-it."""
+_LISTING_TTL_POLLS = 2
+"""Time for which the list's mark of a leaving server is valid, in polls of `POLL_INTERVAL_S`, so
+that one failed poll does not clear it."""
 
-READ_ALL_S = 60.0
-"""Time between two reads of everything, in seconds. For a restored store that counts versions
-anew."""
+FULL_READ_INTERVAL_S = 60.0
+"""Time between two reads of all entries, in seconds. A store that was restored may restart its
+versions, so reading only newer ones would miss entries."""
 
 
 class PlatformReader:
-    """Takes documents and the list of VMs from the store into the node.
+    """Reads documents and the list of VMs from the store into the node.
 
     Args:
         node: This VM's state.
@@ -54,10 +56,10 @@
         changed: Called after a newer document was accepted.
 
     Attributes:
-        seen: Highest version read since everything was read last.
-        up: Whether the store answered last; None before the first call.
+        last_version: Highest version read since all entries were last read.
+        reachable: Whether the last call succeeded; None before the first one.
         versions: Version of each key that was read.
-        listed: Peer addresses of the other entry VMs in the store's list.
+        listed_peers: Peer addresses of the other entry VMs in the store's list.
     """
 
     def __init__(
@@ -73,14 +75,14 @@
         self.clock = clock
         self.rng = rng
         self.changed = changed
-        self.seen = 0
-        self.up: Optional[bool] = None
+        self.last_version = 0
+        self.reachable: Optional[bool] = None
         self.versions: dict[str, int] = {}
-        self.listed: tuple[str, ...] = ()
-        self._read_all_at = float("-inf")
+        self.listed_peers: tuple[str, ...] = ()
+        self._full_read_at = float("-inf")
 
     async def run(self) -> None:
-        """Read the store until cancelled: one VM of each hall watches, the others poll."""
+        """Read the store until cancelled, with back-off after failures."""
         failures = 0
         while True:
             try:
@@ -88,47 +90,49 @@
                 failures = 0
             except PlatformError as error:
                 failures += 1
-                self._is_up(False, str(error))
-                wait = max(error.retry_after_s, backoff_s(failures, self.rng))
-                await asyncio.sleep(wait)
+                self._log_reachability(False, str(error))
+                wait_s = max(error.retry_after_s, backoff_s(failures, self.rng))
+                await asyncio.sleep(wait_s)
 
     async def _read(self) -> None:
-        self._take_listing(await self.platform.members())
-        watching = self._watches()
-        entries = await self._entries(WATCH_S if watching else 0.0)
-        self._is_up(True)
+        self._apply_listing(await self.platform.members())
+        watching = self._is_watcher()
+        entries = await self._entries(WATCH_TIMEOUT_S if watching else 0.0)
+        self._log_reachability(True)
         self.take(entries)
         if not watching:
-            await asyncio.sleep(POLL_S * self.rng.uniform(_POLL_LEAST, 1.0))
+            await asyncio.sleep(POLL_INTERVAL_S * self.rng.uniform(_MIN_POLL_FRACTION, 1.0))
 
     async def _entries(self, wait_s: float) -> list[Entry]:
-        """Return newer entries, or all every `READ_ALL_S`: a restored store may count anew."""
+        """Return newer entries, or all entries once every `FULL_READ_INTERVAL_S`."""
         now = self.clock.monotonic()
-        if now - self._read_all_at >= READ_ALL_S:
+        if now - self._full_read_at >= FULL_READ_INTERVAL_S:
             entries = await self.platform.watch(WATCH_PREFIX, 0, 0.0)
-            self._read_all_at = now
-            self.seen = 0
+            self._full_read_at = now
+            self.last_version = 0
             return entries
-        return await self.platform.watch(WATCH_PREFIX, self.seen, wait_s)
+        return await self.platform.watch(WATCH_PREFIX, self.last_version, wait_s)
 
-    def _take_listing(self, listing: list[VmListing]) -> None:
-        """Store the entry VMs to exchange with, and mark the listed leaving backend servers."""
+    def _apply_listing(self, listing: list[VmListing]) -> None:
+        """Record the listed entry VMs, and mark backend servers that are listed as leaving."""
         own = self.node.settings.peer_address
-        self.listed = tuple(r.address for r in listing if r.kind == "entry" and r.address != own)
+        self.listed_peers = tuple(
+            r.address for r in listing if r.kind == "entry" and r.address != own
+        )
         leaving = [r.address for r in listing if r.kind == "backend" and r.leaving]
-        until = self.clock.monotonic() + _LISTING_HOLD * POLL_S
+        until = self.clock.monotonic() + _LISTING_TTL_POLLS * POLL_INTERVAL_S
         self.node.hall.mark_leaving(leaving, until)
 
-    def _watches(self) -> bool:
-        """Return whether this VM watches for its hall: it is the first live one by name."""
+    def _is_watcher(self) -> bool:
+        """Return whether this VM watches for its hall: it is the first live VM by name."""
         now = self.clock.monotonic()
         hall = [m.vm for m in self.node.membership.of_hall(now) if m.state in (SERVING, LEAVING)]
         return self.node.own.vm <= min(hall, default=self.node.own.vm)
 
     def take(self, entries: list[Entry]) -> None:
-        """Offer entries to the node, and log unreadable ones and a store that shows older ones."""
+        """Offer entries to the node; log unreadable ones and those older than the ones in force."""
         for entry in entries:
-            self.seen = max(self.seen, entry.version)
+            self.last_version = max(self.last_version, entry.version)
             self.versions[entry.key] = entry.version
             document = revisioned(entry.key, entry.value)
             if document is None:
@@ -143,8 +147,8 @@
             if self.node.shelf.offer(document):
                 self.changed()
 
-    def _is_up(self, up: bool, problem: str = "") -> None:
-        if up != self.up:
-            self.up = up
-            word = "up" if up else "down"
-            log.state(f"event=platform state={word} problem={problem!r}")
+    def _log_reachability(self, up: bool, problem: str = "") -> None:
+        if up != self.reachable:
+            self.reachable = up
+            state = "up" if up else "down"
+            log.state(f"event=platform state={state} problem={problem!r}")
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -10,7 +10,7 @@
 from sprucewinch.hall.peers.exchange import Exchange, choose_partners
 from sprucewinch.hall.peers.membership import Membership
 from sprucewinch.hall.peers.peer_pb2 import JOINING, SERVING, ExchangeReply, ExchangeRequest, Member
-from sprucewinch.hall.store.documents import DocumentShelf, Revisioned
+from sprucewinch.hall.store.documents import DocumentReplica, Revisioned
 from tests.fakes import configure, example, node
 
 SETTINGS = settings(max_examples=30, stateful_step_count=30, deadline=None)
@@ -29,7 +29,7 @@
     The oracle is the newest accepted revision and the revision that each process had in force.
     """
 
-    shelf_class = DocumentShelf
+    replica_class = DocumentReplica
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,7 +47,7 @@
     def make(self, index: int):
         hall, region = HALLS[index]
         made = node(self.now, self.incarnation, vm=f"vm{index}", hall=hall, region=region)
-        made.shelf = self.shelf_class(made.in_force.accept)
+        made.shelf = self.replica_class(made.in_force.accept)
         return made
 
     def exchange(self, a: int, b: int) -> None:
@@ -118,7 +118,7 @@
 TestSpreading = Spreading.TestCase
 
 
-class UncheckedShelf(DocumentShelf):
+class UncheckedReplica(DocumentReplica):
     """A wrong version: accepts the last document offered, however old."""
 
     def offer(self, document: Revisioned) -> bool:
@@ -128,9 +128,9 @@
         return True
 
 
-class ShelfCases(unittest.TestCase):
-    def play(self, shelf_class: type[DocumentShelf]) -> None:
-        machine = type("Spread", (Spreading,), {"shelf_class": shelf_class})()
+class ReplicaCases(unittest.TestCase):
+    def play(self, replica_class: type[DocumentReplica]) -> None:
+        machine = type("Spread", (Spreading,), {"replica_class": replica_class})()
         machine.start()
         machine.a_change_is_accepted(0)
         machine.revisions_never_decrease()
@@ -139,8 +139,8 @@
 
     def test_proof_fails_with_a_wrong_version(self) -> None:
         with self.assertRaises(AssertionError):
-            self.play(UncheckedShelf)
-        self.play(DocumentShelf)
+            self.play(UncheckedReplica)
+        self.play(DocumentReplica)
 
 
 class MembershipCases(unittest.TestCase):
