--- a/sprucewinch/hall/drains.py
+++ b/sprucewinch/hall/drains.py
@@ -1,7 +1,7 @@
-"""Duration of drains: from the change until the last request on the drained thing has ended.
+"""Duration of drains: from the change until the last request on the drained target has ended.
 
-Owns the start of each drain that this VM sees. Relies on the admissions for the requests that still
-run, and reports each drain once, to the metrics and to the log.
+`DrainTimer` owns the start time of each drain that this VM sees. The caller passes in the numbers
+of requests that still run; each drain is reported once, to the metrics and to the log.
 """
 
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 
 
 class DrainTimer:
-    """Times the drains of this VM's hall and servers.
+    """Measures the drains of this VM's hall and its servers.
 
     Args:
         metrics: Takes the duration of each finished drain.
@@ -24,10 +24,10 @@
         self.started: dict[str, float] = {}
 
     def update(self, held: Mapping[str, int], now: float) -> None:
-        """Start, finish and forget drains.
+        """Record drains that started, finished or were cancelled.
 
         Args:
-            held: Requests that still run on draining things, by drain key.
+            held: Number of requests that still run on each draining hall or server, by drain key.
             now: Monotonic time, in seconds.
         """
         for key, requests in held.items():
--- a/sprucewinch/hall/in_flight.py
+++ b/sprucewinch/hall/in_flight.py
@@ -1,16 +1,16 @@
 """Counts the requests that are in flight at this VM.
 
-Owns the number and the rule that each request that enters also leaves. The callers' interface and
-the server for other entry VMs count their requests here; the node shows the number to other VMs,
-and the daemon waits for zero before it stops. Relies on nothing.
+`InFlight` owns the number; every `enter` must be followed by a `leave`. The callers' interface and
+the server for other entry VMs count their requests here. The node reports the number to other VMs,
+and the daemon waits for zero before it stops. The module relies on nothing.
 """
 
 
 class InFlight:
-    """The number of requests of callers and of other entry VMs that are under way.
+    """The number of requests from callers and other entry VMs that are in flight.
 
     Attributes:
-        count: Requests that have entered and not left.
+        count: Requests that have begun and not ended.
     """
 
     __slots__ = ("count",)
@@ -23,5 +23,5 @@
         self.count += 1
 
     def leave(self) -> None:
-        """Subtract a request that has ended."""
+        """Stop counting a request that has ended."""
         self.count -= 1
--- a/sprucewinch/hall/in_force.py
+++ b/sprucewinch/hall/in_force.py
@@ -1,8 +1,9 @@
-"""Puts documents in force: the configuration with its policies, and the plans.
+"""Applies accepted documents: the configuration with its policies, and the plans.
 
-Owns the topology, the loaded policies and their labels. Relies on the shelf to offer only newer
-documents, and passes a configuration on to the admissions and a plan to `Steering`. A document that
-cannot be used changes nothing, and is logged with its key and problem.
+`DocumentsInForce` owns the topology, the loaded policies and their labels. It relies on
+`DocumentReplica` to offer only newer documents, and hands a configuration to the admissions and a
+plan to `Steering`. A document that cannot be used changes nothing and is logged with its key and
+problem.
 """
 
 from typing import Optional
@@ -23,15 +24,15 @@
 
 
 class DocumentsInForce:
-    """The configuration and the policies that this VM follows.
+    """The configuration and the policies that this VM currently applies.
 
     Args:
         hall: Admissions of this VM's data hall.
-        steering: Follows the plans.
+        steering: Receives the plans.
         log: Called with a line for each configuration in force and each rejected document.
 
     Attributes:
-        topology: Configuration in force; None before the first.
+        topology: Configuration in force; None before the first one is applied.
         policies: Loaded policies by name.
     """
 
@@ -44,7 +45,7 @@
         self._policy_labels: dict[str, str] = {}
 
     def accept(self, document: Revisioned) -> bool:
-        """Put a document in force; return False when it cannot be used."""
+        """Apply a document; return False when it cannot be used."""
         try:
             if document.key == CONFIGURATION_KEY:
                 self._apply(decode_document(document.value), document.revision)
@@ -76,7 +77,7 @@
         self.log(f"event=in-force revision={revision}")
 
     def label(self, service: str) -> Label:
-        """Return the label of a service's metrics here; all unknown services share one."""
+        """Return the label of a service's metrics; all unknown services share one."""
         policy = self._policy_labels.get(service)
         if policy is None:
             return Label("unknown", self.hall.hall, "none")
@@ -84,5 +85,5 @@
 
 
 def _policy_label(name: str, sources: dict[str, str]) -> str:
-    """Return a policy's name with a digest that changes only when its program does."""
+    """Return a policy's name with a digest of its program, which changes only with the program."""
     return f"{name}@{hash32(sources.get(name, '')):08x}"
--- a/sprucewinch/hall/load_report.py
+++ b/sprucewinch/hall/load_report.py
@@ -1,7 +1,7 @@
 """The load that this VM reports to others: slots, latency and demand of each service.
 
-Owns the rate of arrivals by service and client region. Relies on the admissions for slots and
-latency, and records each service's headroom in the metrics while it reads them.
+`LoadReport` owns the rate of arrivals by service and client region. It takes slots and latency from
+the admissions, and records each service's headroom in the metrics.
 """
 
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from .requests.admissions import HallDispatch
 
 _NO_LATENCY_MS = -1.0
-"""Value of `ServiceLoad.latency_ms` that stands for no measurement."""
+"""Value of `ServiceLoad.latency_ms` when there is no measurement."""
 
 
 class LoadReport:
@@ -20,7 +20,7 @@
 
     Args:
         admissions: Admissions of this VM.
-        metrics: Takes each service's headroom.
+        metrics: Records each service's headroom.
         label: Returns the label of a service's metrics.
     """
 
@@ -50,7 +50,7 @@
             meter.tick(elapsed_s)
 
     def loads(self, now: float) -> list[ServiceLoad]:
-        """Return the load of each service, and record its headroom.
+        """Return the load of each service, and record each service's headroom.
 
         Args:
             now: Monotonic time, in seconds.
@@ -60,8 +60,8 @@
             for service, admission in self.admissions.admissions.items()
         }
         for (service, client_region), meter in self.arrivals.items():
-            empty = ServiceLoad(service=service, latency_ms=_NO_LATENCY_MS)
-            load = loads.setdefault(service, empty)
+            no_slots = ServiceLoad(service=service, latency_ms=_NO_LATENCY_MS)
+            load = loads.setdefault(service, no_slots)
             load.demand[client_region] = meter.per_s
         return list(loads.values())
 
--- a/sprucewinch/hall/loops.py
+++ b/sprucewinch/hall/loops.py
@@ -1,8 +1,8 @@
 """The daemon's periodic work: rounds, exchanges, the store, plans and probes of backend servers.
 
-Owns the tasks of these loops and the event that a newer document is held here. Relies on the node
-for every decision, and on clients of peers, store and backend servers for I/O. A round of a loop
-that fails is logged as `event=loop-fault` and does not end the loop.
+`Loops` owns the tasks of these loops and the event that a newer document was accepted here. It
+relies on the node for every decision, and on the clients of peers, store and backend servers for
+I/O. A failed round of a loop is logged as `event=loop-fault` and does not end the loop.
 """
 
 import asyncio
@@ -26,32 +26,32 @@
 `slots.TAKEOVER_DELAY_S` depend on it."""
 
 EXCHANGE_S = 1.0
-"""Mean time between two exchanges with peers, in seconds. It has to stay well below the 3 s of
-silence after which a VM counts as gone."""
+"""Mean time between two exchanges with peers, in seconds. It must stay well below the 3 s of
+silence after which a VM is no longer live (`peers.membership.SILENT_S`)."""
 
 PLAN_S = 1.0
-"""Mean time between two planning rounds, in seconds. docs/CAPACITY.md computes the store's writes
-from it."""
+"""Mean time between two planning rounds, in seconds. docs/CAPACITY.md computes the number of writes
+to the store from it."""
 
 PROBE_S = 1.0
-"""Time between two probes of a backend server, in seconds: three within the 3 s in which a leaving
-server has to be noticed (docs/PROMISES.md, promise 6)."""
+"""Time between two probes of a backend server, in seconds: three probes fit into the 3 s within
+which a leaving server must be noticed (docs/PROMISES.md, promise 6)."""
 
-_JITTER = 0.2
-"""Part by which the time between two exchanges or plans varies, either way, so that VMs that start
-together drift apart."""
+_JITTER_FRACTION = 0.2
+"""Fraction by which the time between two exchanges or plans varies, up or down, so that VMs that
+start together do not stay synchronized."""
 
-_FAR_PARTNERS = 2
-"""VMs of other halls in one exchange."""
+_OTHER_HALL_PARTNERS = 2
+"""Most VMs of other halls in one round of exchange."""
 
 _CHANGE_FANOUT = 4
-"""VMs of other halls that learn of a newer document at once."""
+"""Most VMs of other halls to which a newer document is sent at once."""
 
 _SEED_PARTNERS = 2
-"""Listed VMs that are asked while no peer is known."""
+"""Most VMs of the store's list that are contacted while no peer is known."""
 
-_MESSAGES = 2
-"""Messages of one exchange: what is known here, then what the other VM lacks."""
+_MAX_MESSAGES = 2
+"""Messages of one exchange: the versions held here, then what the other VM lacks."""
 
 
 class Loops:
@@ -108,7 +108,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def changed(self) -> None:
-        """Send a document to other VMs as soon as a newer one is held here."""
+        """Start an exchange at once, since a newer document was accepted here."""
         self._changed.set()
 
     async def _tick_loop(self) -> None:
@@ -120,7 +120,7 @@
         await asyncio.sleep(TICK_S)
 
     async def _exchange_loop(self) -> None:
-        await self.exchange_with(self.partners(_FAR_PARTNERS))
+        await self.exchange_with(self.partners(_OTHER_HALL_PARTNERS))
         await asyncio.sleep(self._jittered(EXCHANGE_S))
 
     async def _change_loop(self) -> None:
@@ -129,30 +129,32 @@
         await self.exchange_with(self.partners(_CHANGE_FANOUT))
 
     def partners(self, others: int) -> list[str]:
-        """Return the peer addresses to exchange with now; listed ones when none are known.
+        """Return the peer addresses to exchange with.
+
+        While no peer is known, some addresses of the store's list are returned.
 
         Args:
-            others: VMs of other halls to choose.
+            others: Most VMs of other halls.
         """
         partners = choose_partners(self.node, self.rng, self.clock.monotonic(), others=others)
-        unknown = [address for address in self.reader.listed_peers if address not in partners]
-        return partners or self.rng.sample(unknown, min(_SEED_PARTNERS, len(unknown)))
+        untried = [address for address in self.reader.listed_peers if address not in partners]
+        return partners or self.rng.sample(untried, min(_SEED_PARTNERS, len(untried)))
 
     async def exchange_with(self, addresses: list[str]) -> None:
-        """Exchange members and documents with some entry VMs at once."""
+        """Exchange members and documents with several entry VMs concurrently."""
         await asyncio.gather(*(self._exchange_one(address) for address in addresses))
 
     async def _exchange_one(self, address: str) -> None:
         before = self.node.shelf.revisions()
         message = self.exchange.ask()
-        for _ in range(_MESSAGES):
+        for _ in range(_MAX_MESSAGES):
             reply = await self.peers.exchange(address, message)
             if reply is None:
                 return
-            following = self.exchange.learn(reply, self.clock.monotonic())
-            if following is None:
+            next_message = self.exchange.learn(reply, self.clock.monotonic())
+            if next_message is None:
                 break
-            message = following
+            message = next_message
         if self.node.shelf.revisions() != before:
             self.changed()
 
@@ -161,13 +163,13 @@
         await asyncio.sleep(self._jittered(PLAN_S))
 
     def _jittered(self, mean_s: float) -> float:
-        return mean_s * self.rng.uniform(1.0 - _JITTER, 1.0 + _JITTER)
+        return mean_s * self.rng.uniform(1.0 - _JITTER_FRACTION, 1.0 + _JITTER_FRACTION)
 
     async def _probe_loop(self) -> None:
-        """Probe the backend servers of this hall for a report that they are leaving."""
+        """Probe the backend servers of this hall, which report when they are leaving."""
         admissions = self.node.hall.admissions.values()
-        work = [(a, server) for a in admissions for server in list(a.servers)]
-        await asyncio.gather(*(self._probe(a, server) for a, server in work))
+        targets = [(a, server) for a in admissions for server in list(a.servers)]
+        await asyncio.gather(*(self._probe(a, server) for a, server in targets))
         await asyncio.sleep(PROBE_S)
 
     async def _probe(self, admission: Admission, server: str) -> None:
@@ -181,5 +183,5 @@
 
 
 def configuration_document(revision: int, value: bytes) -> Revisioned:
-    """Return a configuration as a document for the shelf."""
+    """Return an encoded configuration as a document for `DocumentReplica`."""
     return Revisioned(CONFIGURATION_KEY, revision, value)
--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -1,8 +1,8 @@
-"""State and decisions of one entry VM, without input or output: the core of a daemon.
+"""State and decisions of one entry VM, without I/O: the core of a daemon.
 
-Owns the order of a round, and builds every part that needs no I/O. Relies on the caller for time,
-randomness and messages: `loops` calls `tick` and brings documents and members, `requests` and
-`operators` read the parts.
+`Node` owns the order of a round and builds every part that needs no I/O. It relies on the caller
+for time, randomness and messages: `loops` calls `tick` and delivers documents and members;
+`requests` and `operators` read the parts.
 """
 
 import random
@@ -29,12 +29,12 @@
 from .store.documents import CONFIGURATION_KEY, DocumentReplica
 
 LEAVING_S = 10.0
-"""Time for which a backend server's report that it is leaving counts, in seconds: ten probes of
-`loops.PROBE_S`. A shorter time lets a report lapse between probes."""
+"""Time for which a backend server's report that it is leaving is valid, in seconds: ten intervals
+of `loops.PROBE_S`. With a shorter time a report would expire between probes."""
 
-_PASSED_ON_LEAVING_S = LEAVING_S / 2
-"""The same for a report that another VM passes on, in seconds: shorter, as it is no
-word of the server to this VM."""
+_FORWARDED_LEAVING_S = LEAVING_S / 2
+"""The same for a report that another VM forwards, in seconds. It is shorter, since the server has
+not reported to this VM itself."""
 
 
 class Node:
@@ -42,15 +42,15 @@
 
     Args:
         settings: The daemon's settings.
-        incarnation: Number of this process; higher than that of any earlier one.
-        ticket_key: Secret of this process, for its tickets.
+        incarnation: Number of this process, higher than that of any earlier process of the VM.
+        ticket_key: Secret key of this process's tickets.
         rng: Source of randomness.
         now: Monotonic time, in seconds.
         log: Called with a line for each change of state.
 
     Attributes:
         tickets: Tickets of this process; None until the VM serves.
-        in_flight: Requests of callers and peers under way.
+        in_flight: Requests from callers and other entry VMs in flight.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
 
     @property
     def topology(self) -> Optional[Topology]:
-        """Configuration in force here; None before the first."""
+        """Configuration in force here; None before the first one is applied."""
         return self.in_force.topology
 
     @property
@@ -131,7 +131,7 @@
         )
 
     def _join(self, now: float) -> None:
-        """Start serving once a configuration is in force and earlier owners of slots are gone."""
+        """Start serving once a configuration is in force and `takeover_delay_s` has passed."""
         waited = now - self.started_at >= self.slots.takeover_delay_s
         if self.own.state != JOINING or not waited or self.topology is None:
             return
@@ -152,7 +152,7 @@
         self.entry.set_hall_view(member_list_digest(holders))
         for member in self.membership.of_hall(now):
             if member is not self.own:
-                self.hall.mark_heard_leaving(member.leaving_servers, now + _PASSED_ON_LEAVING_S)
+                self.hall.mark_heard_leaving(member.leaving_servers, now + _FORWARDED_LEAVING_S)
         self.hall.serve_waiting(now)
 
     def label(self, service: str) -> Label:
@@ -164,7 +164,7 @@
         self.load.arrived(service, client_region)
 
     def cross_link(self, from_region: str, now: float) -> bool:
-        """Take the token of a request from another region; see `RegionTables.cross_link`."""
+        """Take a token of the link from another region; see `RegionTables.cross_link`."""
         return self.regions.cross_link(from_region, now)
 
     def lookup(self, client: str, service: str) -> Union[bytes, Refusal]:
@@ -172,7 +172,7 @@
         return self.regions.lookup(client, service)
 
     def leave(self) -> None:
-        """Announce that this VM takes no new callers."""
+        """Announce that this VM accepts no new callers."""
         self.entry.leave()
 
     def finish(self) -> None:
--- a/sprucewinch/hall/own_entry.py
+++ b/sprucewinch/hall/own_entry.py
@@ -1,7 +1,7 @@
-"""This VM's own entry in the list of members, which other VMs read.
+"""This VM's own entry in the table of members, which other VMs read.
 
-Owns the entry's content: state, loads, draining work and the digest of the hall's list. Relies on
-`Membership`, which keeps the entry and spreads it; each change raises the entry's version there.
+`OwnEntry` owns the entry's content: state, loads, requests on draining targets and the digest of
+the hall's list of slot holders. `Membership` holds the entry and its version; `exchange` sends it.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -11,7 +11,7 @@
 from .peers.peer_pb2 import GONE, JOINING, LEAVING, Member, ServiceLoad, State
 
 LineLog = Callable[[str], None]
-"""Called with each log line about a change of state."""
+"""Logs a line about a change of state."""
 
 
 def new_entry(settings: Settings, incarnation: int) -> Member:
@@ -19,7 +19,7 @@
 
     Args:
         settings: The daemon's settings.
-        incarnation: Number of this process; higher than that of any earlier one.
+        incarnation: Number of this process, higher than that of any earlier process of the VM.
     """
     return Member(
         vm=settings.vm,
@@ -38,7 +38,7 @@
     """Writes this VM's entry.
 
     Args:
-        membership: Keeps the entry.
+        membership: Holds the entry.
         log: Called with a line for each change of state.
     """
 
@@ -48,11 +48,11 @@
 
     @property
     def member(self) -> Member:
-        """The entry itself."""
+        """This VM's entry."""
         return self.membership.own
 
     def set_state(self, state: "State.ValueType") -> None:
-        """Change the state that other VMs see; log it when it differs."""
+        """Set the state that other VMs see; log it when it changes."""
         member = self.member
         if state == member.state:
             return
@@ -73,14 +73,14 @@
         leaving_servers: Sequence[str],
         held: Mapping[str, int],
     ) -> None:
-        """Replace the entry's fields on this VM's work.
+        """Replace the entry's fields on this VM's load, and raise the entry's version.
 
         Args:
             revision: Configuration revision in force; 0 when there is none.
-            in_flight: Requests of callers and peers under way.
+            in_flight: Requests from callers and other entry VMs in flight.
             loads: Load of each service.
-            leaving_servers: Backend servers that reported to this VM that they are leaving.
-            held: Requests that still run on draining halls and servers, by drain key.
+            leaving_servers: Backend servers that have reported to this VM that they are leaving.
+            held: Number of requests that still run on each draining hall or server, by drain key.
         """
         member = self.member
         member.config_revision = revision
@@ -95,7 +95,7 @@
         self.membership.touch()
 
     def leave(self) -> None:
-        """Announce that this VM takes no new callers."""
+        """Announce that this VM accepts no new callers."""
         if self.member.state != GONE:
             self.set_state(LEAVING)
             self.membership.touch()
