--- a/sprucewinch/hall/metrics.py
+++ b/sprucewinch/hall/metrics.py
@@ -1,7 +1,7 @@
 """Metrics of one daemon: counters, and histograms of latency and headroom.
 
-Owns every counter that the operators' port reports and bounds the size of each table. Relies on
-`hdrh` for histograms; callers pass durations, so nothing here reads a clock.
+`Metrics` owns every counter that the operators' port reports and limits the size of each table. It
+relies on `hdrh` for histograms. Callers pass in durations, so nothing here reads a clock.
 """
 
 from collections import Counter
@@ -10,28 +10,27 @@
 
 from hdrh.histogram import HdrHistogram
 
-_LOWEST = 1
-"""Lowest value of a histogram, in microseconds or thousandths; HDR histograms start at 1."""
+_MIN_HISTOGRAM_VALUE = 1
+"""Lowest value of a histogram, in microseconds or steps of headroom. HDR histograms start at 1."""
 
-_HIGHEST_US = 3_600_000_000
-"""Highest latency that a histogram holds, in microseconds: an hour."""
+_MAX_LATENCY_US = 3_600_000_000
+"""Highest latency that a histogram holds, in microseconds: one hour."""
 
-_DIGITS = 2
+_HISTOGRAM_DIGITS = 2
 """Significant decimal digits that a histogram keeps, so that a value is off by at most 1%."""
 
-_QUANTILES = (50.0, 99.0, 99.9)
-"""Quantiles in a report, in percent: those usual for service levels."""
+_QUANTILES_PERCENT = (50.0, 99.0, 99.9)
+"""Quantiles in a report, in percent: the usual ones for service levels."""
 
 _MAX_REFUSALS = 5000
-"""Most pairs of label and reason that are counted; beyond it the oldest is dropped. A bound on
-memory."""
+"""Most pairs of label and reason that are counted, to limit memory; the oldest is dropped first."""
 
 _MAX_LABELS = 200
-"""Most labels with histograms; beyond it the oldest is dropped. Without a bound the table grows
-with each change."""
+"""Most labels with a histogram; the oldest is dropped first. Without a limit the table would grow
+with each change of the configuration."""
 
 SMOOTHING_S = 3.0
-"""Time constant of a smoothed rate, in seconds."""
+"""Time constant of smoothed rates, in seconds."""
 
 _US_PER_S = 1e6
 """Microseconds in a second."""
@@ -39,11 +38,12 @@
 _US_PER_MS = 1000.0
 """Microseconds in a millisecond."""
 
-_HEADROOM_SCALE = 1000
-"""Headroom is kept in thousandths, since histograms hold whole numbers: one step is 0.1%."""
+_HEADROOM_STEPS = 1000
+"""Histogram steps of headroom. Histograms hold integers, so headroom is recorded in steps of
+0.1%."""
 
 _DRAIN_DIGITS = 3
-"""Decimal digits of a drain's seconds in a report: milliseconds."""
+"""Decimal digits of a drain's duration in a report, which is in seconds: to the millisecond."""
 
 
 class Label(NamedTuple):
@@ -75,10 +75,10 @@
         self.per_s = 0.0
 
     def tick(self, elapsed_s: float) -> None:
-        """Add the count since the last tick to the rate, and start a new count.
+        """Update the rate with the count since the last tick, and reset the count.
 
         Args:
-            elapsed_s: Time since the last tick, in seconds; nothing happens unless it is above 0.
+            elapsed_s: Time since the last tick, in seconds. Unless it is above 0, nothing happens.
         """
         if elapsed_s <= 0:
             return
@@ -90,7 +90,7 @@
 class Metrics:
     """All metrics of one daemon.
 
-    `counters` is open to every part of the daemon; the other tables are filled by the methods.
+    Every part of the daemon may change `counters`; the methods fill the other tables.
     """
 
     def __init__(self) -> None:
@@ -103,7 +103,9 @@
     def answered(self, label: Label, seconds: float) -> None:
         """Record a complete answer and its latency, in seconds."""
         self.counters["answered"] += 1
-        _of(self.latency, label).record_value(max(_LOWEST, int(seconds * _US_PER_S)))
+        _histogram_of(self.latency, label).record_value(
+            max(_MIN_HISTOGRAM_VALUE, int(seconds * _US_PER_S))
+        )
 
     def refused(self, label: Label, reason: str) -> None:
         """Count a refusal."""
@@ -112,15 +114,17 @@
             del self.refusals[next(iter(self.refusals))]
 
     def room(self, label: Label, headroom: float) -> None:
-        """Record the free part of the usable slots, in `[0, 1]`."""
-        _of(self.headroom, label).record_value(max(_LOWEST, int(headroom * _HEADROOM_SCALE)))
+        """Record the free fraction of the usable slots, in `[0, 1]`."""
+        _histogram_of(self.headroom, label).record_value(
+            max(_MIN_HISTOGRAM_VALUE, int(headroom * _HEADROOM_STEPS))
+        )
 
     def drained(self, key: str, seconds: float) -> None:
         """Record the duration of a drain, from the change to the last request, in seconds."""
         self.drains[key] = seconds
 
     def report(self) -> dict[str, Any]:
-        """Return all metrics as plain values; latency in milliseconds, drains in seconds."""
+        """Return all metrics as plain values: latency in milliseconds and drains in seconds."""
         return {
             "counters": dict(self.counters),
             "refusals": [
@@ -132,7 +136,7 @@
                 for label, histogram in sorted(self.latency.items())
             ],
             "headroom": [
-                {**label._asdict(), "least": histogram.get_min_value() / _HEADROOM_SCALE}
+                {**label._asdict(), "least": histogram.get_min_value() / _HEADROOM_STEPS}
                 for label, histogram in sorted(self.headroom.items())
             ],
             "drains": [
@@ -142,31 +146,33 @@
         }
 
 
-def _of(histograms: dict[Label, HdrHistogram], label: Label) -> HdrHistogram:
+def _histogram_of(histograms: dict[Label, HdrHistogram], label: Label) -> HdrHistogram:
     histogram = histograms.get(label)
     if histogram is None:
         if len(histograms) >= _MAX_LABELS:
             del histograms[next(iter(histograms))]
-        histogram = histograms[label] = HdrHistogram(_LOWEST, _HIGHEST_US, _DIGITS)
+        histogram = histograms[label] = HdrHistogram(
+            _MIN_HISTOGRAM_VALUE, _MAX_LATENCY_US, _HISTOGRAM_DIGITS
+        )
     return histogram
 
 
-def _quantiles(histogram: HdrHistogram, scale: float) -> dict[str, float]:
+def _quantiles(histogram: HdrHistogram, unit: float) -> dict[str, float]:
     values = {
-        f"p{quantile:g}": histogram.get_value_at_percentile(quantile) / scale
-        for quantile in _QUANTILES
+        f"p{quantile:g}": histogram.get_value_at_percentile(quantile) / unit
+        for quantile in _QUANTILES_PERCENT
     }
     return {"count": histogram.get_total_count(), **values}
 
 
 def merge_reports(reports: Iterable[dict[str, Any]]) -> dict[str, Any]:
-    """Merge the reports of several daemons; quantiles stay those of single daemons.
+    """Merge the reports of several daemons; quantiles are not merged but listed for each daemon.
 
     Args:
         reports: Results of `Metrics.report`.
 
     Returns:
-        Counters added up; rows of refusals, latency, headroom and drains listed.
+        The sums of the counters, and all rows of refusals, latency, headroom and drains.
     """
     counters: Counter[str] = Counter()
     rows: dict[str, list] = {"refusals": [], "latency_ms": [], "headroom": [], "drains": []}
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -20,7 +20,7 @@
         self.assertEqual(merged["counters"]["answered"], 200)
         self.assertEqual(len(merged["refusals"]), 2)
 
-    def test_labels_are_bounded_whatever_callers_ask_for(self) -> None:
+    def test_number_of_labels_is_bounded(self) -> None:
         made = node()
         configure(made)
         for number in range(10_000):
@@ -30,7 +30,7 @@
             made.metrics.answered(Label("rates", "h", f"policy@{number}"), 0.01)
         self.assertLessEqual(len(made.metrics.latency), 200)
 
-    def test_label_changes_with_the_program_only(self) -> None:
+    def test_label_has_a_digest_of_the_program(self) -> None:
         made = node()
         configure(made)
         label = made.label("rates")
