--- a/sprucewinch/daemon.py
+++ b/sprucewinch/daemon.py
@@ -1,9 +1,9 @@
 """The daemon `sprucewinchd`: one process for each entry VM; builds, starts and stops its parts.
 
-Owns the composition of the parts that do I/O, the three listeners and the order of a stop. Relies
-on `hall.node` for every decision, on `hall.loops` for the periodic work, on `net.http_server` for
-bounded listeners, and on `process_signals`. A stop cuts no request off: it ends when the last one
-has ended.
+`Daemon` owns the composition of the parts that do I/O, the three listeners and the order of a
+shutdown. It relies on `hall.node` for every decision, on `hall.loops` for the periodic work, on
+`net.http_server` for listeners with limits, and on `process_signals`. A shutdown aborts no request:
+it ends when the last one has ended.
 """
 
 import asyncio
@@ -38,31 +38,32 @@
 from .process_signals import ProcessSignals
 
 _INCARNATION_RANDOM_BITS = 12
-"""Random low bits of an incarnation, below the wall clock's milliseconds: two processes of one name
-that start in the same millisecond differ but for one case in 4096."""
+"""Random low bits of an incarnation, below the wall clock's milliseconds. Two processes of one name
+that start in the same millisecond get the same number in one case of 4096."""
 
 _TICKET_KEY_BYTES = 32
 """Length of the key of this process's tickets, in bytes: 256 bits, as is usual for such keys."""
 
-_LEAVING_FANOUT = 8
-"""VMs of other halls that a stopping VM informs at once."""
+_MAX_LEAVING_FANOUT = 8
+"""Most VMs of other halls that a stopping VM notifies directly."""
 
 _START_POLL_S = 0.01
 """Time between two checks that the listeners have started, in seconds."""
 
 _STOP_POLL_S = 0.1
-"""Time between two checks of a stop's progress or of a newer process of this name, in seconds."""
+"""Time between two checks of a shutdown's progress, or for a newer process of this name, in
+seconds."""
 
-_SPREAD_S = 1.5
-"""Time until the other VMs know that this one leaves, in seconds, on top of the time for which
-callers cache look-ups: one and a half rounds of `loops.EXCHANGE_S`."""
+_PROPAGATION_DELAY_S = 1.5
+"""Time in which the other VMs learn that this one is leaving, in seconds: one and a half intervals
+of `loops.EXCHANGE_S`. It is added to the time for which callers cache look-ups."""
 
 _MS_PER_S = 1000
 """Milliseconds in a second."""
 
 
 def _new_incarnation(clock: Clock) -> int:
-    """Return a number above that of any earlier process, by the wall clock."""
+    """Return a number above that of any earlier process, made from the wall clock."""
     milliseconds = int(clock.wall() * _MS_PER_S)
     low = secrets.randbits(_INCARNATION_RANDOM_BITS)
     return (milliseconds << _INCARNATION_RANDOM_BITS) | low
@@ -104,17 +105,17 @@
         self.loops = Loops(self.node, self.platform, self.peers, self.backend, clock, rng)
         self.servers = self._http_servers()
         self.peer_listener = self._peer_listener()
-        self.serving: list[asyncio.Task] = []
-        stops = (signal.SIGTERM, signal.SIGINT)
-        self.signals = ProcessSignals(dict.fromkeys(stops, self._signalled))
+        self.server_tasks: list[asyncio.Task] = []
+        stop_signals = (signal.SIGTERM, signal.SIGINT)
+        self.signals = ProcessSignals(dict.fromkeys(stop_signals, self._signalled))
 
     async def run(self) -> None:
-        """Serve until the daemon is told to stop, then stop without cutting anything off.
+        """Serve until a signal or a newer process ends the daemon, then finish all requests.
 
         Raises:
             SettingsError: When an address cannot be listened on.
         """
-        await self._listen()
+        await self._start_listeners()
         self.signals.take()
         self.loops.start()
         log.state(f"event=started vm={self.settings.vm} hall={self.settings.hall}")
@@ -124,11 +125,13 @@
         self.signals.ignore()
 
     def _http_servers(self) -> dict[str, uvicorn.Server]:
-        """Return the servers of callers and operators, by the setting of their address."""
-        most = self.settings.limits
-        limits = ListenerLimits(most.header_bytes, most.connections, most.requests)
+        """Return the servers for callers and operators, keyed by the setting of their address."""
+        bounds = self.settings.limits
+        limits = ListenerLimits(bounds.header_bytes, bounds.connections, bounds.requests)
         callers = CallerApp(self.node, self.dispatcher, self.clock)
-        operators = OperatorsApp(self.settings, self.node, self.platform, self.clock, self._applied)
+        operators = OperatorsApp(
+            self.settings, self.node, self.platform, self.clock, self._on_apply
+        )
         return {
             "caller_address": make_listener(callers, limits),
             "operators_address": make_listener(operators.routes(), limits),
@@ -144,12 +147,12 @@
         )
         return PeerListener(peer, connections=self.settings.limits.connections)
 
-    async def _listen(self) -> None:
+    async def _start_listeners(self) -> None:
         sockets = {key: bind(key, getattr(self.settings, key)) for key in self.servers}
         peer_socket = bind("peer_address", self.settings.peer_address)
         for key, server in self.servers.items():
             serve = server.serve(sockets=[sockets[key]])
-            self.serving.append(asyncio.create_task(serve))
+            self.server_tasks.append(asyncio.create_task(serve))
         await self.peer_listener.start(sock=peer_socket)
         while not all(server.started for server in self.servers.values()):
             await asyncio.sleep(_START_POLL_S)
@@ -159,9 +162,9 @@
             log.state("event=stop-repeated note='already stopping; requests are finished first'")
         self.stopping.set()
 
-    def _applied(self, document: Document) -> None:
-        held = configuration_document(document.revision, encode_document(document))
-        if self.node.shelf.offer(held):
+    def _on_apply(self, document: Document) -> None:
+        stored = configuration_document(document.revision, encode_document(document))
+        if self.node.shelf.offer(stored):
             self.node.tick(self.clock.monotonic())
             self.loops.changed()
 
@@ -170,36 +173,36 @@
             if self.node.membership.superseded:
                 log.trouble("event=superseded note='a newer process has this name'")
                 return
-            # No error: the loop checks again after each time limit.
+            # A time-out is no error: the loop checks again.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_STOP_POLL_S):
                     await self.stopping.wait()
 
     async def _leave(self) -> None:
-        """Leave look-ups, wait until cached answers expire, then finish every request in flight."""
+        """Withdraw from look-ups, wait until cached answers expire, and finish all requests."""
         self.node.leave()
-        await self.loops.exchange_with(self.loops.partners(_LEAVING_FANOUT))
+        await self.loops.exchange_with(self.loops.partners(_MAX_LEAVING_FANOUT))
         ttl_s = 0.0
         if self.node.topology is not None:
             ttl_s = self.node.topology.configuration.lookup.ttl_ms / _MS_PER_S
-        await self._finish_requests(until=self.clock.monotonic() + ttl_s + _SPREAD_S)
+        await self._finish_requests(until=self.clock.monotonic() + ttl_s + _PROPAGATION_DELAY_S)
         self.node.finish()
-        await self.loops.exchange_with(self.loops.partners(_LEAVING_FANOUT))
+        await self.loops.exchange_with(self.loops.partners(_MAX_LEAVING_FANOUT))
 
     async def _finish_requests(self, *, until: float) -> None:
-        reported = self.clock.monotonic()
+        reported_at = self.clock.monotonic()
         while self.clock.monotonic() < until or self.node.in_flight.count:
             await asyncio.sleep(_STOP_POLL_S)
             now = self.clock.monotonic()
-            if now - reported >= self.settings.stop.report_s and self.node.in_flight.count:
-                reported = now
+            if now - reported_at >= self.settings.stop.report_s and self.node.in_flight.count:
+                reported_at = now
                 log.state(f"event=stopping in_flight={self.node.in_flight.count}")
 
     async def _close(self) -> None:
         await self.loops.stop()
         for server in self.servers.values():
             server.should_exit = True
-        await asyncio.gather(*self.serving)
+        await asyncio.gather(*self.server_tasks)
         self.peer_listener.close()
         self.peers.close()
         await self.backend.close()
@@ -214,9 +217,9 @@
         settings: Path of the settings file, in TOML.
     """
     try:
-        checked = load_settings(Path(settings))
-        log.configure(checked.log_format)
-        _run_loop(checked)
+        loaded = load_settings(Path(settings))
+        log.configure(loaded.log_format)
+        _run_loop(loaded)
     except SprucewinchError as error:
         print(f"sprucewinchd: {error}", file=sys.stderr)
         sys.exit(error.exit_code)
