--- a/sprucewinch/_hash.py
+++ b/sprucewinch/_hash.py
@@ -1,7 +1,8 @@
 """Hashes of text that are the same in every process, unlike Python's own.
 
-Owns the choice of the hash: VMs of the fleet must agree on where a key goes, also across versions,
-so it may not change. Relies on xxhash; not for secrets.
+The module owns the choice of the hash. It must not change, since all VMs of the fleet, whatever
+their version, must map a key to the same place. It relies on xxhash,
+which is not suitable for secrets.
 """
 
 import xxhash
--- a/sprucewinch/_supervise.py
+++ b/sprucewinch/_supervise.py
@@ -1,7 +1,7 @@
 """Runs a loop of a process for as long as the process lives.
 
-Owns nothing: the caller keeps the task, counts and logs each failure, and chooses the pause.
-Relies on asyncio alone; cancelling the task ends the loop.
+The module holds no state: the caller keeps the task, counts and logs each failure, and sets the
+pause. It relies on asyncio alone; cancelling the task ends the loop.
 """
 
 import asyncio
@@ -13,16 +13,16 @@
 
 
 async def forever(step: Step, failed: Callable[[Step, Exception], None], *, pause_s: float) -> None:
-    """Run a step again and again; a failure of one round does not end the loop.
+    """Run a step repeatedly; a failure of one run does not end the loop.
 
     Args:
-        step: Run again as soon as it has ended.
-        failed: Counts and logs a failure of the step.
+        step: Run again as soon as it returns.
+        failed: Called with the step and its exception; counts and logs the failure.
         pause_s: Time between a failure and the next run, in seconds.
     """
     while True:
         try:
             await step()
-        except Exception as error:  # noqa: BLE001  a loop outlives any fault of a step, logged
+        except Exception as error:  # noqa: BLE001  a failed step must not end the loop
             failed(step, error)
             await asyncio.sleep(pause_s)
--- a/sprucewinch/boot_time_loop.py
+++ b/sprucewinch/boot_time_loop.py
@@ -1,10 +1,10 @@
-"""An event loop whose time goes on while the VM is suspended.
+"""An event loop whose time advances while the VM is suspended.
 
-Owns that loop. asyncio's own takes Linux's steady clock, which stands still then: each timeout
-would have as much left after a suspension as before it, and a request would be held for longer than
-its caller waits. A timer that became due meanwhile fires with the next event, or after what was
-left of the loop's wait, which regular work keeps short. Relies on `clock.since_boot`. Tests:
-`test_boot_time_loop`.
+asyncio's own loop uses Linux's monotonic clock, which stops during a suspension: each timeout would
+have as much time left after the suspension as before it, and a request would be held for longer
+than its caller waits. On `BootTimeEventLoop`, a timer that became due during a suspension fires
+with the next event, or after the rest of the loop's current wait, which periodic work keeps short.
+The module relies on `clock.since_boot`. Tested by `tests.test_boot_time_loop`.
 """
 
 import asyncio
@@ -17,10 +17,10 @@
 
 
 class BootTimeEventLoop(asyncio.SelectorEventLoop):
-    """asyncio's loop on the time since boot.
+    """asyncio's selector event loop, using the time since boot.
 
     Args:
-        now: Returns that time, in seconds.
+        now: Returns the time since boot, in seconds.
     """
 
     def __init__(self, now: Callable[[], float] = since_boot) -> None:
@@ -33,7 +33,7 @@
 
 
 def run(work: Coroutine[Any, Any, T], now: Callable[[], float] = since_boot) -> T:
-    """Run a coroutine on such a loop and return its result.
+    """Run a coroutine on a `BootTimeEventLoop` and return its result.
 
     Args:
         work: The coroutine.
--- a/sprucewinch/clock.py
+++ b/sprucewinch/clock.py
@@ -1,9 +1,9 @@
 """The clock that decisions take as an argument, so that tests need not wait.
 
-Owns the two kinds of time: monotonic for durations within a process, wall-clock for what leaves it.
-Relies on the VM's clocks, which may be wrong or jump: nothing compares the wall clocks of two
-VMs. Monotonic time goes on while the VM is suspended, so that what was held before is as old
-afterwards as it is: a suspension is a freeze to all that judges by age.
+The module owns the two kinds of time: monotonic time for durations within a process, and wall-clock
+time for what leaves it. It relies on the VM's clocks, which may be wrong or jump; nothing compares
+the wall clocks of two VMs. Monotonic time advances while the VM is suspended, so that state from
+before a suspension has its real age afterwards, as after any other freeze of the process.
 """
 
 import abc
@@ -13,8 +13,8 @@
 def since_boot() -> float:
     """Return the time since the VM's boot, its suspensions included, in seconds.
 
-    Linux's steady clock leaves suspensions out: with it, 5 s in which nothing arrived pass for
-    none, and the VM serves by what it held before as if that were fresh.
+    Linux's CLOCK_MONOTONIC leaves suspensions out. With it, a suspension of 5 s, in which nothing
+    arrived, would count as no time at all, and the VM would treat its old state as current.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -24,7 +24,7 @@
 
     @abc.abstractmethod
     def monotonic(self) -> float:
-        """Return a time in seconds that never runs backwards, and counts suspensions."""
+        """Return a time in seconds that never decreases and includes suspensions."""
 
     @abc.abstractmethod
     def wall(self) -> float:
--- a/sprucewinch/errors.py
+++ b/sprucewinch/errors.py
@@ -1,8 +1,8 @@
-"""Typed errors for the edges of the system; each message names its remedy.
+"""Typed errors for the interfaces of the system; each message names its remedy.
 
-Owns the classes and the exit status that each gives the command line. The operators' port answers
-with the name of a class and the command line raises it again, so names are part of that interface.
-Decisions inside the core use typed results instead.
+The module owns the error classes and the exit status that the command line returns for each. The
+operators' port answers with the name of a class and the command line raises that class again, so
+the names are part of the interface. Decisions inside the core use typed results instead.
 """
 
 
@@ -35,13 +35,13 @@
 
 
 class LogError(SprucewinchError):
-    """A log cannot be read, or holds no line on the request that is asked for."""
+    """A log cannot be read, or has no line about the requested request id."""
 
     exit_code = 2
 
 
 class QuarantineError(SprucewinchError):
-    """No request of the name that an operator gave is refused for crashing servers."""
+    """No quarantined request has the fingerprint that an operator gave."""
 
     exit_code = 2
 
@@ -70,8 +70,8 @@
     Args:
         problem: What is wrong.
         remedy: What to do.
-        retry_after_s: Time after which the platform may be asked again, in seconds; 0 when it
-            names none.
+        retry_after_s: Time after which the call may be repeated, in seconds; 0 when the platform
+            gave none.
     """
 
     exit_code = 4
@@ -82,7 +82,7 @@
 
 
 class WriteUnknownError(PlatformError):
-    """A write was sent and its answer is lost; it may have taken effect."""
+    """A write was sent and its answer was lost; the write may have taken effect."""
 
     exit_code = 5
 
--- a/sprucewinch/log.py
+++ b/sprucewinch/log.py
@@ -1,8 +1,9 @@
 """Structured logs: one line for each change of state, as key=value text or JSON.
 
-Owns the form of lines and where they go; `state` and `trouble` serve the daemon, `line` the routed
-path, whose lines are JSON already. A reader that is too slow loses lines and never delays a
-request: `_LineHandler` counts what it drops. Relies on `absl.logging`.
+The module owns the format and the destination of log lines. `state` and `trouble` are for the
+daemon, `line` for the routed path, whose lines are already JSON. A slow reader of the routed path's
+lines loses some and never delays a request; `_LineHandler` counts the dropped lines. The module
+relies on `absl.logging`.
 """
 
 import json
@@ -38,11 +39,11 @@
 
 
 def parse_line(message: str) -> dict[str, str]:
-    """Return the key=value words of a line; a line without any is the value of `message`."""
+    """Return the key=value words of a line; a line without any becomes the value of `message`."""
     try:
         words = shlex.split(message)
     except ValueError:
-        # A library's line may hold a lone quote: the whole line is logged, so nothing is lost.
+        # A library's line may contain an unpaired quote, so the whole line is kept as it is.
         return {"message": message}
     pairs = [word.split("=", 1) for word in words if "=" in word]
     return {key: value for key, value in pairs} if pairs else {"message": message}
@@ -54,7 +55,7 @@
     Args:
         log_format: `text` or `json`.
     """
-    flags.FLAGS(["sprucewinchd"])  # the handler complains until flags are parsed
+    flags.FLAGS(["sprucewinchd"])  # absl warns until its flags are parsed
     logging.use_absl_handler()
     handler = logging.get_absl_handler()
     handler.setFormatter(_JsonFormatter() if log_format == "json" else _TextFormatter())
@@ -73,7 +74,7 @@
 
 
 def trouble(line: str) -> None:
-    """Log trouble that an operator should look into.
+    """Log a problem that an operator should investigate.
 
     Args:
         line: Words `key=value`, the first of them the event.
@@ -94,12 +95,12 @@
         try:
             os.write(self.descriptor, record.getMessage().encode() + b"\n")
         except OSError:
-            # No line about it: the line could not be written either.
+            # The failure is not logged, since that line could not be written either.
             self.dropped += 1
 
 
 def configure_lines(descriptor: int = 1) -> None:
-    """Send lines that are already structured to a descriptor, without ever blocking on it.
+    """Send lines that are already structured to a file descriptor, and never block on it.
 
     Args:
         descriptor: File descriptor; standard output by default.
--- a/sprucewinch/process_signals.py
+++ b/sprucewinch/process_signals.py
@@ -1,9 +1,10 @@
-"""Signals of a running process: what each does, from a moment on to the end of the process.
+"""Signal handling of a running process, from the call of `take` to the end of the process.
 
-Owns the handlers from `take` on; those of the time before belong to the program that starts the
-process. Relies on the running event loop for reading a socket alone: the handlers of the loop
-itself fall back to the signals' defaults when the loop drops them, and a signal at that moment
-would end the process with a failure. Tests: `test_process_signals`.
+`ProcessSignals` owns the handlers once `take` was called; until then they belong to the program
+that starts the process. It uses the running event loop only to read a socket. The signal handlers
+of asyncio's loop are not used: when the loop removes them, the signals' default actions return, and
+a signal at that moment would end the process with a failure. Tested by
+`tests.test_process_signals`.
 """
 
 import asyncio
@@ -13,14 +14,14 @@
 from typing import Any
 
 _READ_BYTES = 64
-"""Signals that are read at once, one byte each."""
+"""Most bytes read at once from the wake-up socket; each is the number of one signal."""
 
 
 class ProcessSignals:
-    """Calls the action of a signal, between two steps of the event loop.
+    """Runs the action of a received signal as a callback of the event loop.
 
     Args:
-        actions: What each signal does.
+        actions: Called for each signal.
     """
 
     def __init__(self, actions: Mapping[signal.Signals, Callable[[], None]]) -> None:
@@ -28,17 +29,17 @@
         self._sockets: tuple[socket.socket, ...] = ()
 
     def take(self) -> None:
-        """Set the handlers; the running event loop calls the actions from now on."""
+        """Install the handlers; from now on the running event loop calls the actions."""
         received, wakeup = self._sockets = socket.socketpair()
         received.setblocking(False)
         wakeup.setblocking(False)
         signal.set_wakeup_fd(wakeup.fileno(), warn_on_full_buffer=False)
         asyncio.get_running_loop().add_reader(received, self._act, received)
         for number in self.actions:
-            signal.signal(number, _noted)
+            signal.signal(number, _ignore_in_handler)
 
     def ignore(self) -> None:
-        """Ignore the signals from now on, so that one at the end of a stop changes nothing."""
+        """Ignore the signals from now on, so that one at the end of a shutdown has no effect."""
         for number in self.actions:
             signal.signal(number, signal.SIG_IGN)
         signal.set_wakeup_fd(-1)
@@ -49,11 +50,11 @@
 
     def _act(self, received: socket.socket) -> None:
         for number in received.recv(_READ_BYTES):
-            # The interpreter writes the numbers of signals that others handle, too.
+            # The interpreter also writes the numbers of signals that are handled elsewhere.
             action = self.actions.get(signal.Signals(number))
             if action is not None:
                 action()
 
 
-def _noted(_number: int, _frame: Any) -> None:
-    """Handle a signal whose number the interpreter has written to the wake-up socket."""
+def _ignore_in_handler(_number: int, _frame: Any) -> None:
+    """Do nothing: the interpreter has already written the number to the wake-up socket."""
--- a/tests/test_boot_time_loop.py
+++ b/tests/test_boot_time_loop.py
@@ -1,4 +1,4 @@
-"""A suspension is a freeze to a VM: the time in which it stood still counts."""
+"""The time of a suspension counts as passed, as it does for a process that is frozen."""
 
 import asyncio
 import time
@@ -13,14 +13,16 @@
     def test_both_sources_of_time_count_suspensions(self) -> None:
         with mock.patch.object(time, "clock_gettime", _suspended_for(5.0)):
             before = time.monotonic()
-            self.assertAlmostEqual(SystemClock().monotonic() - clock_without(), 5.0, places=1)
+            self.assertAlmostEqual(
+                SystemClock().monotonic() - clock_without_suspension(), 5.0, places=1
+            )
             loop = boot_time_loop.BootTimeEventLoop()
-            self.assertAlmostEqual(loop.time() - clock_without(), 5.0, places=1)
+            self.assertAlmostEqual(loop.time() - clock_without_suspension(), 5.0, places=1)
             loop.close()
             self.assertLess(time.monotonic() - before, 5.0)
 
     def test_a_timeout_that_passed_in_a_suspension_ends_with_the_next_event(self) -> None:
-        """The VM is suspended for 60 s while a request has 30 s left; an event comes after it."""
+        """A VM is suspended for 60 s while a request has 30 s left; an event follows."""
 
         async def main() -> float:
             started = time.monotonic()
@@ -37,25 +39,25 @@
 
 
 class _Suspension:
-    """A suspension that the steady clock does not count."""
+    """A simulated suspension, which CLOCK_BOOTTIME counts and CLOCK_MONOTONIC does not."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
-        self.passed = 0.0
+        self.skipped_s = 0.0
 
     def begin(self) -> None:
-        self.passed = self.seconds
+        self.skipped_s = self.seconds
 
     def read(self, clock_id: int) -> float:
-        passed = self.passed if clock_id == time.CLOCK_BOOTTIME else 0.0
-        return _clock_gettime(clock_id) + passed
+        skipped_s = self.skipped_s if clock_id == time.CLOCK_BOOTTIME else 0.0
+        return _clock_gettime(clock_id) + skipped_s
 
 
 _clock_gettime = time.clock_gettime
 
 
-def clock_without() -> float:
-    """Return the time since boot without any suspension of a test."""
+def clock_without_suspension() -> float:
+    """Return the time since boot without a test's simulated suspension."""
     return _clock_gettime(time.CLOCK_BOOTTIME)
 
 
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -10,18 +10,18 @@
 
 
 class Steps:
-    """A step that fails twice, ends twice, and then rests."""
+    """A step whose first two runs fail, whose next two return, and whose fifth never returns."""
 
     def __init__(self) -> None:
         self.runs = 0
-        self.resting = asyncio.Event()
+        self.blocked = asyncio.Event()
 
     async def run(self) -> None:
         self.runs += 1
         if self.runs <= 2:
             raise ValueError(f"run {self.runs}")
         if self.runs > 4:
-            self.resting.set()
+            self.blocked.set()
             await asyncio.Event().wait()
 
 
@@ -34,7 +34,7 @@
             failures.append((step, str(error)))
 
         task = asyncio.ensure_future(forever(steps.run, failed, pause_s=0))
-        await asyncio.wait_for(steps.resting.wait(), 5)
+        await asyncio.wait_for(steps.blocked.wait(), 5)
         self.assertEqual(failures, [(steps.run, "run 1"), (steps.run, "run 2")])
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
@@ -49,7 +49,7 @@
 
         with mock.patch.object(asyncio, "sleep", sleep):
             task = asyncio.ensure_future(forever(steps.run, mock.Mock(), pause_s=0.2))
-            await asyncio.wait_for(steps.resting.wait(), 5)
+            await asyncio.wait_for(steps.blocked.wait(), 5)
         task.cancel()
         self.assertEqual(pauses, [0.2, 0.2])
 
