--- a/sprucewinch/hall/drains.py
+++ b/sprucewinch/hall/drains.py
@@ -14,27 +14,28 @@
     """Measures the drains of this VM's hall and its servers.
 
     Args:
-        metrics: Takes the duration of each finished drain.
+        metrics: Records the duration of each finished drain.
         log: Called with a line for each finished drain.
     """
 
     def __init__(self, metrics: Metrics, log: LineLog) -> None:
         self.metrics = metrics
         self.log = log
-        self.started: dict[str, float] = {}
+        self.started_at: dict[str, float] = {}
 
-    def update(self, held: Mapping[str, int], now: float) -> None:
+    def update(self, draining_requests: Mapping[str, int], now: float) -> None:
         """Record drains that started, finished or were cancelled.
 
         Args:
-            held: Number of requests that still run on each draining hall or server, by drain key.
+            draining_requests: Requests that still run on each draining hall and server, keyed by
+                drain key.
             now: Monotonic time, in seconds.
         """
-        for key, requests in held.items():
-            started = self.started.setdefault(key, now)
+        for key, requests in draining_requests.items():
+            started_at = self.started_at.setdefault(key, now)
             if requests == 0 and key not in self.metrics.drains:
-                self.metrics.drained(key, now - started)
-                self.log(f"event=drained thing={key} seconds={now - started:.3f}")
-        for key in self.started.keys() - held.keys():
-            del self.started[key]
+                self.metrics.drained(key, now - started_at)
+                self.log(f"event=drained thing={key} seconds={now - started_at:.3f}")
+        for key in self.started_at.keys() - draining_requests.keys():
+            del self.started_at[key]
             self.metrics.drains.pop(key, None)
--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -117,17 +117,17 @@
         self.membership.drop_expired(now)
         self._join(now)
         self._renew_slots(now)
-        held: dict[str, int] = {}
+        draining_requests: dict[str, int] = {}
         if self.topology is not None:
             self.regions.tick(self.topology, self.membership.serving(now), now)
-            held = self.hall.held(self.topology, now)
-            self.drains.update(held, now)
+            draining_requests = self.hall.held(self.topology, now)
+            self.drains.update(draining_requests, now)
         self.entry.describe(
             revision=self.revision,
             in_flight=self.in_flight.count,
             loads=self.load.loads(now),
             leaving_servers=self.hall.leaving_servers(now),
-            held=held,
+            draining_requests=draining_requests,
         )
 
     def _join(self, now: float) -> None:
--- a/sprucewinch/hall/own_entry.py
+++ b/sprucewinch/hall/own_entry.py
@@ -71,7 +71,7 @@
         in_flight: int,
         loads: Sequence[ServiceLoad],
         leaving_servers: Sequence[str],
-        held: Mapping[str, int],
+        draining_requests: Mapping[str, int],
     ) -> None:
         """Replace the entry's fields on this VM's load, and raise the entry's version.
 
@@ -80,7 +80,8 @@
             in_flight: Requests from callers and other entry VMs in flight.
             loads: Load of each service.
             leaving_servers: Backend servers that have reported to this VM that they are leaving.
-            held: Number of requests that still run on each draining hall or server, by drain key.
+            draining_requests: Requests that still run on each draining hall and server, keyed by
+                drain key.
         """
         member = self.member
         member.config_revision = revision
@@ -90,7 +91,7 @@
         member.ClearField("leaving_servers")
         member.leaving_servers.extend(leaving_servers)
         member.held.clear()
-        for key, requests in held.items():
+        for key, requests in draining_requests.items():
             member.held[key] = requests
         self.membership.touch()
 
--- a/sprucewinch/hall/peers/view.py
+++ b/sprucewinch/hall/peers/view.py
@@ -106,7 +106,7 @@
 def _recent(membership: Membership, now: float) -> Iterable[tuple[Member, float]]:
     """Yield members with the age of their report, in seconds.
 
-    Live members come first. Of a region without live members, those follow whose report is at most
+    Live members come first, then the members of regions without a live one whose report is at most
     `MAX_REPORT_AGE_S` old.
     """
     live = [m for m in membership.live(now) if m.state in (SERVING, LEAVING)]
--- a/sprucewinch/hall/slots.py
+++ b/sprucewinch/hall/slots.py
@@ -10,11 +10,10 @@
 had not announced its end. A list that has not been renewed for `MEMBER_LIST_TTL_S` gives no slots
 at all, so a process that was paused holds nothing when it resumes.
 
-The alternatives cost more. Leases in the store for each VM would take 930 writes a second at 2,800
+Two alternatives are worse. Leases in the store for each VM would take 930 writes a second at 2,800
 VMs, and the store accepts 400. Without a division, refusals by the servers would be the usual way
-to find their limit (docs/DESIGN.md, "Slots"). A partition inside a hall in which each side takes
-the other for gone is not covered; only the servers' own refusals bound the load then
-(docs/PROMISES.md).
+to find their limit (docs/DESIGN.md, "Slots"). Not covered is a partition inside a hall in which
+each side drops the other; only the servers' own refusals bound the load then (docs/PROMISES.md).
 
 The result is reported as `capacity` in a VM's loads, and a request that finds no free slot is
 refused as `no-room`. Tested by `tests.test_slots`.
@@ -52,7 +51,7 @@
 
 
 def member_list_digest(members: tuple[str, ...]) -> str:
-    """Return a 64-bit digest of a list of members as hexadecimal; their order does not matter."""
+    """Return a digest by which VMs compare their lists of members; the order does not matter."""
     return f"{hash64('|'.join(sorted(members))):x}"
 
 
--- a/tests/test_peer_client.py
+++ b/tests/test_peer_client.py
@@ -86,7 +86,7 @@
         self.client = PeerClient("east", self.clock)
         self.addCleanup(self.client.close)
 
-    def hand_on(self, answer: Responder, ticket: str | None) -> "asyncio.Task[Attempt]":
+    def forward(self, answer: Responder, ticket: str | None) -> "asyncio.Task[Attempt]":
         """Forward a request to the peer; one with a ticket is an operation."""
         until = self.clock.monotonic() + _TIMEOUT_S
         request = Request("q1", "booking", "east", "POST", "/a", [], _Empty(), until, ticket)
@@ -99,10 +99,10 @@
         await self.peer.running.wait()
         self.assertIsNone(await self.client.exchange(self.address, ExchangeRequest()))
 
-    async def test_an_exchange_that_fails_ends_no_operation_at_the_same_peer(self) -> None:
+    async def test_a_failed_exchange_ends_no_operation_at_the_same_peer(self) -> None:
         """The operation must not end as unknown when the peer, which was only late, answers it."""
         answer = _Answer()
-        sending = self.hand_on(answer, "ticket")
+        sending = self.forward(answer, "ticket")
         async with asyncio.timeout(_TIMEOUT_S):
             await self._fail_exchange()
             self.peer.may_answer.set()
@@ -111,15 +111,15 @@
         self.assertEqual(answer.status, 200)
         self.assertEqual(self.client.channels, {})
 
-    async def test_a_request_that_may_be_sent_again_ends_with_it(self) -> None:
-        sending = self.hand_on(_Answer(), None)
+    async def test_a_failed_exchange_ends_a_repeatable_request(self) -> None:
+        sending = self.forward(_Answer(), None)
         async with asyncio.timeout(_TIMEOUT_S):
             await self._fail_exchange()
             attempt = await sending
         assert attempt.refusal is not None
         self.assertEqual(attempt.refusal.reason, Reason.PEER_FAILED)
 
-    async def test_the_next_call_connects_afresh(self) -> None:
+    async def test_the_next_call_opens_new_channels(self) -> None:
         self.assertIsNone(await self.client.exchange(self.address, ExchangeRequest()))
         self.assertEqual(self.client.channels, {})
 
