--- a/sprucewinch/hall/requests/_slot_wait.py
+++ b/sprucewinch/hall/requests/_slot_wait.py
@@ -7,7 +7,7 @@
 given a slot releases that slot.
 Why: a bounded queue evens out short peaks; the bound and the time keep a wait from outlasting its
 use.
-Constants: none here; the length of the queue is `admission.MAX_WAITING`.
+Constants: none here; the length of the queue is `admission.MAX_WAITING_REQUESTS`.
 Where it shows: refusals counted as `no-room`. Tests: `tests.test_admission`.
 """
 
--- a/sprucewinch/hall/requests/admission.py
+++ b/sprucewinch/hall/requests/admission.py
@@ -1,18 +1,19 @@
-"""The rule on admission: which backend server runs a request now, or why none does.
-
-Inputs: for each server of the service the slots that this VM may use, the slots in use, and the
-monotonic times in seconds until which it is paused, leaving or cold; the servers that the request
-has tried.
-The rule: draining, leaving, paused and tried servers are skipped. Of the others the one with
-the smallest used part of its slots takes the request; ties are broken at random. A cold server
-counts as having one slot. A freed slot goes to the request that waits longest.
-Why: each slot belongs to one VM (`slots`), so the choice needs no message from another VM. Counting
-on a server's own refusals alone would make overload the usual way to find the limit
-(docs/DESIGN.md, "Requests").
-Constants: `SHED_PAUSE_S`, `FAIL_PAUSE_S`, `COLD_S`, `MAX_WAITING` and `_LATENCY_WEIGHT` below, all
-guesses.
-Where it shows: refusals counted as `no-room` or `no-backend-server`, the counter `shed`.
-Tests: `tests.test_admission`.
+"""Admission to backend servers: chooses the server that runs a request, or says why none can.
+
+The decision needs, for each server of the service, the slots that this VM may use, the slots in
+use, and the monotonic times in seconds until which the server is paused, leaving or cold; and the
+servers that the request has already tried. Draining, leaving, paused and tried servers are skipped.
+Of the others, the server with the lowest ratio of slots in use to slots allowed gets the request;
+ties are broken at random. A cold server is allowed one slot. A freed slot goes to the request that
+has waited longest.
+
+Each slot belongs to one VM (`slots`), so the choice needs no message from another VM. With the
+servers' own refusals as the only limit, servers would be overloaded routinely, because the limit
+would only be found by exceeding it (docs/DESIGN.md, "Requests").
+
+The constants are `SHED_PAUSE_S`, `FAIL_PAUSE_S`, `COLD_PERIOD_S`, `MAX_WAITING_REQUESTS` and
+`_LATENCY_WEIGHT`. Refusals are counted as `no-room` or `no-backend-server`; the counter `shed`
+counts the requests that servers refused for want of room. Tested by `tests.test_admission`.
 """
 
 import random
@@ -23,33 +24,36 @@
 from ...net.outcome import Reason, Refusal, not_run
 
 SHED_PAUSE_S = 0.25
-"""Time for which a backend server that shed a request gets no new one, in seconds."""
+"""Pause of a backend server that refused a request for want of room, in seconds."""
 
 FAIL_PAUSE_S = 1.0
-"""Time for which a backend server that could not be reached gets no request, in seconds."""
+"""Pause of a backend server that could not be reached, in seconds."""
 
-COLD_S = 3.0
-"""Time for which a server that was unreachable gets one request at once, in seconds, counted from
-the end of its pause."""
+COLD_PERIOD_S = 3.0
+"""Time after the pause of an unreachable server in which it is cold, in seconds: it runs at most
+one request of this VM at a time."""
 
-MAX_WAITING = 64
-"""Most requests of one service that wait for a slot at this VM."""
+MAX_WAITING_REQUESTS = 64
+"""Maximum number of requests of one service that wait for a slot at this VM."""
 
 _LATENCY_WEIGHT = 0.1
-"""Weight of the newest request in a server's mean time, in [0, 1]."""
+"""Weight of the latest request in the moving average of a server's latency, in [0, 1]."""
 
 _COLD_SLOTS = 1
-"""Slots of a cold server: the smallest number that still shows whether it answers."""
+"""Slots of a cold server: the smallest number with which it still shows whether it answers."""
 
 
 class ServerState:
     """The state of one backend server of this hall, as this entry VM knows it.
 
-    Times are monotonic, in seconds.
+    `in_use` counts the slots that requests of this VM hold. `latency_ms` is the moving average of
+    the latency in milliseconds, None until a request was answered. `paused_until`, `leaving_until`,
+    `heard_leaving_until` and `warm_from` are monotonic times in seconds. The cold period begins at
+    `warm_from` and lasts `COLD_PERIOD_S`.
 
     Args:
         address: `IP:PORT`.
-        service: Its service.
+        service: Name of its service.
     """
 
     __slots__ = (
@@ -78,23 +82,23 @@
         return self.paused_until <= now and not self.is_leaving(now)
 
     def is_leaving(self, now: float) -> bool:
-        """Return whether the server is marked as leaving, by this VM's own knowledge or not."""
+        """Return whether the server is marked as leaving, whoever reported it."""
         return max(self.leaving_until, self.heard_leaving_until) > now
 
-    def allowed(self, usable: int, now: float) -> int:
-        """Return how many of the usable slots may be in use now; fewer while it is cold."""
-        if now - self.warm_from >= COLD_S:
+    def slot_limit(self, usable: int, now: float) -> int:
+        """Return how many slots this VM may use now: the usable ones, fewer while it is cold."""
+        if now - self.warm_from >= COLD_PERIOD_S:
             return usable
         return min(usable, _COLD_SLOTS)
 
     def record_latency(self, latency_ms: float) -> None:
-        """Record a complete answer and the time it took, in milliseconds."""
+        """Record the latency of a complete answer, in milliseconds."""
         if self.latency_ms is None:
             self.latency_ms = latency_ms
         self.latency_ms += _LATENCY_WEIGHT * (latency_ms - self.latency_ms)
 
     def mark_shed(self, now: float) -> None:
-        """Pause the server after it refused a request because it had no room."""
+        """Pause the server after it refused a request for want of room."""
         self.paused_until = now + SHED_PAUSE_S
 
     def mark_failed(self, now: float) -> None:
@@ -103,11 +107,11 @@
         self.warm_from = self.paused_until
 
     def mark_leaving(self, until: float) -> None:
-        """Give the server no new request until a time, as it reports to this VM that it leaves."""
+        """Mark the server as leaving until a time, after its own report to this VM."""
         self.leaving_until = max(self.leaving_until, until)
 
     def mark_heard_leaving(self, until: float) -> None:
-        """Do the same on a report of another VM or of the platform's list; see `Admission`."""
+        """Mark the server as leaving until a time, after the report of another VM."""
         self.heard_leaving_until = max(self.heard_leaving_until, until)
 
 
@@ -122,20 +126,22 @@
 
 
 Waiter = Callable[[Slot], bool]
-"""Takes a freed slot; returns False when the request has gone and the slot is free again."""
+"""Takes a freed slot; returns False, and the slot stays free, when its request no longer waits."""
 
 
 class Admission:
-    """Gives out the slots of one service that this entry VM may use.
+    """Allocates the slots of one service that this entry VM may use.
 
-    A server that leaves is marked on its own report to this VM (`leaving`) or on the report of
-    others (`heard_leaving`). Both marks keep new requests away. Only the first kind is listed for
-    other VMs: two VMs that listed marks of each other would renew them without end.
+    A server is marked as leaving after its own report to this VM or its entry in the platform's
+    list (`leaving`), or after the report of another VM (`heard_leaving`). A marked server gets no
+    new request. Only marks of the first kind are reported to other VMs: if two VMs reported marks
+    that they have from each other, they would renew them without end.
 
     Args:
-        usable: Returns the usable slots of a backend server at a time.
+        usable: Returns the usable slots of a backend server (`IP:PORT`) at a monotonic time in
+            seconds.
         rng: Source of randomness for ties.
-        max_waiting: Most requests that wait for a slot.
+        max_waiting: Maximum number of requests that wait for a slot.
     """
 
     def __init__(
@@ -143,7 +149,7 @@
         usable: Callable[[str, float], int],
         rng: random.Random,
         *,
-        max_waiting: int = MAX_WAITING,
+        max_waiting: int = MAX_WAITING_REQUESTS,
     ) -> None:
         self.usable = usable
         self.rng = rng
@@ -153,34 +159,35 @@
         self.waiting: deque[Waiter] = deque()
 
     def set_servers(self, service: str, addresses: Iterable[str]) -> None:
-        """Set the list of backend servers; requests on removed ones go on."""
+        """Set the list of backend servers; requests that run on removed servers continue."""
         kept = self.servers
         self.servers = {a: kept.get(a) or ServerState(a, service) for a in addresses}
 
     def capacity(self, now: float) -> int:
-        """Return the slots that could be used at this time."""
-        return sum(self.usable(s.address, now) for s in self._open(now))
+        """Return the number of usable slots of all open servers at this time."""
+        return sum(self.usable(s.address, now) for s in self._open_servers(now))
 
     def in_use(self) -> int:
-        """Return the slots in use."""
+        """Return the number of slots in use."""
         return sum(server.in_use for server in self.servers.values())
 
     def latency_ms(self) -> Optional[float]:
-        """Return the recent mean time of a request, in milliseconds; None when unmeasured."""
+        """Return the mean of the servers' latencies, in milliseconds; None while none is known."""
         measured = [s.latency_ms for s in self.servers.values() if s.latency_ms is not None]
         return sum(measured) / len(measured) if measured else None
 
     def acquire(self, now: float, exclude: frozenset[str] = frozenset()) -> Union[Slot, Refusal]:
-        """Take a slot now.
+        """Take a slot of the open server with the lowest utilization, without waiting.
 
         Args:
             now: Monotonic time, in seconds.
             exclude: Backend servers that this request has already tried.
 
         Returns:
-            A slot, or a refusal when every usable slot is taken or no server is open.
+            A slot; or a refusal: `NO_BACKEND_SERVER` when no server is open, `NO_ROOM` when all
+            usable slots are in use.
         """
-        open_servers = [s for s in self._open(now) if s.address not in exclude]
+        open_servers = [s for s in self._open_servers(now) if s.address not in exclude]
         if not open_servers:
             return not_run(Reason.NO_BACKEND_SERVER)
         best = self._least_used(open_servers, now)
@@ -190,19 +197,19 @@
         return Slot(best)
 
     def wait(self, waiter: Waiter) -> bool:
-        """Queue for the next free slot; returns False when the queue is full."""
+        """Add a waiter to the queue for a free slot; returns False when the queue is full."""
         if len(self.waiting) >= self.max_waiting:
             return False
         self.waiting.append(waiter)
         return True
 
     def stop_waiting(self, waiter: Waiter) -> None:
-        """Leave the queue; without effect when the waiter is no longer in it."""
+        """Remove a waiter from the queue; has no effect when it is no longer there."""
         if waiter in self.waiting:
             self.waiting.remove(waiter)
 
     def release(self, slot: Slot, now: float) -> None:
-        """Give a slot back, to the longest waiting request if there is one."""
+        """Release a slot and give it to the request that has waited longest, if one waits."""
         if slot.released:
             return
         slot.released = True
@@ -210,7 +217,7 @@
         self.serve_waiting(now)
 
     def serve_waiting(self, now: float) -> None:
-        """Give free slots to waiting requests, in the order they came."""
+        """Give free slots to waiting requests, in order of arrival."""
         while self.waiting:
             free = self.acquire(now)
             if isinstance(free, Refusal):
@@ -220,27 +227,28 @@
                 free.server.in_use -= 1
 
     def leaving(self, address: str, until: float) -> None:
-        """Mark a backend server that reported to this VM that it is leaving.
+        """Mark a server as leaving, after its own report or its entry in the platform's list.
 
         Args:
-            address: The server; an unknown one is ignored.
-            until: Monotonic time at which the mark ends, in seconds; a later end stays.
+            address: `IP:PORT` of the server; an unknown one is ignored.
+            until: Monotonic time at which the mark ends, in seconds. The later of this time and
+                that of an earlier mark holds.
         """
         server = self.servers.get(address)
         if server is not None:
             server.mark_leaving(until)
 
     def heard_leaving(self, address: str, until: float) -> None:
-        """Mark a backend server that others report as leaving; arguments as of `leaving`."""
+        """Mark a server that another VM reports as leaving; arguments as for `leaving`."""
         server = self.servers.get(address)
         if server is not None:
             server.mark_heard_leaving(until)
 
     def leaving_servers(self, now: float) -> list[str]:
-        """Return the backend servers that reported to this VM that they are leaving."""
+        """Return the addresses of the servers whose mark of `leaving` has not ended."""
         return [s.address for s in self.servers.values() if s.leaving_until > now]
 
-    def _open(self, now: float) -> list[ServerState]:
+    def _open_servers(self, now: float) -> list[ServerState]:
         return [
             server
             for server in self.servers.values()
@@ -251,10 +259,10 @@
         best: Optional[ServerState] = None
         least = (1.0, 0.0)
         for server in servers:
-            allowed = server.allowed(self.usable(server.address, now), now)
-            if server.in_use >= allowed:
+            slot_limit = server.slot_limit(self.usable(server.address, now), now)
+            if server.in_use >= slot_limit:
                 continue
-            key = (server.in_use / allowed, self.rng.random())
+            key = (server.in_use / slot_limit, self.rng.random())
             if best is None or key < least:
                 best, least = server, key
         return best
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,7 +5,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sprucewinch.hall.requests.admission import COLD_S, FAIL_PAUSE_S, SHED_PAUSE_S, Admission, Slot
+from sprucewinch.hall.requests.admission import (
+    COLD_PERIOD_S,
+    FAIL_PAUSE_S,
+    SHED_PAUSE_S,
+    Admission,
+    Slot,
+)
 from sprucewinch.net.outcome import Reason
 
 SERVERS = ("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
@@ -19,10 +25,11 @@
 
 
 class Requests(RuleBasedStateMachine):
-    """Requests that come, wait, end and give up while servers leave, fail and shed.
+    """Requests arrive, wait, end and stop waiting while servers leave, drain, fail and shed load.
 
-    The oracle counts what runs at each server: never more than its slots, never new work at a
-    server that is leaving or draining, and no slot lost.
+    The test keeps its own list of the requests that run at each server. It guards against more
+    requests than slots, new requests at a server that is leaving or draining, and slots that are
+    not freed, also when a slot is released twice.
     """
 
     make = staticmethod(admission)
@@ -36,7 +43,7 @@
         self.left_until: dict[str, float] = {}
         self.drained: frozenset[str] = frozenset()
 
-    def begins(self, slot: Slot) -> None:
+    def record_start(self, slot: Slot) -> None:
         server = slot.server
         assert self.left_until.get(server.address, 0.0) <= self.now
         assert server.address not in self.drained
@@ -46,7 +53,7 @@
     def arrive(self) -> None:
         got = self.admission.acquire(self.now)
         if isinstance(got, Slot):
-            self.begins(got)
+            self.record_start(got)
 
     @rule()
     def arrive_and_wait(self) -> None:
@@ -56,7 +63,7 @@
             if request["gone"]:
                 return False
             request["gone"] = True
-            self.begins(slot)
+            self.record_start(slot)
             return True
 
         if self.admission.wait(take):
@@ -68,12 +75,12 @@
         self.waiting.pop(index % len(self.waiting))["gone"] = True
 
     @precondition(lambda self: self.running)
-    @rule(index=st.integers(0, 9), fate=st.sampled_from(["answered", "shed", "failed"]))
-    def end(self, index: int, fate: str) -> None:
+    @rule(index=st.integers(0, 9), result=st.sampled_from(["answered", "shed", "failed"]))
+    def end(self, index: int, result: str) -> None:
         slot = self.running.pop(index % len(self.running))
-        if fate == "shed":
+        if result == "shed":
             slot.server.mark_shed(self.now)
-        elif fate == "failed":
+        elif result == "failed":
             slot.server.mark_failed(self.now)
         else:
             slot.server.record_latency(10.0)
@@ -107,15 +114,15 @@
 TestRequests = Requests.TestCase
 
 
-class DeafAdmission(Admission):
-    """A wrong version: gives slots of servers that are leaving or draining."""
+class AdmissionIgnoringMarks(Admission):
+    """A wrong version that gives out slots of servers that are leaving or draining."""
 
-    def _open(self, now: float) -> list:
+    def _open_servers(self, now: float) -> list:
         return list(self.servers.values())
 
 
 class WrongVersionIsFound(unittest.TestCase):
-    def play(self, kind: type[Admission]) -> None:
+    def run_steps(self, kind: type[Admission]) -> None:
         def make(**options: int) -> Admission:
             made = kind(lambda server, now: SLOTS, random.Random(1), **options)
             made.set_servers("rates", SERVERS)
@@ -129,8 +136,8 @@
 
     def test_proof_fails_with_a_wrong_version(self) -> None:
         with self.assertRaises(AssertionError):
-            self.play(DeafAdmission)
-        self.play(Admission)
+            self.run_steps(AdmissionIgnoringMarks)
+        self.run_steps(Admission)
 
 
 class Cases(unittest.TestCase):
@@ -140,7 +147,7 @@
         self.assertEqual(sorted(chosen[:3]), sorted(SERVERS))
         self.assertEqual(made.acquire(0.0).reason, Reason.NO_ROOM)
 
-    def test_server_that_shed_rests(self) -> None:
+    def test_server_that_shed_is_paused(self) -> None:
         made = admission()
         made.servers[SERVERS[0]].mark_shed(0.0)
         self.assertEqual(made.capacity(0.1), 4)
@@ -155,7 +162,7 @@
         back = FAIL_PAUSE_S + 0.1
         self.assertIsInstance(made.acquire(back), Slot)
         self.assertEqual(made.acquire(back).reason, Reason.NO_ROOM)
-        self.assertIsInstance(made.acquire(back + COLD_S), Slot)
+        self.assertIsInstance(made.acquire(back + COLD_PERIOD_S), Slot)
 
     def test_full_queue_refuses(self) -> None:
         made = admission(max_waiting=1)
