--- a/sprucewinch/hall/requests/callers.py
+++ b/sprucewinch/hall/requests/callers.py
@@ -25,7 +25,7 @@
 from .backend import BrokenAnswerError
 from .dispatch import Dispatcher
 from .return_time import RETRY_AFTER_MS
-from .tickets import MAX_BATCH
+from .tickets import MAX_TICKETS_PER_BATCH
 
 _LOOKUP = "/v1/lookup"
 _TICKETS = "/v1/tickets"
@@ -105,7 +105,7 @@
             return not_run(Reason.NO_SUCH_SERVICE)
         if self.node.own.state != SERVING:
             return not_run(Reason.LEAVING, RETRY_AFTER_MS)
-        if not (count.isascii() and count.isdigit() and 1 <= int(count) <= MAX_BATCH):
+        if not (count.isascii() and count.isdigit() and 1 <= int(count) <= MAX_TICKETS_PER_BATCH):
             return not_run(Reason.MALFORMED)
         return None
 
--- a/sprucewinch/hall/requests/tickets.py
+++ b/sprucewinch/hall/requests/tickets.py
@@ -1,17 +1,20 @@
-"""The rule on tickets: whether an operation that must not run twice runs now under its ticket.
-
-Inputs: the ticket, the service and the fingerprint of the request, and the monotonic time in
-seconds.
-The rule: a ticket names one entry VM and one incarnation of it, its home. Only the home may run the
-operation, once, within the ticket's lifetime. It keeps the outcome for the retention after that and
-answers each repeat with it; a ticket that was refused never runs later.
-Why: no failure lets a second process run the operation. A write to the
-platform for each operation and an owner by hash with a lease were weighed (docs/DESIGN.md, "At most
-once"). The drawback: when the home is gone, its operations are *unknown*.
-Constants: `LIFETIME_S`, `RETENTION_S`, `MAX_OPEN`, `KEPT_ANSWER_BYTES` and `MAX_BATCH` below, all
-guesses.
-Where it shows: refusals counted by their `ticket-...` and `already-...` reasons.
-Tests: `tests.test_tickets`, `tests.test_callers.NotRunIsTrue`, `tests.test_process_requests`.
+"""Tickets for operations that must not run twice: decides whether an operation runs now.
+
+The decision needs the ticket, the service and the fingerprint of the request, and the monotonic
+time in seconds. A ticket names its home: the entry VM, and the incarnation of it, that issued the
+ticket. Only the home may run the operation, once, within the ticket's lifetime. It keeps the
+outcome for the retention time after the lifetime and answers each repeat with it. The operation of
+a refused ticket never runs later.
+
+This way no failure lets a second process run the operation. The alternatives considered were a
+write to the platform for each operation, and an owner chosen by hash and holding a lease
+(docs/DESIGN.md, "At most once"). The drawback is that the outcome of an operation is *unknown* when
+its home is gone.
+
+The constants are `TICKET_LIFETIME_S`, `OUTCOME_RETENTION_S`, `MAX_TICKETS`,
+`MAX_KEPT_ANSWER_BYTES` and `MAX_TICKETS_PER_BATCH`. Refusals are counted by their `ticket-...` and
+`already-...` reasons. Tested by `tests.test_tickets`, `tests.test_callers.NotRunIsTrue` and
+`tests.test_process_requests`.
 """
 
 import hashlib
@@ -24,39 +27,39 @@
 _SEPARATOR = ":"
 
 _MAC_BYTES = 10
-"""Length of a ticket's keyed digest, in bytes: a guessed digest is right once in 2**80 times."""
+"""Length of a ticket's keyed digest, in bytes: a guess succeeds with a probability of 2**-80."""
 
-MAX_BATCH = 64
-"""Most tickets issued in one answer."""
+MAX_TICKETS_PER_BATCH = 64
+"""Maximum number of tickets issued in one answer."""
 
-LIFETIME_S = 300.0
-"""Time within which a ticket may be used, in seconds."""
+TICKET_LIFETIME_S = 300.0
+"""Time after its issue within which a ticket may be used, in seconds."""
 
-RETENTION_S = 600.0
-"""Time after the lifetime for which a ticket's outcome is kept, in seconds."""
+OUTCOME_RETENTION_S = 600.0
+"""Time after its lifetime for which the outcome of a ticket is kept, in seconds."""
 
-MAX_OPEN = 50_000
-"""Most tickets kept at once."""
+MAX_TICKETS = 50_000
+"""Maximum number of tickets in the table, used or not."""
 
-KEPT_ANSWER_BYTES = 4 << 20
-"""Most bytes of answers kept for repeats."""
+MAX_KEPT_ANSWER_BYTES = 4 << 20
+"""Maximum total size of the bodies of answers kept for repeats, in bytes."""
 
 _RUNNING_RETRY_AFTER_MS = 1000
-"""Retry-After of an operation that still runs, in milliseconds."""
+"""Retry-After for the repeat of an operation that is still running, in milliseconds."""
 
-_SHORTEST_TABLE_WAIT_S = 1.0
-"""Shortest Retry-After of a full table, in seconds."""
+_MIN_TABLE_FULL_RETRY_AFTER_S = 1.0
+"""Lower bound of the Retry-After given while the table is full, in seconds."""
 
 
 class Ticket(NamedTuple):
     """The parts of a ticket.
 
     Args:
-        vm: Home entry VM.
+        vm: Name of the home, an entry VM.
         incarnation: Incarnation of the home.
-        number: Grows with every ticket of that incarnation.
-        service: Service it was issued for.
-        mac: Proof that the home issued it.
+        number: Number of the ticket; the home numbers its tickets consecutively from 0.
+        service: Name of the service that it was issued for.
+        mac: Message authentication code in hexadecimal: proves that the home issued the ticket.
     """
 
     vm: str
@@ -71,7 +74,7 @@
 
 
 def parse_ticket(text: str) -> Optional[Ticket]:
-    """Parse a ticket's text; None when it is no ticket."""
+    """Parse the text of a ticket; returns None when it is malformed."""
     parts = text.split(_SEPARATOR)
     if len(parts) != len(Ticket._fields):
         return None
@@ -79,7 +82,7 @@
     try:
         return Ticket(vm, int(incarnation, 16), int(number, 16), service, mac)
     except ValueError:
-        # None is the result for any text that is no ticket; callers refuse it as `ticket-invalid`.
+        # The request is then refused as `ticket-invalid`.
         return None
 
 
@@ -94,9 +97,11 @@
 class Claim:
     """The right to run one operation, held by one request.
 
+    `outcome` is None while the operation runs; `answer` is the complete answer while it is kept.
+
     Args:
-        number: The ticket's number.
-        fingerprint: Text that differs for a different operation.
+        number: Number of the ticket.
+        fingerprint: Text that tells apart different operations.
     """
 
     __slots__ = ("answer", "fingerprint", "number", "outcome")
@@ -112,8 +117,8 @@
     """Tickets issued in one answer.
 
     Args:
-        expires_at: Monotonic time at which their lifetime ends, in seconds.
-        end: Number after that of its last ticket.
+        expires_at: Monotonic time at which the lifetime of the tickets ends, in seconds.
+        end: Number that follows that of the last ticket.
     """
 
     expires_at: float
@@ -121,27 +126,27 @@
 
 
 class _AnswerCache:
-    """The answers kept for repeats; beyond its limit the oldest are dropped.
+    """The answers kept for repeats; the oldest are evicted when the limit is exceeded.
 
     Args:
-        limit_bytes: Most bytes of bodies.
+        max_bytes: Maximum total size of the bodies, in bytes.
     """
 
-    def __init__(self, limit_bytes: int) -> None:
-        self.limit_bytes = limit_bytes
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self.kept_bytes = 0
         self.claims: OrderedDict[int, Claim] = OrderedDict()
 
     def keep(self, claim: Claim, answer: Answer) -> None:
-        """Keep the answer of a claim that has none yet."""
+        """Store the answer of a claim that has none yet."""
         claim.answer = answer
         self.claims[claim.number] = claim
         self.kept_bytes += len(answer.body)
-        while self.kept_bytes > self.limit_bytes:
+        while self.kept_bytes > self.max_bytes:
             self.drop(next(iter(self.claims)))
 
     def drop(self, number: int) -> None:
-        """Drop the answer of a ticket's number, if one is kept."""
+        """Drop the answer kept for a ticket, if any."""
         claim = self.claims.pop(number, None)
         if claim is not None and claim.answer is not None:
             self.kept_bytes -= len(claim.answer.body)
@@ -154,11 +159,11 @@
     Args:
         vm: Name of this entry VM.
         incarnation: Incarnation of this process.
-        key: Secret of this process; never leaves it.
-        lifetime_s: Time within which a ticket may be used, in seconds.
-        retention_s: Time after that for which its outcome is kept, in seconds.
-        max_open: Most tickets kept at once.
-        answer_bytes: Most bytes of answers kept.
+        key: Secret key of this process, which never leaves it.
+        lifetime_s: Time after its issue within which a ticket may be used, in seconds.
+        retention_s: Time after the lifetime for which the outcome is kept, in seconds.
+        max_tickets: Maximum number of tickets in the table.
+        max_answer_bytes: Maximum total size of the bodies of kept answers, in bytes.
     """
 
     def __init__(
@@ -167,90 +172,92 @@
         incarnation: int,
         key: bytes,
         *,
-        lifetime_s: float = LIFETIME_S,
-        retention_s: float = RETENTION_S,
-        max_open: int = MAX_OPEN,
-        answer_bytes: int = KEPT_ANSWER_BYTES,
+        lifetime_s: float = TICKET_LIFETIME_S,
+        retention_s: float = OUTCOME_RETENTION_S,
+        max_tickets: int = MAX_TICKETS,
+        max_answer_bytes: int = MAX_KEPT_ANSWER_BYTES,
     ) -> None:
         self.vm = vm
         self.incarnation = incarnation
         self.lifetime_s = lifetime_s
         self.retention_s = retention_s
-        self.max_open = max_open
+        self.max_tickets = max_tickets
         self.claims: dict[int, Claim] = {}
         self._key = key
         self._batches: deque[_Batch] = deque()
-        self._issued = 0
-        self._forgotten = 0
-        self._answers = _AnswerCache(answer_bytes)
+        self._next_number = 0
+        self._first_kept = 0
+        self._answers = _AnswerCache(max_answer_bytes)
 
     def issue(self, service: str, count: int, now: float) -> Union[list[str], Refusal]:
         """Issue tickets.
 
         Args:
-            service: Service they are for.
-            count: How many, from 1 to `MAX_BATCH`.
+            service: Name of the service that the tickets are for.
+            count: Number of tickets, from 1 to `MAX_TICKETS_PER_BATCH`.
             now: Monotonic time, in seconds.
 
         Returns:
-            The tickets' texts, or a refusal when the table is full.
+            The texts of the tickets; or a refusal, with a Retry-After, when the table is full.
         """
-        self._forget(now)
-        if self._issued - self._forgotten + count > self.max_open:
+        self._drop_past_retention(now)
+        if self._next_number - self._first_kept + count > self.max_tickets:
             wait = self._batches[0].expires_at + self.retention_s - now
-            return not_run(Reason.TICKET_TABLE_FULL, int(max(wait, _SHORTEST_TABLE_WAIT_S) * 1000))
-        start = self._issued
-        self._issued += count
-        self._batches.append(_Batch(now + self.lifetime_s, self._issued))
-        return [str(self._ticket(number, service)) for number in range(start, self._issued)]
+            return not_run(
+                Reason.TICKET_TABLE_FULL, int(max(wait, _MIN_TABLE_FULL_RETRY_AFTER_S) * 1000)
+            )
+        start = self._next_number
+        self._next_number += count
+        self._batches.append(_Batch(now + self.lifetime_s, self._next_number))
+        return [str(self._ticket(number, service)) for number in range(start, self._next_number)]
 
     def is_home(self, ticket: Ticket) -> bool:
-        """Return whether this process is a ticket's home."""
+        """Return whether this process is the home of a ticket."""
         return ticket.vm == self.vm and ticket.incarnation == self.incarnation
 
     def claim(
         self, ticket: Ticket, service: str, fingerprint: str, now: float
     ) -> Union[Claim, Answer, Refusal]:
-        """Claim the right to run an operation.
+        """Claim the right to run the operation of a ticket.
 
         Args:
             ticket: A ticket whose home is this process.
-            service: Service of the request.
-            fingerprint: Text that differs for a different operation.
+            service: Name of the service that is requested.
+            fingerprint: Text that tells apart different operations.
             now: Monotonic time, in seconds.
 
         Returns:
-            A claim, which must be settled; the answer of the earlier run; or a refusal.
+            A claim, which the caller must settle; the answer of the earlier run; or a refusal.
         """
-        if not self._genuine(ticket):
+        if not self._is_authentic(ticket):
             return not_run(Reason.TICKET_INVALID)
         if ticket.service != service:
             return unknown(Reason.TICKET_REUSED)
-        self._forget(now)
-        if ticket.number < self._forgotten:
+        self._drop_past_retention(now)
+        if ticket.number < self._first_kept:
             return unknown(Reason.TICKET_EXPIRED)
         claim = self.claims.get(ticket.number)
         if claim is not None:
-            return self._repeated(claim, fingerprint)
-        if self._expired(ticket.number, now):
+            return self._answer_repeat(claim, fingerprint)
+        if self._is_expired(ticket.number, now):
             return not_run(Reason.TICKET_EXPIRED)
         claim = self.claims[ticket.number] = Claim(ticket.number, fingerprint)
         return claim
 
     def close(self, ticket: Ticket, now: float) -> bool:
-        """Refuse a ticket for good, if its operation has not run.
+        """Invalidate a ticket if its operation has not run, so that it never runs.
 
         Args:
             ticket: A ticket whose home is this process.
             now: Monotonic time, in seconds.
 
         Returns:
-            True when its operation certainly has not run and never runs later.
+            True when the operation certainly has not run and never will.
         """
-        if not self._genuine(ticket):
+        if not self._is_authentic(ticket):
             return True
-        self._forget(now)
-        if ticket.number < self._forgotten:
+        self._drop_past_retention(now)
+        if ticket.number < self._first_kept:
             return False
         claim = self.claims.get(ticket.number)
         if claim is None:
@@ -259,12 +266,13 @@
         return claim.outcome is Outcome.NOT_RUN
 
     def settle(self, claim: Claim, outcome: Outcome, answer: Optional[Answer] = None) -> None:
-        """Record the outcome of a claim; the first record stands.
+        """Record the outcome of a claim, unless one is recorded already.
 
         Args:
             claim: The claim.
-            outcome: Its outcome; `NOT_RUN` only when that is certain. The ticket stays used.
-            answer: The complete answer, when it is small enough to keep.
+            outcome: Outcome of the operation; `NOT_RUN` only when that is certain. The ticket
+                remains used in any case.
+            answer: The complete answer, if it is small enough to be kept.
         """
         if claim.outcome is not None:
             return
@@ -279,12 +287,12 @@
         text = f"{number:x}{_SEPARATOR}{service}".encode()
         return hashlib.blake2s(text, key=self._key, digest_size=_MAC_BYTES).hexdigest()
 
-    def _genuine(self, ticket: Ticket) -> bool:
-        known = self.is_home(ticket) and 0 <= ticket.number < self._issued
+    def _is_authentic(self, ticket: Ticket) -> bool:
+        known = self.is_home(ticket) and 0 <= ticket.number < self._next_number
         mac = self._mac(ticket.number, ticket.service)
         return known and hmac.compare_digest(mac.encode(), ticket.mac.encode())
 
-    def _repeated(self, claim: Claim, fingerprint: str) -> Union[Answer, Refusal]:
+    def _answer_repeat(self, claim: Claim, fingerprint: str) -> Union[Answer, Refusal]:
         if claim.outcome is Outcome.NOT_RUN:
             return not_run(Reason.ALREADY_REFUSED)
         if claim.fingerprint != fingerprint:
@@ -293,18 +301,18 @@
             return unknown(Reason.ALREADY_RUNNING, _RUNNING_RETRY_AFTER_MS)
         return claim.answer or unknown(Reason.ALREADY_RAN)
 
-    def _expired(self, number: int, now: float) -> bool:
+    def _is_expired(self, number: int, now: float) -> bool:
         return any(batch.end > number and batch.expires_at <= now for batch in self._batches)
 
-    def _forget(self, now: float) -> None:
-        """Drop tickets whose retention has ended; a running operation is never dropped."""
+    def _drop_past_retention(self, now: float) -> None:
+        """Drop tickets past their retention time, up to the first whose operation still runs."""
         while self._batches and self._batches[0].expires_at + self.retention_s <= now:
             end = self._batches[0].end
-            while self._forgotten < end:
-                claim = self.claims.get(self._forgotten)
+            while self._first_kept < end:
+                claim = self.claims.get(self._first_kept)
                 if claim is not None and claim.outcome is None:
                     return
-                self.claims.pop(self._forgotten, None)
-                self._answers.drop(self._forgotten)
-                self._forgotten += 1
+                self.claims.pop(self._first_kept, None)
+                self._answers.drop(self._first_kept)
+                self._first_kept += 1
             self._batches.popleft()
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -17,10 +17,11 @@
 
 
 class OneRun(RuleBasedStateMachine):
-    """Two VMs, replaced at will; operations arrive at either, at any time, again and again.
+    """Two VMs restart at any time while operations arrive repeatedly at either of them.
 
-    The oracle is the backend server, which counts runs by operation, and remembers what callers
-    were told. A VM runs an operation after it has claimed it, possibly much later.
+    The test counts the runs of each operation, as the backend server would, and records which
+    operations were refused as not run. It guards against a second run of an operation, and
+    against the run of one that was refused so. A VM may run an operation long after claiming it.
     """
 
     book_class = TicketBook
@@ -38,7 +39,7 @@
 
     def make(self, vm: str) -> TicketBook:
         number = self.incarnations[vm] if self.remembers_incarnation else 1
-        return self.book_class(vm, number, KEY, lifetime_s=10, retention_s=20, answer_bytes=64)
+        return self.book_class(vm, number, KEY, lifetime_s=10, retention_s=20, max_answer_bytes=64)
 
     @rule(vm=st.sampled_from("ab"))
     def issue(self, vm: str) -> None:
@@ -49,13 +50,13 @@
     @precondition(lambda self: self.tickets)
     @rule(index=st.integers(0, 2))
     def arrive(self, index: int) -> None:
-        """Reach the home, straight or handed on by the other VM."""
+        """A request reaches the home, from its caller or forwarded by the other VM."""
         text = self.tickets[-1 - index % len(self.tickets)]
         ticket = parse_ticket(text)
         assert ticket is not None
         home = self.books[ticket.vm]
         if not home.is_home(ticket):
-            return  # answered unknown: the home is gone
+            return  # The home is gone, so the outcome is unknown.
         result = home.claim(ticket, "booking", "same", self.now)
         if isinstance(result, Claim):
             self.pending.append((home, result, text))
@@ -64,8 +65,8 @@
 
     @precondition(lambda self: self.tickets)
     @rule(index=st.integers(0, 2))
-    def refused_at_the_door(self, index: int) -> None:
-        """An overloaded home refuses before it looks at the request."""
+    def refused_before_claim(self, index: int) -> None:
+        """An overloaded home refuses a request before it claims the ticket."""
         text = self.tickets[-1 - index % len(self.tickets)]
         ticket = parse_ticket(text)
         assert ticket is not None
@@ -74,22 +75,22 @@
             self.told_not_run.add(text)
 
     @precondition(lambda self: self.pending)
-    @rule(index=st.integers(0, 2), fate=st.sampled_from(["runs", "lost", "refused"]))
-    def settle(self, index: int, fate: str) -> None:
+    @rule(index=st.integers(0, 2), result=st.sampled_from(["runs", "lost", "refused"]))
+    def settle(self, index: int, result: str) -> None:
         home, claim, text = self.pending.pop(index % len(self.pending))
-        if fate == "refused":
+        if result == "refused":
             home.settle(claim, Outcome.NOT_RUN)
             self.told_not_run.add(text)
             return
         self.runs[text] += 1
-        if fate == "lost":
+        if result == "lost":
             home.settle(claim, Outcome.UNKNOWN)
         else:
             home.settle(claim, Outcome.ANSWERED, Answer(200, (), text.encode()))
 
     @rule(vm=st.sampled_from("ab"))
     def replace(self, vm: str) -> None:
-        """The old process may still run what it had claimed: it was only frozen."""
+        """A VM is replaced; its old process was suspended and may still run what it has claimed."""
         self.incarnations[vm] += 1
         self.books[vm] = self.make(vm)
 
@@ -110,8 +111,8 @@
 TestOneRun = OneRun.TestCase
 
 
-class ForgetfulBook(TicketBook):
-    """A wrong version: forgets what it refused, so that a repeat may run."""
+class BookDroppingRefusals(TicketBook):
+    """A wrong version that drops the claims it refused, so that a repeat may run."""
 
     def settle(self, claim: Claim, outcome: Outcome, answer: Answer | None = None) -> None:
         if outcome is Outcome.NOT_RUN:
@@ -128,7 +129,7 @@
         return machine
 
     def test_without_memory_of_refusals(self) -> None:
-        machine = self.machine(book_class=ForgetfulBook)
+        machine = self.machine(book_class=BookDroppingRefusals)
         machine.settle(0, "refused")
         machine.arrive(0)
         machine.settle(0, "runs")
@@ -156,8 +157,8 @@
 
 
 class TicketBookCases(unittest.TestCase):
-    def claim(self, tickets: TicketBook, text: str, now: float = 0.0, what: str = "same"):
-        return tickets.claim(parse_ticket(text), "booking", what, now)
+    def claim(self, tickets: TicketBook, text: str, now: float = 0.0, fingerprint: str = "same"):
+        return tickets.claim(parse_ticket(text), "booking", fingerprint, now)
 
     def test_repeat_gets_the_same_answer(self) -> None:
         tickets = book()
@@ -176,7 +177,7 @@
         tickets = book()
         [text] = tickets.issue("booking", 1, 0.0)
         tickets.settle(self.claim(tickets, text), Outcome.ANSWERED, Answer(200, (), b"mine"))
-        refusal = self.claim(tickets, text, what="other")
+        refusal = self.claim(tickets, text, fingerprint="other")
         self.assertEqual(refusal, Refusal(Outcome.UNKNOWN, Reason.TICKET_REUSED))
 
     def test_forged_and_misdirected_tickets(self) -> None:
@@ -197,7 +198,7 @@
         self.assertEqual(later, Refusal(Outcome.UNKNOWN, Reason.TICKET_EXPIRED))
 
     def test_full_table_refuses_to_issue(self) -> None:
-        tickets = book(max_open=3)
+        tickets = book(max_tickets=3)
         self.assertEqual(len(tickets.issue("booking", 3, 0.0)), 3)
         refusal = tickets.issue("booking", 1, 1.0)
         self.assertEqual(refusal.reason, Reason.TICKET_TABLE_FULL)
@@ -205,7 +206,7 @@
         self.assertEqual(len(tickets.issue("booking", 1, 30.0)), 1)
 
     def test_kept_answers_are_bounded(self) -> None:
-        tickets = book(answer_bytes=10)
+        tickets = book(max_answer_bytes=10)
         texts = tickets.issue("booking", 3, 0.0)
         for text in texts:
             tickets.settle(self.claim(tickets, text), Outcome.ANSWERED, Answer(200, (), b"12345"))
