--- a/sprucewinch/hall/requests/retry_rule.py
+++ b/sprucewinch/hall/requests/retry_rule.py
@@ -1,16 +1,16 @@
-"""The rule on repeats: whether a request without an answer is sent once more.
-
-Inputs: the last attempt, whether the body can be sent again from its start, whether the service
-is repeatable, and the service's retry budget.
-The rule: a request that certainly did not run is sent again when its refusal concerns one backend
-server, one data hall or one VM only. A request that may have run is sent again only for a
-repeatable service, and only within the budget.
-Why: a repeat of a request that did not run cannot run it twice. A repeat of one that may have run
-adds load just when servers fail, so a part of the successes bounds these repeats.
-Constants: the ratio and the cap of `retry.TokenRetryBudget`; this module has none.
-Where it shows: no line is written for a request; a refusal that is not repeated is counted by its
-reason in `Metrics.refusals`.
-Tests: `tests.test_retry`, `tests.test_process_requests`.
+"""Retries: decides whether a request without an answer is sent again.
+
+The decision needs the last attempt, whether the body can be sent again from its start, whether the
+service is repeatable, and the retry budget of the service. A request that certainly did not run is
+retried when its refusal concerns only one backend server, data hall or VM. A request that may have
+run is retried only if the service is repeatable, and only within the budget.
+
+The retry of a request that did not run cannot run it twice. The retry of one that may have run adds
+load at a time when servers fail, so the budget limits such retries to a fraction of the successful
+requests. Its ratio and cap are constants of `retry.TokenRetryBudget`; this module has none.
+
+No log line is written for a request. A refusal that is not retried is counted by its reason in
+`Metrics.refusals`. Tested by `tests.test_retry` and `tests.test_process_requests`.
 """
 
 from ...net.outcome import Outcome, Reason
@@ -19,17 +19,17 @@
 from ..node import Node
 from .backend import Attempt
 
-_REPEATABLE_REASONS = (
+_RETRYABLE_REASONS = (
     Reason.NO_ROOM,
     Reason.NO_BACKEND_SERVER,
     Reason.BACKEND_FAILED,
     Reason.LEAVING,
 )
-"""Reasons for which another backend server or data hall may still run the request."""
+"""Reasons of refusals after which another backend server or data hall may still run a request."""
 
 
 class RetryRule:
-    """Allows repeats: always when it is certain that nothing ran, else within a budget.
+    """Allows retries: within a budget for requests that may have run, else by the refusal's reason.
 
     Args:
         node: This VM's state.
@@ -40,16 +40,16 @@
         self.budgets: dict[str, TokenRetryBudget] = {}
 
     def allowed(self, attempt: Attempt, request: Request) -> bool:
-        """Return whether a request may be sent again after an attempt; may take from the budget."""
+        """Return whether a request may be retried after an attempt; may take from the budget."""
         refusal = attempt.refusal
         if refusal is None or not request.body.replayable:
             return False
         if refusal.outcome is Outcome.UNKNOWN:
             return self._repeatable(request) and self._budget(request.service).take()
-        return refusal.reason in _REPEATABLE_REASONS
+        return refusal.reason in _RETRYABLE_REASONS
 
     def succeeded(self, service: str) -> None:
-        """Record a request of a service that was answered; it adds to the service's budget."""
+        """Record that a request of a service was answered, which adds to the service's budget."""
         self._budget(service).succeeded()
 
     def _repeatable(self, request: Request) -> bool:
