--- a/sprucewinch/hall/requests/dispatch.py
+++ b/sprucewinch/hall/requests/dispatch.py
@@ -75,5 +75,5 @@
         if attempt.refusal is None:
             self.retries.succeeded(request.service)
             return attempt
-        refusal = self.return_times.stamp(request, attempt.refusal)
+        refusal = self.return_times.with_retry_after(request, attempt.refusal)
         return attempt._replace(refusal=refusal)
--- a/sprucewinch/hall/requests/return_time.py
+++ b/sprucewinch/hall/requests/return_time.py
@@ -1,13 +1,16 @@
-"""The rule on Retry-After: when a refused caller may return.
-
-Inputs: the refusal, the slots this VM may use now, and the recent mean time of a request in
-milliseconds. The rule: slots divided by that time is the rate at which slots become free. Each
-refused caller gets the next free moment at that rate, in the order of the refusals. A refusal that
-already has a time keeps it, and one whose request may have run gets none. Why: one time for all
-refused callers brings them back together; the rate spreads them as fast as the servers can run
-them. Constants: `_UNMEASURED_REQUEST_S` below; the shortest and the longest time are those of
-`retry.ReturnSchedule`. Where it shows: `retry_after_ms` of the refusal's body and the `Retry-After`
-header. Tests: `tests.test_retry`, `tests.test_formats_own`.
+"""Retry-After: decides after which time a refused caller should send its request again.
+
+The decision needs the refusal, the number of slots that this VM may use now, and the recent mean
+time of a request in milliseconds. The slots divided by that time are the rate at which slots become
+free. Refused callers are scheduled at that rate, in the order of their refusals. A refusal that
+already has a Retry-After keeps it, and one whose request may have run gets none.
+
+If all refused callers got the same time, they would return together. The rate lets them return as
+fast as the servers can run their requests, and no faster. The only constant of the decision here is
+`_DEFAULT_REQUEST_S`; the lower and the upper bound of the time are those of `retry.ReturnSchedule`.
+
+The time appears as `retry_after_ms` in the body of the refusal and in the `Retry-After` header.
+Tested by `tests.test_retry` and `tests.test_formats_own`.
 """
 
 from ...clock import Clock
@@ -17,15 +20,15 @@
 from ..node import Node
 
 RETRY_AFTER_MS = 1000
-"""Retry-After where no rate is known, in milliseconds: no configuration, a VM that leaves or is
-full, a full link."""
+"""Retry-After in milliseconds where no rate of freed slots applies: for a VM without configuration,
+for one that is leaving or overloaded, and for a full link."""
 
-_UNMEASURED_REQUEST_S = 0.02
-"""Time of a request while none has been measured, in seconds."""
+_DEFAULT_REQUEST_S = 0.02
+"""Time that a request is assumed to take until one has been measured, in seconds."""
 
 
 class ReturnTimes:
-    """Spreads refused callers over the rate at which slots become free.
+    """Schedules the retries of refused callers at the rate at which slots become free.
 
     Args:
         node: This VM's state.
@@ -37,8 +40,8 @@
         self.clock = clock
         self.schedules: dict[str, ReturnSchedule] = {}
 
-    def stamp(self, request: Request, refusal: Refusal) -> Refusal:
-        """Return a refusal with the time after which to return, where returning can help."""
+    def with_retry_after(self, request: Request, refusal: Refusal) -> Refusal:
+        """Return a refusal with a Retry-After, unless it has one or its request may have run."""
         if refusal.outcome is Outcome.UNKNOWN or refusal.retry_after_ms:
             return refusal
         now = self.clock.monotonic()
@@ -50,4 +53,4 @@
         admission = self.node.hall.find(service)
         capacity = admission.capacity(now) if admission else 0
         latency_ms = admission.latency_ms() if admission else None
-        return capacity / ((latency_ms or _UNMEASURED_REQUEST_S * 1000) / 1000)
+        return capacity / ((latency_ms or _DEFAULT_REQUEST_S * 1000) / 1000)
