--- a/sprucewinch/hall/requests/backend.py
+++ b/sprucewinch/hall/requests/backend.py
@@ -1,8 +1,8 @@
-"""Requests to backend servers over HTTP, each sent once.
+"""The HTTP client for backend servers, which sends each request once.
 
-Owns the client session and its connections, and decides from what the server or the library
-reports whether a request certainly did not run. Relies on aiohttp, and on `net.http_client`, which
-switches off the library's own resends. Repeats are the rule of `retry_rule`.
+Owns the client session and its connections. Decides from the server's answer or the library's error
+whether a request certainly did not run. Relies on aiohttp, and on `net.http_client`, which switches
+off the retries of that library. `retry_rule` decides on retries.
 """
 
 import asyncio
@@ -25,37 +25,37 @@
     end_to_end,
 )
 
-_CHUNK_BYTES = 65_536
-"""Most bytes of an answer passed on at once."""
+_MAX_CHUNK_BYTES = 65_536
+"""Maximum size of a piece of an answer that is passed on at once, in bytes."""
 
-_KEEPALIVE_S = 10.0
+_KEEPALIVE_TIMEOUT_S = 10.0
 """Time after which an idle connection is closed, in seconds."""
 
-_CONNECT_S = 1.0
-"""Longest time for opening a connection, in seconds."""
+_CONNECT_TIMEOUT_S = 1.0
+"""Time limit for opening a connection, in seconds."""
 
-_PROBE_S = 1.0
-"""Longest time for a probe, in seconds."""
+_PROBE_TIMEOUT_S = 1.0
+"""Time limit for a probe, in seconds."""
 
-_MAX_CONNECTIONS = 100
-"""Most connections to one backend server."""
+_MAX_CONNECTIONS_PER_SERVER = 100
+"""Maximum number of connections to one backend server."""
 
 _READ_BUFFER_BYTES = 2**14
-"""Bytes of an answer above which reading pauses. With it a 500 MB answer grew the daemon by under
-0.2 MB."""
+"""Number of buffered bytes of an answer above which reading from the server pauses. It keeps the
+daemon's memory small: an answer of 500 MB added less than 0.2 MB."""
 
-_NO_CONTENT = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
-"""Statuses of answers that have no body, by HTTP."""
+_STATUSES_WITHOUT_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
+"""Statuses whose answers never have a body (RFC 9110)."""
 
 
 class Attempt(NamedTuple):
-    """The result of one try at a backend server.
+    """The result of sending a request once, to a backend server or another entry VM.
 
     Args:
-        refusal: Why there is no answer; None when the answer is complete.
-        sent: True when a byte of the request may have reached the server.
+        refusal: Why there is no answer; None when a complete answer was passed on.
+        sent: True when a byte of the request may have reached the receiver.
         leaving: True when the server reports that it is leaving.
-        shed: True when the server reports that it has no room.
+        shed: True when the server refused the request for want of room.
     """
 
     refusal: Optional[Refusal] = None
@@ -65,15 +65,19 @@
 
 
 class BrokenAnswerError(Exception):
-    """An answer broke off after its start was passed on; the caller's connection must be cut."""
+    """An answer broke off after its start was passed on.
+
+    The caller's connection must then be closed, so that the caller doesn't take the answer for a
+    complete one.
+    """
 
 
 class Probe(NamedTuple):
-    """A backend server's answer to a probe; it may lag or be wrong.
+    """The answer of a backend server to a probe, which may be outdated or wrong.
 
     Args:
-        leaving: True when the server takes no new requests.
-        in_use: Requests that run on it.
+        leaving: True when the server accepts no new requests.
+        in_use: Number of requests that the server runs.
     """
 
     leaving: bool
@@ -83,21 +87,21 @@
 class BackendClient:
     """Sends requests to backend servers and passes their answers on.
 
-    A connection on which anything went wrong is closed and never used again.
+    A connection on which an error occurred is closed and never reused.
 
     Args:
-        connections: Most connections to one backend server.
+        connections: Maximum number of connections to one backend server.
     """
 
-    def __init__(self, *, connections: int = _MAX_CONNECTIONS) -> None:
+    def __init__(self, *, connections: int = _MAX_CONNECTIONS_PER_SERVER) -> None:
         connector = aiohttp.TCPConnector(
-            limit=0, limit_per_host=connections, keepalive_timeout=_KEEPALIVE_S
+            limit=0, limit_per_host=connections, keepalive_timeout=_KEEPALIVE_TIMEOUT_S
         )
         self.session = make_session(
             connector=connector,
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=_CONNECT_S),
+            timeout=aiohttp.ClientTimeout(total=None, sock_connect=_CONNECT_TIMEOUT_S),
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
             read_bufsize=_READ_BUFFER_BYTES,
         )
@@ -107,37 +111,37 @@
         await self.session.close()
 
     async def run(self, request: Request, server: str, responder: Responder, now: float) -> Attempt:
-        """Try a request at a backend server.
+        """Send a request to a backend server and pass its answer on.
 
         Args:
             request: The request.
             server: `IP:PORT`.
-            responder: Where a complete or beginning answer goes.
+            responder: Receives the answer.
             now: Monotonic time, in seconds.
 
         Returns:
-            The result. Nothing was passed on unless `refusal` is None.
+            The result. No part of an answer was passed on unless `refusal` is None.
 
         Raises:
             BrokenAnswerError: When the answer broke off after its start was passed on.
         """
-        left = request.deadline - now
-        if left <= 0:
+        remaining_s = request.deadline - now
+        if remaining_s <= 0:
             return Attempt(not_run(Reason.DEADLINE_PASSED))
         try:
-            async with asyncio.timeout(left) as limit:
-                return await self._exchange(request, server, responder, limit, left)
+            async with asyncio.timeout(remaining_s) as timeout:
+                return await self._exchange(request, server, responder, timeout, remaining_s)
         except TimeoutError:
-            return self._failed(responder, Reason.BACKEND_TIMEOUT)
+            return self._failed_attempt(responder, Reason.BACKEND_TIMEOUT)
         except aiohttp.ClientConnectorError:
             return Attempt(not_run(Reason.BACKEND_FAILED))
         except aiohttp.ConnectionTimeoutError:
             return Attempt(not_run(Reason.BACKEND_FAILED))
         except (aiohttp.ClientError, OSError, ValueError):
-            return self._failed(responder, Reason.BACKEND_FAILED)
+            return self._failed_attempt(responder, Reason.BACKEND_FAILED)
 
-    def _failed(self, responder: Responder, reason: Reason) -> Attempt:
-        """Return the result of a try that ended after a byte may have been sent.
+    def _failed_attempt(self, responder: Responder, reason: Reason) -> Attempt:
+        """Return the result of an attempt that failed after a byte may have been sent.
 
         Raises:
             BrokenAnswerError: When the answer broke off after its start was passed on.
@@ -151,43 +155,43 @@
         request: Request,
         server: str,
         responder: Responder,
-        limit: asyncio.Timeout,
-        left: float,
+        timeout: asyncio.Timeout,
+        remaining_s: float,
     ) -> Attempt:
         async with self.session.request(
             request.method,
             f"http://{server}{request.target}",
-            headers=_headers(request, left),
+            headers=_headers(request, remaining_s),
             data=_data(request),
             allow_redirects=False,
         ) as response:
-            refused = _own_refusal(response)
+            refused = _server_refusal(response)
             if refused is not None:
                 await response.read()
                 return refused
-            if not _answers(response, request):
+            if not _is_valid_answer(response, request):
                 response.close()
                 return Attempt(unknown(Reason.BACKEND_FAILED), sent=True)
-            limit.reschedule(None)
+            timeout.reschedule(None)
             await _pass_on(response, responder)
             return Attempt(sent=True, leaving=LEAVING_HEADER in response.headers)
 
     async def probe(self, server: str) -> Optional[Probe]:
-        """Ask a backend server for its state; None without a readable answer in time."""
-        timeout = aiohttp.ClientTimeout(total=_PROBE_S)
+        """Ask a backend server for its state; returns None without a readable answer in time."""
+        timeout = aiohttp.ClientTimeout(total=_PROBE_TIMEOUT_S)
         try:
             async with self.session.get(f"http://{server}/load", timeout=timeout) as response:
                 report: Any = await response.json()
             return Probe(bool(report["leaving"]), int(report["in_use"]))
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError, TypeError):
-            # A probe only finds servers that leave; one that fails shows in its requests.
+            # Probes only detect servers that are leaving; requests detect servers that fail.
             return None
 
 
-def _headers(request: Request, left: float) -> CIMultiDict[str]:
+def _headers(request: Request, remaining_s: float) -> CIMultiDict[str]:
     headers = CIMultiDict(end_to_end(request.headers))
     headers[REQUEST_ID_HEADER] = request.request_id
-    headers[DEADLINE_HEADER] = str(int(left * 1000))
+    headers[DEADLINE_HEADER] = str(int(remaining_s * 1000))
     return headers
 
 
@@ -198,8 +202,8 @@
     return body.first or None
 
 
-def _own_refusal(response: aiohttp.ClientResponse) -> Optional[Attempt]:
-    """Return the result when the server itself reports that it did not run the request."""
+def _server_refusal(response: aiohttp.ClientResponse) -> Optional[Attempt]:
+    """Return the result if the server reports that it did not run the request, else None."""
     cause = response.headers.get(NOT_RUN_HEADER)
     if cause is None:
         return None
@@ -208,15 +212,15 @@
     return Attempt(not_run(Reason.NO_ROOM), sent=True, shed=True)
 
 
-def _answers(response: aiohttp.ClientResponse, request: Request) -> bool:
-    """Return whether an answer belongs to this request and has a known end."""
+def _is_valid_answer(response: aiohttp.ClientResponse, request: Request) -> bool:
+    """Return whether an answer belongs to this request and its end can be recognized."""
     answered_id = response.headers.get(REQUEST_ID_HEADER, request.request_id)
-    return answered_id == request.request_id and _framed(response)
+    return answered_id == request.request_id and _is_framed(response)
 
 
-def _framed(response: aiohttp.ClientResponse) -> bool:
-    """Return whether the headers give the end of the body: a length, chunks, or no body."""
-    if response.method == "HEAD" or response.status in _NO_CONTENT:
+def _is_framed(response: aiohttp.ClientResponse) -> bool:
+    """Return whether the end of the body is defined: by a length or chunks, or without a body."""
+    if response.method == "HEAD" or response.status in _STATUSES_WITHOUT_BODY:
         return True
     chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     return chunked or "Content-Length" in response.headers
@@ -225,6 +229,6 @@
 async def _pass_on(response: aiohttp.ClientResponse, responder: Responder) -> None:
     headers: Headers = end_to_end(list(response.headers.items()))
     await responder.start(response.status, headers)
-    async for chunk in response.content.iter_chunked(_CHUNK_BYTES):
+    async for chunk in response.content.iter_chunked(_MAX_CHUNK_BYTES):
         await responder.write(chunk)
     await responder.finish()
