--- a/sprucewinch/hall/requests/_slot_wait.py
+++ b/sprucewinch/hall/requests/_slot_wait.py
@@ -1,14 +1,15 @@
-"""The rule on waiting: how long a request waits for a slot, also when its caller leaves.
-
-Inputs: the admission of the service and the longest wait in seconds (the service's `max_wait_ms`
-or the time to the request's deadline, if that is shorter).
-The rule: a request waits in the admission's queue, first come, first served, until a slot is given
-to it or its time is over. A full queue refuses at once. A request that is cancelled while it is
-given a slot releases that slot.
-Why: a bounded queue evens out short peaks; the bound and the time keep a wait from outlasting its
-use.
-Constants: none here; the length of the queue is `admission.MAX_WAITING_REQUESTS`.
-Where it shows: refusals counted as `no-room`. Tests: `tests.test_admission`.
+"""Waiting for a slot: decides how long a request waits, also when it is cancelled meanwhile.
+
+The decision needs the admission of the service and the wait limit in seconds, which is the
+service's `max_wait_ms` or, if shorter, the time until the request's deadline. A request waits in
+the first-in, first-out queue of the admission until it gets a slot or the limit is reached. It is
+refused at once when the queue is full. A request that is cancelled just as it gets a slot, as when
+its caller disconnects, releases that slot.
+
+A bounded queue absorbs short peaks of load. The two limits keep requests from waiting so long that
+their answers are of no use. The module has no constants; the length of the queue is
+`admission.MAX_WAITING_REQUESTS`. Refusals are counted as `no-room`. Tested by
+`tests.test_admission`.
 """
 
 import asyncio
@@ -21,39 +22,39 @@
 
 
 async def wait_for_slot(
-    admission: Admission, longest_s: float, clock: Clock
+    admission: Admission, wait_limit_s: float, clock: Clock
 ) -> Union[Slot, Refusal]:
-    """Wait in the queue of an admission.
+    """Wait in the queue of an admission for a slot.
 
     Args:
-        admission: The admission.
-        longest_s: Longest wait, in seconds.
+        admission: The admission of the service.
+        wait_limit_s: Maximum time to wait, in seconds.
         clock: Source of time.
 
     Returns:
-        A slot, or a refusal when none became free in time or the queue is full.
+        A slot; or a refusal when no slot became free in time or the queue is full.
     """
-    freed: asyncio.Future[Slot] = asyncio.get_running_loop().create_future()
-    take = functools.partial(_take, freed)
-    if longest_s <= 0 or not admission.wait(take):
+    slot_future: asyncio.Future[Slot] = asyncio.get_running_loop().create_future()
+    waiter = functools.partial(_accept_slot, slot_future)
+    if wait_limit_s <= 0 or not admission.wait(waiter):
         return not_run(Reason.NO_ROOM)
     try:
-        await asyncio.wait((freed,), timeout=longest_s)
+        await asyncio.wait((slot_future,), timeout=wait_limit_s)
     except asyncio.CancelledError:
-        if freed.done():
-            admission.release(freed.result(), clock.monotonic())
+        if slot_future.done():
+            admission.release(slot_future.result(), clock.monotonic())
         raise
     finally:
-        admission.stop_waiting(take)
-        freed.cancel()
-    if freed.cancelled():
+        admission.stop_waiting(waiter)
+        slot_future.cancel()
+    if slot_future.cancelled():
         return not_run(Reason.NO_ROOM)
-    return freed.result()
+    return slot_future.result()
 
 
-def _take(freed: "asyncio.Future[Slot]", slot: Slot) -> bool:
-    """Give a slot to a waiting request; returns False when the request waits no more."""
-    if freed.done():
+def _accept_slot(slot_future: "asyncio.Future[Slot]", slot: Slot) -> bool:
+    """Pass a slot to a waiting request; returns False when the request no longer waits."""
+    if slot_future.done():
         return False
-    freed.set_result(slot)
+    slot_future.set_result(slot)
     return True
--- a/sprucewinch/hall/requests/other_halls.py
+++ b/sprucewinch/hall/requests/other_halls.py
@@ -1,13 +1,17 @@
-"""The rule on other data halls: which of them gets a request that this hall cannot run.
-
-Inputs: the last attempt, the live members with the slots and the use that each reports, and the
-order of the regions by distance in milliseconds. The rule: entry VMs of other halls that report
-free slots for the service are tried, those of the nearest region first and by most free slots
-within it; ties are broken at random. At most `_MAX_HAND_ONS` are tried, each only if `retry_rule`
-allows a repeat. Why: distance costs every request, while reported free slots are up to some rounds
-old. A longer list would send refused load around all halls while all are full. Constants:
-`_MAX_HAND_ONS` below. Where it shows: nowhere by itself; no line or counter names the hall that ran
-a request. Tests: `tests.test_process_requests`, `tests.test_process_faults`.
+"""Other data halls: decides which of them gets a request that this hall cannot run.
+
+The decision needs the last attempt, the live members with the slots and the slots in use that each
+reports, and the order of the regions by distance in milliseconds. Candidates are the entry VMs of
+other halls that report free slots for the service. They are tried in the order of their region's
+distance, within a region those with most free slots first; ties are broken at random. At most
+`_MAX_FORWARDS` are tried, each only if `retry_rule` allows a retry.
+
+Distance comes before free slots because it delays every request, while the reports of free slots
+may be some exchange rounds old. With more candidates, refused requests would circulate among all
+halls while all are full. `_MAX_FORWARDS` is the only constant.
+
+No log line or counter names the hall that ran a request. Tested by `tests.test_process_requests`
+and `tests.test_process_faults`.
 """
 
 from collections.abc import Sequence
@@ -21,18 +25,18 @@
 from .handover import PeerLink
 from .retry_rule import RetryRule
 
-_MAX_HAND_ONS = 2
-"""Most entry VMs of other halls that one request is handed to."""
+_MAX_FORWARDS = 2
+"""Maximum number of entry VMs of other halls that one request is forwarded to."""
 
 
 class OtherHalls:
-    """Hands requests on, to the nearest region first and to most free slots within it.
+    """Forwards requests to other halls, the nearest region and the most free slots first.
 
     Args:
         node: This VM's state.
         peers: Sends requests to other entry VMs.
         clock: Source of time.
-        retries: Allows repeats.
+        retries: Decides on retries.
     """
 
     def __init__(self, node: Node, peers: PeerLink, clock: Clock, retries: RetryRule) -> None:
@@ -42,24 +46,27 @@
         self.retries = retries
 
     async def run(self, attempt: Attempt, request: Request, responder: Responder) -> Attempt:
-        """Hand a request on as long as that is allowed.
+        """Forward a request, to one entry VM after the other as long as a retry is allowed.
 
         Args:
-            attempt: The result in this hall.
+            attempt: The result of the last attempt in this hall.
             request: The request.
-            responder: Where the answer goes.
+            responder: Receives the answer.
 
         Returns:
-            The last attempt.
+            The result of the last attempt; the given one when the request was not forwarded.
+
+        Raises:
+            BrokenAnswerError: When an answer broke off after its start was passed on.
         """
-        for member in self._members(request):
+        for member in self._candidates(request):
             if not self.retries.allowed(attempt, request):
                 break
             attempt = await self.peers.hand_on(member, request, responder, home=False)
         return attempt
 
-    def _members(self, request: Request) -> Sequence[Member]:
-        """Return entry VMs of other halls to hand a request to, the best first."""
+    def _candidates(self, request: Request) -> Sequence[Member]:
+        """Return the entry VMs of other halls to forward a request to, the best first."""
         topology = self.node.topology
         if topology is None:
             return ()
@@ -74,7 +81,7 @@
                 key = (ranks[member.region], -free, self.node.rng.random())
                 ranked.append((key, member))
         ranked.sort(key=itemgetter(0))
-        return [member for _, member in ranked[:_MAX_HAND_ONS]]
+        return [member for _, member in ranked[:_MAX_FORWARDS]]
 
 
 def _free_slots(member: Member, service: str) -> float:
