--- a/sprucewinch/hall/requests/admissions.py
+++ b/sprucewinch/hall/requests/admissions.py
@@ -1,7 +1,7 @@
-"""The admissions of this data hall, one for each service, over this VM's part of the slots.
+"""The admissions of this data hall, one for each service.
 
-Owns the `Admission` of each service and brings its servers and drains in line with the
-configuration. Relies on `slots.SlotShare` for the slots of each server that this VM may use.
+Owns the `Admission` of each service and updates its servers and drains from the configuration.
+Relies on `slots.SlotShare` for the slots of each server that this VM may use.
 """
 
 import random
@@ -15,11 +15,11 @@
 
 
 class HallDispatch:
-    """The admissions of one entry VM.
+    """The admissions of one entry VM, by service.
 
     Args:
-        hall: This VM's data hall.
-        slots: This VM's part of the hall's slots.
+        hall: Name of this VM's data hall.
+        slots: This VM's share of the hall's slots.
         rng: Source of randomness.
     """
 
@@ -30,7 +30,7 @@
         self.admissions: dict[str, Admission] = {}
 
     def apply(self, topology: Topology) -> None:
-        """Set the servers of this hall, and which of them are draining, from a configuration."""
+        """Set the servers of this hall, and which of them are draining, from the configuration."""
         pools = {pool.service: pool for pool in topology.pools_of(self.hall)}
         drained = topology.drained_servers(self.hall)
         for service in list(self.admissions):
@@ -44,11 +44,11 @@
             admission.drained = drained
 
     def find(self, service: str) -> Optional[Admission]:
-        """Return the admission of a service; None when this hall does not run it."""
+        """Return the admission of a service; None when this hall never had servers for it."""
         return self.admissions.get(service)
 
     def mark_leaving(self, servers: Sequence[str], until: float) -> None:
-        """Mark backend servers that the platform lists as leaving; other VMs get the marks.
+        """Mark backend servers that the platform lists as leaving; other VMs are told of the marks.
 
         Args:
             servers: Their addresses; those that this hall does not have are ignored.
@@ -70,11 +70,14 @@
                 admission.heard_leaving(server, until)
 
     def leaving_servers(self, now: float) -> list[str]:
-        """Return the backend servers that reported to this VM that they are leaving."""
+        """Return the addresses of the leaving servers that other VMs are told of."""
         return [s for a in self.admissions.values() for s in a.leaving_servers(now)]
 
     def held(self, topology: Topology, now: float) -> dict[str, int]:
-        """Return how many requests of this VM run on draining servers and halls, by drain key."""
+        """Return how many requests of this VM run on draining or leaving servers, by drain key.
+
+        The key of the hall, if it is drained, has the sum of these.
+        """
         held: dict[str, int] = {}
         for admission in self.admissions.values():
             for server in admission.servers.values():
@@ -85,6 +88,6 @@
         return held
 
     def serve_waiting(self, now: float) -> None:
-        """Give slots that became usable to requests that wait for one."""
+        """Give slots that became usable to waiting requests."""
         for admission in self.admissions.values():
             admission.serve_waiting(now)
--- a/sprucewinch/hall/requests/handover.py
+++ b/sprucewinch/hall/requests/handover.py
@@ -1,8 +1,7 @@
-"""The interface through which a request goes to another entry VM.
+"""The interface for forwarding a request to another entry VM.
 
-`PeerLink` is what `other_halls` and `at_most_once` need; `peers.peer_client` implements it over
-gRPC, fakes implement it in tests. The module owns no state; the filters rely on it instead of the
-network client.
+`other_halls` and `at_most_once` rely on `PeerLink` instead of the network client.
+`peers.peer_client` implements it over gRPC, fakes implement it in tests. The module owns no state.
 """
 
 import abc
@@ -13,22 +12,23 @@
 
 
 class PeerLink(abc.ABC):
-    """Hands requests on to other entry VMs."""
+    """Forwards requests to other entry VMs."""
 
     @abc.abstractmethod
     async def hand_on(
         self, member: Member, request: Request, responder: Responder, *, home: bool
     ) -> Attempt:
-        """Hand a request on.
+        """Forward a request.
 
         Args:
-            member: The entry VM that gets it.
+            member: The entry VM that receives it.
             request: The request.
-            responder: Where the answer goes.
-            home: True when the receiver is the ticket's home and decides as an entry VM does.
+            responder: Receives the answer.
+            home: True when the receiver is the home of the request's ticket and treats the request
+                like one of its own callers; False when it may only use the slots of its hall.
 
         Returns:
-            The result; as for `BackendClient.run`.
+            The result, as of `BackendClient.run`.
 
         Raises:
             BrokenAnswerError: When the answer broke off after its start was passed on.
