--- a/sprucewinch/hall/requests/admission.py
+++ b/sprucewinch/hall/requests/admission.py
@@ -13,7 +13,8 @@
 
 The constants are `SHED_PAUSE_S`, `FAIL_PAUSE_S`, `COLD_PERIOD_S`, `MAX_WAITING_REQUESTS` and
 `_LATENCY_WEIGHT`. Refusals are counted as `no-room` or `no-backend-server`; the counter `shed`
-counts the requests that servers refused for want of room. Tested by `tests.test_admission`.
+counts requests that servers refused because they were at capacity. Tested by
+`tests.test_admission`.
 """
 
 import random
@@ -24,7 +25,7 @@
 from ...net.outcome import Reason, Refusal, not_run
 
 SHED_PAUSE_S = 0.25
-"""Pause of a backend server that refused a request for want of room, in seconds."""
+"""Pause of a backend server that refused a request because it was at capacity, in seconds."""
 
 FAIL_PAUSE_S = 1.0
 """Pause of a backend server that could not be reached, in seconds."""
@@ -78,11 +79,11 @@
         self.latency_ms: Optional[float] = None
 
     def is_open(self, now: float) -> bool:
-        """Return whether the server takes new requests: it is neither paused nor leaving."""
+        """Return whether the server accepts new requests: it is neither paused nor leaving."""
         return self.paused_until <= now and not self.is_leaving(now)
 
     def is_leaving(self, now: float) -> bool:
-        """Return whether the server is marked as leaving, whoever reported it."""
+        """Return whether a mark as leaving, of either kind, has not ended yet."""
         return max(self.leaving_until, self.heard_leaving_until) > now
 
     def slot_limit(self, usable: int, now: float) -> int:
@@ -98,7 +99,7 @@
         self.latency_ms += _LATENCY_WEIGHT * (latency_ms - self.latency_ms)
 
     def mark_shed(self, now: float) -> None:
-        """Pause the server after it refused a request for want of room."""
+        """Pause the server after it refused a request because it was at capacity."""
         self.paused_until = now + SHED_PAUSE_S
 
     def mark_failed(self, now: float) -> None:
@@ -107,7 +108,7 @@
         self.warm_from = self.paused_until
 
     def mark_leaving(self, until: float) -> None:
-        """Mark the server as leaving until a time, after its own report to this VM."""
+        """Mark the server as leaving until a time, after its own report or the platform's list."""
         self.leaving_until = max(self.leaving_until, until)
 
     def mark_heard_leaving(self, until: float) -> None:
@@ -160,8 +161,8 @@
 
     def set_servers(self, service: str, addresses: Iterable[str]) -> None:
         """Set the list of backend servers; requests that run on removed servers continue."""
-        kept = self.servers
-        self.servers = {a: kept.get(a) or ServerState(a, service) for a in addresses}
+        previous = self.servers
+        self.servers = {a: previous.get(a) or ServerState(a, service) for a in addresses}
 
     def capacity(self, now: float) -> int:
         """Return the number of usable slots of all open servers at this time."""
@@ -184,8 +185,8 @@
             exclude: Backend servers that this request has already tried.
 
         Returns:
-            A slot; or a refusal: `NO_BACKEND_SERVER` when no server is open, `NO_ROOM` when all
-            usable slots are in use.
+            A slot; or a refusal: `NO_BACKEND_SERVER` when no server is left that is open and not
+            excluded, `NO_ROOM` when all slots that may be used are in use.
         """
         open_servers = [s for s in self._open_servers(now) if s.address not in exclude]
         if not open_servers:
@@ -219,12 +220,12 @@
     def serve_waiting(self, now: float) -> None:
         """Give free slots to waiting requests, in order of arrival."""
         while self.waiting:
-            free = self.acquire(now)
-            if isinstance(free, Refusal):
+            slot = self.acquire(now)
+            if isinstance(slot, Refusal):
                 return
-            if not self.waiting.popleft()(free):
-                free.released = True
-                free.server.in_use -= 1
+            if not self.waiting.popleft()(slot):
+                slot.released = True
+                slot.server.in_use -= 1
 
     def leaving(self, address: str, until: float) -> None:
         """Mark a server as leaving, after its own report or its entry in the platform's list.
@@ -245,7 +246,7 @@
             server.mark_heard_leaving(until)
 
     def leaving_servers(self, now: float) -> list[str]:
-        """Return the addresses of the servers whose mark of `leaving` has not ended."""
+        """Return the addresses of the servers that are to be reported to other VMs as leaving."""
         return [s.address for s in self.servers.values() if s.leaving_until > now]
 
     def _open_servers(self, now: float) -> list[ServerState]:
@@ -257,12 +258,12 @@
 
     def _least_used(self, servers: list[ServerState], now: float) -> Optional[ServerState]:
         best: Optional[ServerState] = None
-        least = (1.0, 0.0)
+        lowest_key = (1.0, 0.0)
         for server in servers:
             slot_limit = server.slot_limit(self.usable(server.address, now), now)
             if server.in_use >= slot_limit:
                 continue
             key = (server.in_use / slot_limit, self.rng.random())
-            if best is None or key < least:
-                best, least = server, key
+            if best is None or key < lowest_key:
+                best, lowest_key = server, key
         return best
--- a/sprucewinch/hall/requests/admissions.py
+++ b/sprucewinch/hall/requests/admissions.py
@@ -48,7 +48,9 @@
         return self.admissions.get(service)
 
     def mark_leaving(self, servers: Sequence[str], until: float) -> None:
-        """Mark backend servers that the platform lists as leaving; other VMs are told of the marks.
+        """Mark backend servers that the platform lists as leaving.
+
+        The marks are reported to other VMs.
 
         Args:
             servers: Their addresses; those that this hall does not have are ignored.
@@ -61,6 +63,8 @@
     def mark_heard_leaving(self, servers: Sequence[str], until: float) -> None:
         """Mark backend servers that another VM reports as leaving.
 
+        These marks are not reported further; see `Admission`.
+
         Args:
             servers: Their addresses; those that this hall does not have are ignored.
             until: Monotonic time at which the marks end, in seconds.
@@ -70,7 +74,7 @@
                 admission.heard_leaving(server, until)
 
     def leaving_servers(self, now: float) -> list[str]:
-        """Return the addresses of the leaving servers that other VMs are told of."""
+        """Return the addresses of the servers that are to be reported to other VMs as leaving."""
         return [s for a in self.admissions.values() for s in a.leaving_servers(now)]
 
     def held(self, topology: Topology, now: float) -> dict[str, int]:
--- a/sprucewinch/hall/requests/at_most_once.py
+++ b/sprucewinch/hall/requests/at_most_once.py
@@ -59,16 +59,16 @@
         Raises:
             BrokenAnswerError: When an answer broke off after its start was passed on.
         """
-        claimed = self._claim(request)
-        if isinstance(claimed, Refusal):
-            return claimed
-        if isinstance(claimed, RemoteTicket):
-            return await self._forward_to_home(claimed.ticket, request, responder)
-        if isinstance(claimed, Answer):
-            return await _replay(claimed, responder)
-        return await self._run_claimed(claimed, request, responder)
-
-    def with_certain_outcome(self, refusal: Refusal, text: Optional[str]) -> Refusal:
+        result = self._claim(request)
+        if isinstance(result, Refusal):
+            return result
+        if isinstance(result, RemoteTicket):
+            return await self._forward_to_home(result.ticket, request, responder)
+        if isinstance(result, Answer):
+            return await _replay(result, responder)
+        return await self._run_claimed(result, request, responder)
+
+    def with_certain_outcome(self, refusal: Refusal, ticket_text: Optional[str]) -> Refusal:
         """Return a refusal whose outcome also holds for earlier requests with the same ticket.
 
         A refusal given before the ticket's home has seen the ticket tells only that this request
@@ -78,9 +78,9 @@
 
         Args:
             refusal: The refusal, which takes only this request into account.
-            text: The text of the request's ticket, if it has one.
+            ticket_text: The text of the request's ticket, if it has one.
         """
-        ticket = parse_ticket(text) if text is not None else None
+        ticket = parse_ticket(ticket_text) if ticket_text is not None else None
         if ticket is None or refusal.outcome is Outcome.UNKNOWN:
             return refusal
         tickets = self.node.tickets
--- a/sprucewinch/hall/requests/backend.py
+++ b/sprucewinch/hall/requests/backend.py
@@ -55,7 +55,7 @@
         refusal: Why there is no answer; None when a complete answer was passed on.
         sent: True when a byte of the request may have reached the receiver.
         leaving: True when the server reports that it is leaving.
-        shed: True when the server refused the request for want of room.
+        shed: True when the server refused the request because it was at capacity.
     """
 
     refusal: Optional[Refusal] = None
@@ -67,7 +67,7 @@
 class BrokenAnswerError(Exception):
     """An answer broke off after its start was passed on.
 
-    The caller's connection must then be closed, so that the caller doesn't take the answer for a
+    The caller's connection must then be closed, so that the caller does not take the answer for a
     complete one.
     """
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -159,10 +159,10 @@
         server = made.servers[SERVERS[0]]
         server.mark_failed(0.0)
         self.assertEqual(made.acquire(0.5).reason, Reason.NO_BACKEND_SERVER)
-        back = FAIL_PAUSE_S + 0.1
-        self.assertIsInstance(made.acquire(back), Slot)
-        self.assertEqual(made.acquire(back).reason, Reason.NO_ROOM)
-        self.assertIsInstance(made.acquire(back + COLD_PERIOD_S), Slot)
+        recovered_at = FAIL_PAUSE_S + 0.1
+        self.assertIsInstance(made.acquire(recovered_at), Slot)
+        self.assertEqual(made.acquire(recovered_at).reason, Reason.NO_ROOM)
+        self.assertIsInstance(made.acquire(recovered_at + COLD_PERIOD_S), Slot)
 
     def test_full_queue_refuses(self) -> None:
         made = admission(max_waiting=1)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -85,9 +85,9 @@
     async def test_new_process_without_configuration(self) -> None:
         ticket = self.issue(self.node)
         self.settle(self.node, ticket, Outcome.ANSWERED)
-        fresh = self.make(configured=False, incarnation=2)
-        self.assertEqual((await self.book(fresh, ticket))["outcome"], "unknown")
-        self.assertEqual((await self.book(fresh, None))["outcome"], "not-run")
+        restarted = self.make(configured=False, incarnation=2)
+        self.assertEqual((await self.book(restarted, ticket))["outcome"], "unknown")
+        self.assertEqual((await self.book(restarted, None))["outcome"], "not-run")
 
     async def test_overloaded_vm_that_is_not_the_home(self) -> None:
         ticket = self.issue(self.node)
@@ -120,16 +120,16 @@
         refused = await self.book(self.node, ticket, sprucewinch_deadline_ms="soon")
         self.assertEqual((refused["outcome"], refused["reason"]), ("unknown", "malformed"))
 
-    async def test_service_that_is_gone_by_now(self) -> None:
+    async def test_service_that_was_removed(self) -> None:
         ticket = self.issue(self.node)
         self.settle(self.node, ticket, Outcome.ANSWERED)
-        whole = example()
-        left = msgspec.structs.replace(
-            whole,
-            service=tuple(s for s in whole.service if s.name != "booking"),
-            pool=tuple(p for p in whole.pool if p.service != "booking"),
+        full_configuration = example()
+        without_booking = msgspec.structs.replace(
+            full_configuration,
+            service=tuple(s for s in full_configuration.service if s.name != "booking"),
+            pool=tuple(p for p in full_configuration.pool if p.service != "booking"),
         )
-        configure(self.node, Document(2, left))
+        configure(self.node, Document(2, without_booking))
         self.assertEqual((await self.book(self.node, ticket))["outcome"], "unknown")
 
     async def test_ticket_of_another_service(self) -> None:
@@ -137,7 +137,7 @@
         refused = await self.book(self.node, ticket)
         self.assertEqual((refused["outcome"], refused["reason"]), ("unknown", "ticket-reused"))
 
-    async def test_no_ticket_and_no_ticket_of_ours(self) -> None:
+    async def test_missing_and_malformed_ticket(self) -> None:
         self.assertEqual((await self.book(self.node, None))["reason"], "ticket-required")
         self.assertEqual((await self.book(self.node, "junk"))["reason"], "ticket-invalid")
 
