--- a/sprucewinch/hall/requests/backend.py
+++ b/sprucewinch/hall/requests/backend.py
@@ -130,7 +130,9 @@
             return Attempt(not_run(Reason.DEADLINE_PASSED))
         try:
             async with asyncio.timeout(remaining_s) as timeout:
-                return await self._exchange(request, server, responder, timeout, remaining_s)
+                return await self._send_and_pass_on(
+                    request, server, responder, timeout, remaining_s
+                )
         except TimeoutError:
             return self._failed_attempt(responder, Reason.BACKEND_TIMEOUT)
         except aiohttp.ClientConnectorError:
@@ -150,7 +152,7 @@
             raise BrokenAnswerError(reason.value)
         return Attempt(unknown(reason), sent=True)
 
-    async def _exchange(
+    async def _send_and_pass_on(
         self,
         request: Request,
         server: str,
--- a/sprucewinch/hall/requests/dispatch.py
+++ b/sprucewinch/hall/requests/dispatch.py
@@ -63,7 +63,7 @@
         return await self.at_most_once.enter(request, responder)
 
     def with_certain_outcome(self, refusal: Refusal, ticket: Optional[str]) -> Refusal:
-        """Return a refusal whose outcome holds for its ticket; see `AtMostOnce`."""
+        """Return a refusal whose outcome holds for the ticket, too; see `AtMostOnce`."""
         return self.at_most_once.with_certain_outcome(refusal, ticket)
 
     async def run_here(self, request: Request, responder: Responder) -> Attempt:
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -17,7 +17,7 @@
 
 
 class OneRun(RuleBasedStateMachine):
-    """Two VMs restart at any time while operations arrive repeatedly at either of them.
+    """Two VMs restart at any time while operations arrive at them repeatedly.
 
     The test counts the runs of each operation, as the backend server would, and records which
     operations were refused as not run. It guards against a second run of an operation, and
@@ -25,7 +25,7 @@
     """
 
     book_class = TicketBook
-    remembers_incarnation = True
+    new_incarnation_on_restart = True
 
     def __init__(self) -> None:
         super().__init__()
@@ -35,10 +35,10 @@
         self.tickets: list[str] = []
         self.pending: list[tuple[TicketBook, Claim, str]] = []
         self.runs: Counter[str] = Counter()
-        self.told_not_run: set[str] = set()
+        self.reported_not_run: set[str] = set()
 
     def make(self, vm: str) -> TicketBook:
-        number = self.incarnations[vm] if self.remembers_incarnation else 1
+        number = self.incarnations[vm] if self.new_incarnation_on_restart else 1
         return self.book_class(vm, number, KEY, lifetime_s=10, retention_s=20, max_answer_bytes=64)
 
     @rule(vm=st.sampled_from("ab"))
@@ -61,7 +61,7 @@
         if isinstance(result, Claim):
             self.pending.append((home, result, text))
         elif isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN:
-            self.told_not_run.add(text)
+            self.reported_not_run.add(text)
 
     @precondition(lambda self: self.tickets)
     @rule(index=st.integers(0, 2))
@@ -72,7 +72,7 @@
         assert ticket is not None
         home = self.books[ticket.vm]
         if home.is_home(ticket) and home.close(ticket, self.now):
-            self.told_not_run.add(text)
+            self.reported_not_run.add(text)
 
     @precondition(lambda self: self.pending)
     @rule(index=st.integers(0, 2), result=st.sampled_from(["runs", "lost", "refused"]))
@@ -80,7 +80,7 @@
         home, claim, text = self.pending.pop(index % len(self.pending))
         if result == "refused":
             home.settle(claim, Outcome.NOT_RUN)
-            self.told_not_run.add(text)
+            self.reported_not_run.add(text)
             return
         self.runs[text] += 1
         if result == "lost":
@@ -89,8 +89,8 @@
             home.settle(claim, Outcome.ANSWERED, Answer(200, (), text.encode()))
 
     @rule(vm=st.sampled_from("ab"))
-    def replace(self, vm: str) -> None:
-        """A VM is replaced; its old process was suspended and may still run what it has claimed."""
+    def restart(self, vm: str) -> None:
+        """The old process is only suspended: it may still run the operations that it claimed."""
         self.incarnations[vm] += 1
         self.books[vm] = self.make(vm)
 
@@ -104,7 +104,7 @@
 
     @invariant()
     def not_run_is_true(self) -> None:
-        assert not self.told_not_run & self.runs.keys()
+        assert not self.reported_not_run & self.runs.keys()
 
 
 OneRun.TestCase.settings = SETTINGS
@@ -128,7 +128,7 @@
         machine.arrive(0)
         return machine
 
-    def test_without_memory_of_refusals(self) -> None:
+    def test_book_that_drops_refusals(self) -> None:
         machine = self.machine(book_class=BookDroppingRefusals)
         machine.settle(0, "refused")
         machine.arrive(0)
@@ -137,8 +137,8 @@
             machine.not_run_is_true()
 
     def test_without_incarnations(self) -> None:
-        machine = self.machine(remembers_incarnation=False)
-        machine.replace("a")
+        machine = self.machine(new_incarnation_on_restart=False)
+        machine.restart("a")
         machine.issue("a")
         machine.arrive(0)
         machine.settle(0, "runs")
@@ -151,7 +151,7 @@
         machine.settle(0, "refused")
         machine.arrive(0)
         self.assertEqual(machine.pending, [])
-        machine.replace("a")
+        machine.restart("a")
         machine.arrive(0)
         self.assertEqual(machine.pending, [])
 
