--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -41,7 +41,7 @@
     def granted(self, wanted: dict, measured: Snapshot, limits: GuardLimits = LIMITS):
         return grant(wanted, self.at_home, measured, limits)
 
-    def test_wanted_is_granted_when_there_is_room(self) -> None:
+    def test_wanted_shares_are_granted_when_slots_are_free(self) -> None:
         granted = self.granted({HOME: 8, OTHER: 1, THIRD: 1}, snapshot())
         self.assertAlmostEqual(granted.shares.share(OTHER), 0.1)
         self.assertEqual(granted.notes, ())
@@ -67,14 +67,14 @@
         granted = self.granted({OTHER: 1}, snapshot(interior=drained))
         self.assertEqual(granted.shares.share(OTHER), 0.0)
 
-    def test_drained_home_is_left_even_if_the_policy_insists(self) -> None:
+    def test_drained_home_is_left_even_if_the_policy_wants_it(self) -> None:
         drained = RegionMeasures(CAPACITY, 10.0, 20.0, 500.0, 0.5, drained=True)
         granted = self.granted({HOME: 1}, snapshot(lower_mainland=drained))
         self.assertEqual(granted.shares.share(HOME), 0.0)
 
-    def test_nothing_usable_keeps_what_is_held(self) -> None:
-        gone = RegionMeasures(0.0)
-        measured = snapshot(lower_mainland=gone, interior=gone, island=gone)
+    def test_shares_stay_when_no_region_is_usable(self) -> None:
+        no_slots = RegionMeasures(0.0)
+        measured = snapshot(lower_mainland=no_slots, interior=no_slots, island=no_slots)
         self.assertEqual(self.granted({OTHER: 1}, measured).shares, self.at_home)
 
     @given(
@@ -101,13 +101,13 @@
         self.assertAlmostEqual(sum(shares.as_dict().values()), 1.0)
         self.assertTrue(all(share >= -1e-9 for share in shares.as_dict().values()))
 
-    def test_weights_that_make_no_sense(self) -> None:
+    def test_invalid_weights_are_refused(self) -> None:
         for wanted in (None, {}, {HOME: float("nan")}, {HOME: -1}, {"x": 1}, {HOME: True}):
             self.assertIsNotNone(valid_weights(wanted, ORDER))
 
 
-class _Whim(Policy):
-    """Wants whatever the test drew next."""
+class _ScriptedPolicy(Policy):
+    """Returns the weights that the test sets in `next`."""
 
     name = "whim"
 
@@ -119,7 +119,7 @@
 
 
 class Fleet:
-    """Three planners whose measures lag; the oracle works out the true load of each region."""
+    """Three planners whose measures lag by `lag` rounds; `load` returns the true slots in use."""
 
     def __init__(self, demand: float, lag: int) -> None:
         self.topology = Topology(Document(1, example()))
@@ -129,7 +129,7 @@
         self.planners = {c: Planner(c, "me") for c in ORDER}
         for planner in self.planners.values():
             planner.adopt(None, self.topology, -60.0)
-        self.policies = {c: _Whim() for c in ORDER}
+        self.policies = {c: _ScriptedPolicy() for c in ORDER}
         self.loads: deque[dict[str, float]] = deque(maxlen=lag + 1)
         self.most = self.load()
 
@@ -195,30 +195,31 @@
     def test_under_any_policies_and_lag(self, demand: float, lag: int, wanted: list) -> None:
         self.play(demand, lag, wanted)
 
-    def all_into_one(self) -> None:
+    def all_want_one_region(self) -> None:
         self.play(1200.0, 4, [[{THIRD: 1.0}] * 3] * 12)
 
-    def test_all_regions_into_the_same_quiet_one(self) -> None:
-        self.all_into_one()
+    def test_all_planners_want_the_same_lightly_loaded_region(self) -> None:
+        self.all_want_one_region()
 
-    def test_proof_fails_when_lag_is_forgotten(self) -> None:
-        """A wrong version: measures count as showing every decision at once."""
+    def test_check_fails_when_measurement_lag_is_ignored(self) -> None:
+        """A planner that takes measures to reflect each decision at once overloads the region."""
         original = Planner._with_history
         Planner._with_history = lambda self, service, topology, measured, *rest: measured
         try:
             with self.assertRaises(AssertionError):
-                self.all_into_one()
+                self.all_want_one_region()
         finally:
             Planner._with_history = original
 
-    def test_proof_fails_when_planners_do_not_divide_headroom(self) -> None:
+    def test_check_fails_when_planners_do_not_divide_headroom(self) -> None:
+        """A planner that may use all free slots of a region overloads it with the others."""
         original = planning.guard_limits
         planning.guard_limits = lambda topology: original(topology)._replace(
             planners=1, warm_step=10.0
         )
         try:
             with self.assertRaises(AssertionError):
-                self.all_into_one()
+                self.all_want_one_region()
         finally:
             planning.guard_limits = original
 
@@ -227,7 +228,7 @@
     def test_faulty_policy_keeps_the_last_shares_and_is_counted(self) -> None:
         fleet = Fleet(500.0, 0)
 
-        class Broken(_Whim):
+        class Broken(_ScriptedPolicy):
             def weights(self, snapshot: Snapshot) -> PolicyFault:
                 return PolicyFault("took too long")
 
@@ -253,7 +254,7 @@
         for begin in range(80 - window):
             self.assertLessEqual(shares[begin] - shares[begin + window], limit.cap + 1e-9)
 
-    def test_new_planner_waits_out_the_window(self) -> None:
+    def test_new_planner_moves_nothing_within_its_first_window(self) -> None:
         fleet = Fleet(500.0, 0)
         planner = fleet.planners[HOME]
         planner.adopt(planner.base, fleet.topology, 0.0)
