--- a/sprucewinch/steering/shift.py
+++ b/sprucewinch/steering/shift.py
@@ -1,25 +1,22 @@
 """The shift cap: how fast callers of one service may be moved between regions.
 
-Question: how far may the shares go towards a target now?
-
-Inputs: shares in force and wanted, monotonic time in seconds, and a `ShiftCap` (part of callers,
-seconds). Each `ShiftLimiter` owns the moves that it made within the last window; it reads no clock.
-
-Rule: within any window, plus the time that callers cache answers, at most the cap moves; moves back
-and forth both count. One step moves at most a tenth of the cap. A limiter that is given
-`spent_at` counts the whole cap as spent then: the own interface gives it, as a new process does not
-know what was moved before its start; the routed path does not.
-
-Why: the cap is a part of the callers, so it holds for the fleet when it holds at each VM, without
-any exchange between VMs. Dividing it into allowances would need agreement on who holds which, and a
-frozen VM would keep its allowance.
-
-Constants: `_STEPS_PER_WINDOW`; cap and window are the operators'.
-
-Shows in: the shares themselves, in `sprucewinch explain` and in `/state` of the routed path. No log
-line: shares move in many small steps.
-
-Tests: `tests.test_shift` (`FleetShift`, `WrongVersionsAreFound`, `ShiftLimiterCases`).
+A `ShiftLimiter` decides how far the shares may go towards a target now. It takes the shares in
+force and the wanted ones, the monotonic time in seconds, and a `ShiftCap` (part of the callers,
+seconds). It owns the moves that it made within the last window and reads no clock.
+
+Within any window, plus the time for which callers cache answers, at most the cap moves; moves back
+and forth both count. One step moves at most a tenth of the cap. A limiter that is given `spent_at`
+counts the whole cap as spent then: the own interface gives it, as a new process does not know what
+was moved before its start; the routed path does not.
+
+The cap is a part of the callers, so it holds for the fleet when it holds at each VM, without any
+exchange between VMs. Dividing it into allowances would need agreement on which VM holds which, and
+a VM that hangs would keep its allowance.
+
+Cap and window are set by operators. The result shows in the shares themselves, in `sprucewinch
+explain` and in `/state` of the routed path; nothing is logged, since shares move in many small
+steps. The tests are in `tests.test_shift` (`FleetShift`, `WrongVersionsAreFound`,
+`ShiftLimiterCases`).
 """
 
 from collections import deque
@@ -28,9 +25,9 @@
 from .placement import Shares, make_shares, moved_part, step_towards
 
 _STEPS_PER_WINDOW = 10
-"""Steps over which one window's cap is spread, so that a region that gains callers warms up. Twenty
-were half of what one-second rounds can use: draining a region left 47 % there after 80 rounds; with
-ten, and placement by rendezvous hashing in the same change, it was empty after 66."""
+"""Steps over which one window's cap is spread, so that a region that gains callers warms up. With
+twenty, rounds of one second used only half of the cap, and a drained region still had 47 % of its
+callers after 80 rounds; with ten, and placement by rendezvous hashing, it was empty after 66."""
 
 
 class ShiftCap(NamedTuple):
@@ -48,7 +45,7 @@
 
 
 class _Move(NamedTuple):
-    """One step that was made.
+    """One step of the shares that took effect.
 
     Args:
         at: Monotonic time, in seconds.
@@ -63,12 +60,12 @@
     """Moves shares towards a target under a cap on the part of callers moved in any window.
 
     A caller that caches an answer just before a step moves up to `ttl_s` later, so the limiter
-    keeps to the cap over `window_s + ttl_s`: arrivals within any window then belong to steps within
-    one longer window.
+    keeps to the cap over `window_s + ttl_s`: callers that arrive in another region within any
+    window were moved by steps within one such longer window.
 
     Args:
         start: Shares at the start.
-        limit: The cap.
+        limit: The cap and its window.
         spent_at: When given, the whole cap counts as spent at that monotonic time, in seconds.
     """
 
@@ -84,7 +81,8 @@
     def set_limit(self, limit: ShiftCap) -> None:
         """Apply a changed cap at once; earlier moves still count.
 
-        While moves are remembered, a window only grows, so that none is forgotten early.
+        While earlier moves are kept, the window may only grow, so that none is dropped before its
+        own window has passed.
         """
         if self._moves:
             window_s = max(limit.window_s, self.limit.window_s)
@@ -97,13 +95,13 @@
         Args:
             now: Monotonic time, in seconds.
         """
-        horizon = now - (self.limit.window_s + self.limit.ttl_s)
-        while self._moves and self._moves[0].at < horizon:
+        window_start = now - (self.limit.window_s + self.limit.ttl_s)
+        while self._moves and self._moves[0].at < window_start:
             self._moves.popleft()
         return max(0.0, self.limit.cap - sum(move.part for move in self._moves))
 
     def propose(self, target: Shares, now: float) -> Shares:
-        """Return the next shares on the way to a target, as far as the cap allows.
+        """Return the next shares towards a target, as far as the cap allows.
 
         Args:
             target: Wanted shares; regions as in `current`.
@@ -115,7 +113,7 @@
         return step_towards(self.current, target, allowance)
 
     def commit(self, shares: Shares, now: float) -> None:
-        """Make shares current and count the difference as moved now.
+        """Make shares current and count the callers that they move against the cap.
 
         Args:
             shares: Shares from now on.
@@ -137,15 +135,15 @@
         return self.current
 
     def reorder(self, order: tuple[str, ...]) -> None:
-        """Apply a changed list of regions; weights of removed regions go to the others.
+        """Apply a changed list of regions; shares of removed regions go to the others.
 
         Args:
             order: Regions in the configuration's order.
         """
-        held = {region: self.current.share(region) for region in order}
-        if sum(held.values()) <= 0:
-            held = dict.fromkeys(order, 1.0)
-        self.current = make_shares(order, held)
+        weights = {region: self.current.share(region) for region in order}
+        if sum(weights.values()) <= 0:
+            weights = dict.fromkeys(order, 1.0)
+        self.current = make_shares(order, weights)
 
 
 if __name__ == "__main__":
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -12,34 +12,39 @@
     dict.fromkeys(ORDER, st.floats(0, 1, allow_nan=False, width=32))
 ).filter(lambda weights: sum(weights.values()) > 0.01)
 BLOCKS = [block_key(f"10.1.{i}.0", "rates") for i in range(2000)]
-SLACK = 0.05
-"""Five standard deviations of a part counted over the blocks."""
+COUNT_TOLERANCE = 0.05
+"""Allowed difference between a share and the fraction counted over the blocks: five standard
+deviations of that count."""
 
 SETTINGS = settings(max_examples=30, stateful_step_count=30, deadline=None)
 LIMIT = ShiftCap(cap=0.2, window_s=10.0, ttl_s=2.0)
 
 
-def placed(shares: Shares) -> list[str]:
+def regions_of_blocks(shares: Shares) -> list[str]:
     return [shares.region_at(key) for key in BLOCKS]
 
 
-def counted(old: list[str], new: list[str]) -> float:
+def moved_fraction(old: list[str], new: list[str]) -> float:
     return sum(a != b for a, b in zip(old, new, strict=True)) / len(BLOCKS)
 
 
 class MovedPart(unittest.TestCase):
     @given(WEIGHTS, WEIGHTS)
-    def test_closed_form_is_what_is_counted(self, old: dict, new: dict) -> None:
+    def test_closed_form_agrees_with_counted_blocks(self, old: dict, new: dict) -> None:
         a, b = make_shares(ORDER, old), make_shares(ORDER, new)
-        self.assertAlmostEqual(counted(placed(a), placed(b)), moved_part(a, b), delta=SLACK)
+        self.assertAlmostEqual(
+            moved_fraction(regions_of_blocks(a), regions_of_blocks(b)),
+            moved_part(a, b),
+            delta=COUNT_TOLERANCE,
+        )
 
     @given(WEIGHTS)
     def test_blocks_follow_the_shares(self, weights: dict) -> None:
         shares = make_shares(ORDER, weights)
-        where = placed(shares)
+        placed = regions_of_blocks(shares)
         for region in ORDER:
             self.assertAlmostEqual(
-                where.count(region) / len(BLOCKS), shares.share(region), delta=SLACK
+                placed.count(region) / len(BLOCKS), shares.share(region), delta=COUNT_TOLERANCE
             )
 
     def test_only_blocks_of_changed_regions_move(self) -> None:
@@ -47,7 +52,11 @@
         old = make_shares(ORDER, {"east": 0.8, "west": 0.1, "north": 0.1})
         new = make_shares(ORDER, {"west": 0.5, "north": 0.5})
         self.assertAlmostEqual(moved_part(old, new), 0.8)
-        moves = [(a, b) for a, b in zip(placed(old), placed(new), strict=True) if a != b]
+        moves = [
+            (a, b)
+            for a, b in zip(regions_of_blocks(old), regions_of_blocks(new), strict=True)
+            if a != b
+        ]
         self.assertEqual({a for a, _ in moves}, {"east"})
 
     @given(WEIGHTS, WEIGHTS, st.floats(0.0, 1.0))
@@ -59,9 +68,9 @@
 
 
 class FleetShift(RuleBasedStateMachine):
-    """Several VMs with their own views; the oracle counts where callers are sent.
+    """Several VMs that learn plans at different times; the test counts where callers are sent.
 
-    Callers are spread evenly over the VMs. In any window at most the cap of all callers may be
+    Callers are spread evenly over the VMs. Within any window, at most the cap of all callers may be
     sent to another region than before.
     """
 
@@ -74,7 +83,7 @@
         start = make_shares(ORDER, {"east": 1.0})
         self.targets = [start] * self.vms
         self.limiters = [self.limiter_class(start, LIMIT) for _ in range(self.vms)]
-        self.sent = [placed(start)] * self.vms
+        self.sent = [regions_of_blocks(start)] * self.vms
         self.moves: list[tuple[float, float]] = []
 
     def move(self, *indexes: int) -> None:
@@ -83,14 +92,14 @@
             before = limiter.current
             if limiter.move(self.targets[index], self.now) == before:
                 continue
-            new = placed(limiter.current)
-            self.moves.append((self.now, counted(self.sent[index], new) / self.vms))
+            new = regions_of_blocks(limiter.current)
+            self.moves.append((self.now, moved_fraction(self.sent[index], new) / self.vms))
             self.sent[index] = new
             self.check_window()
 
     def check_window(self) -> None:
         recent = [part for at, part in self.moves if at >= self.now - LIMIT.window_s]
-        assert sum(recent) <= LIMIT.cap + SLACK, recent
+        assert sum(recent) <= LIMIT.cap + COUNT_TOLERANCE, recent
 
     @rule(weights=WEIGHTS)
     def all_learn_a_plan(self, weights: dict) -> None:
@@ -110,12 +119,12 @@
     @precondition(lambda self: len({limiter.current for limiter in self.limiters}) == 1)
     @rule(index=st.integers(0, 2))
     def a_vm_is_replaced(self, index: int) -> None:
-        """The new process starts from the plan that all follow, with the cap counted as spent."""
+        """A new process starts from the plan that all VMs follow and counts the cap as spent."""
         current = self.limiters[index].current
         self.limiters[index] = self.limiter_class(current, LIMIT, spent_at=self.now)
 
     @rule(seconds=st.integers(1, 30))
-    def one_sleeps_and_wakes(self, seconds: int) -> None:
+    def one_pauses_and_resumes(self, seconds: int) -> None:
         for _ in range(seconds):
             self.now += 1.0
             self.move(1, 2)
@@ -126,7 +135,7 @@
 
 
 class UncappedLimiter(ShiftLimiter):
-    """A wrong version: follows its plan at once."""
+    """A wrong version that moves to its target at once."""
 
     def allowance(self, now: float) -> float:
         return 100.0
@@ -135,8 +144,8 @@
         return target
 
 
-class ForgetfulLimiter(ShiftLimiter):
-    """A wrong version: counts only the last second."""
+class ShortWindowLimiter(ShiftLimiter):
+    """A wrong version that counts only the moves of the last second."""
 
     def allowance(self, now: float) -> float:
         return self.limit.cap if not self._moves or self._moves[-1].at < now - 1 else 0.0
@@ -155,17 +164,17 @@
         for _ in range(8):
             machine.time_passes(2.0)
 
-    def test_proof_fails_without_the_cap(self) -> None:
-        for wrong in (UncappedLimiter, ForgetfulLimiter):
+    def test_check_fails_for_limiters_that_exceed_the_cap(self) -> None:
+        for wrong in (UncappedLimiter, ShortWindowLimiter):
             with self.subTest(wrong.__name__), self.assertRaises(AssertionError):
                 self.play(wrong)
 
-    def test_same_steps_hold_with_the_real_limiter(self) -> None:
+    def test_same_steps_pass_with_the_real_limiter(self) -> None:
         self.play(ShiftLimiter)
 
 
 class ShiftLimiterCases(unittest.TestCase):
-    def test_full_shift_takes_the_time_that_the_cap_asks_for(self) -> None:
+    def test_full_shift_takes_as_long_as_the_cap_requires(self) -> None:
         east, west = make_shares(ORDER, {"east": 1}), make_shares(ORDER, {"west": 1})
         limiter, now = ShiftLimiter(east, LIMIT), 0.0
         while limiter.current != west:
@@ -183,13 +192,13 @@
         self.assertEqual(limiter.allowance(3.0), 0.0)
         self.assertEqual(limiter.move(west, 3.1).share("west"), limiter.current.share("west"))
 
-    def test_new_process_spends_nothing_at_first(self) -> None:
+    def test_new_process_moves_nothing_within_its_first_window(self) -> None:
         east, west = make_shares(ORDER, {"east": 1}), make_shares(ORDER, {"west": 1})
         limiter = ShiftLimiter(east, LIMIT, spent_at=0.0)
         self.assertEqual(limiter.move(west, 11.0), east)
         self.assertNotEqual(limiter.move(west, 12.1), east)
 
-    def test_flipping_policy_spends_the_cap_both_ways(self) -> None:
+    def test_moves_back_and_forth_both_count_against_the_cap(self) -> None:
         east, west = make_shares(ORDER, {"east": 1}), make_shares(ORDER, {"west": 1})
         limiter, total, before = ShiftLimiter(east, LIMIT), 0.0, east
         for step in range(100):
