--- a/sprucewinch/steering/placement.py
+++ b/sprucewinch/steering/placement.py
@@ -1,22 +1,20 @@
 """Placement of client blocks: which region serves a block, given the shares of a service.
 
-Question: which region serves this block or object, and which part of all moves when shares change?
+This module decides which region serves a block or an object, and computes which part of all blocks
+moves when shares change. It takes the `Shares` of the regions (together 1) and the key of a block
+or object (8 bytes). `BlockTable` owns the client blocks of a configuration; no other state is kept.
 
-Inputs: `Shares` of the regions (together 1) and the key of a block or object (8 bytes).
-`BlockTable` owns the client blocks of a configuration; nothing else is kept.
+Placement is weighted rendezvous hashing. The hash of a key and a region gives an exponentially
+distributed number that never changes, and the key goes to the region whose number divided by its
+weight is smallest.
 
-Rule: weighted rendezvous hashing. A key draws one exponential number for each region, fixed for
-ever, and goes to the region whose number divided by its weight is least.
+With this method the part of keys that a change of weights moves has a closed form, so it can be
+bounded without counting, and nothing moves between regions whose weights stay in proportion. With
+thresholds on one hash, removing one of three regions also moved keys between the two others, 1.5
+times as many as needed.
 
-Why: the part of keys that a change of weights moves has a closed form, so it can be bounded without
-counting, and nothing moves between regions whose weights stay in proportion. With thresholds on one
-hash, leaving one of three regions also moved keys between the two others, 1.5 times what is needed.
-
-Constants: `_HASH_SPACE` follows from the hash, `_BISECTIONS` and `_SEEDS` are guesses.
-
-Shows in: `sprucewinch explain`, as `key` and `region`.
-
-Tests: `tests.test_shift.MovedPart` holds the closed form against counted blocks.
+The result shows in `sprucewinch explain`, as `key` and `region`. `tests.test_shift.MovedPart`
+checks the closed form against counted blocks.
 """
 
 import functools
@@ -33,33 +31,33 @@
 from .._hash import hash32
 
 _HASH_SPACE = float(1 << 32)
-"""Values of the 32-bit hash."""
+"""Number of values of the 32-bit hash."""
 
 _BISECTIONS = 30
-"""Halvings of the line between two shares: a step is found to a billionth of the line."""
+"""Steps of the bisection between two shares, which find a step to a billionth of the distance."""
 
-_SEEDS = 1024
-"""Region names whose hashes are kept, far above the regions of a fleet."""
+_MAX_CACHED_SEEDS = 1024
+"""Most region names whose hashes are cached; far above the number of regions in a fleet."""
 
 _IPV4 = 4
-"""Version 4 of the internet protocol, as `ipaddress` numbers it."""
+"""IPv4 in the `version` attribute of `ipaddress` objects."""
 
 _IPV6 = 6
-"""Version 6 of the internet protocol, as `ipaddress` numbers it."""
+"""IPv6 in the `version` attribute of `ipaddress` objects."""
 
 
-@functools.lru_cache(maxsize=_SEEDS)
+@functools.lru_cache(maxsize=_MAX_CACHED_SEEDS)
 def _seed(region: str) -> int:
     return hash32(region)
 
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """Shares of regions, which decide where each key goes.
+    """Shares of regions, which decide the region of each key.
 
     Args:
         regions: Names of regions, in the configuration's order.
-        weights: Share of each region; 0 or more, together 1.
+        weights: Share of each region; each 0 or more, together 1.
     """
 
     regions: tuple[str, ...]
@@ -68,8 +66,10 @@
 
     def __post_init__(self) -> None:
         pairs = zip(self.regions, self.weights, strict=True)
-        drawn = tuple((region, weight, _seed(region)) for region, weight in pairs if weight > 0)
-        object.__setattr__(self, "_drawn", drawn)
+        candidates = tuple(
+            (region, weight, _seed(region)) for region, weight in pairs if weight > 0
+        )
+        object.__setattr__(self, "_drawn", candidates)
 
     def share(self, region: str) -> float:
         """Return the share of one region; 0 for a region that is not listed."""
@@ -87,14 +87,14 @@
         Args:
             key: The block's key for a service, as `block_key` returns it.
         """
-        best, least = self._drawn[0][0], math.inf
+        best, smallest = self._drawn[0][0], math.inf
         if len(self._drawn) == 1:
             return best
         for region, weight, seed in self._drawn:
             uniform = (xxhash.xxh32_intdigest(key, seed) + 1) / _HASH_SPACE
-            drawn = -math.log(uniform) / weight
-            if drawn < least:
-                best, least = region, drawn
+            scaled = -math.log(uniform) / weight
+            if scaled < smallest:
+                best, smallest = region, scaled
         return best
 
 
@@ -115,19 +115,20 @@
 def moved_part(old: Shares, new: Shares) -> float:
     """Return the part of blocks that a change of shares moves, in `[0, 1]`.
 
-    A block stays in region *r* when its number there is least under both sets of weights, that is,
-    when every other region *s* draws at least `max(w_s / w_r, w'_s / w'_r)` times as much. The
-    draws are exponential, so that has probability one over the sum of these ratios.
+    A block stays in region *r* when its scaled number there is the smallest under both sets of
+    weights, that is, when its number in every other region *s* is at least
+    `max(w_s / w_r, w'_s / w'_r)` times as large. The numbers are exponentially distributed, so the
+    probability of that is one over the sum of these ratios, with 1 for *r* itself.
 
     Args:
         old: Shares before.
         new: Shares after; the same regions.
     """
-    both = [(a, b) for a, b in zip(old.weights, new.weights, strict=True) if a > 0 or b > 0]
+    pairs = [(a, b) for a, b in zip(old.weights, new.weights, strict=True) if a > 0 or b > 0]
     stay = 0.0
-    for a, b in both:
+    for a, b in pairs:
         if a > 0 and b > 0:
-            stay += 1.0 / sum(max(x / a, y / b) for x, y in both)
+            stay += 1.0 / sum(max(x / a, y / b) for x, y in pairs)
     return max(0.0, 1.0 - stay)
 
 
@@ -154,13 +155,14 @@
     return _between(old, new, low) if low > 0 else old
 
 
-def _between(old: Shares, new: Shares, part: float) -> Shares:
+def _between(old: Shares, new: Shares, fraction: float) -> Shares:
+    """Return the shares at a fraction of the way from `old` to `new`."""
     pairs = zip(old.weights, new.weights, strict=True)
-    return Shares(old.regions, tuple(a + (b - a) * part for a, b in pairs))
+    return Shares(old.regions, tuple(a + (b - a) * fraction for a, b in pairs))
 
 
 def block_key(block: str, service: str) -> bytes:
-    """Return a client block's fixed key for one service."""
+    """Return a client block's key for one service, which never changes."""
     return xxhash.xxh64_digest(f"{service}|{block}".encode())
 
 
@@ -168,7 +170,10 @@
     """Client blocks and their regions, as sorted arrays of integers.
 
     Args:
-        blocks: Pairs of a block in CIDR notation and its client region; blocks do not overlap.
+        blocks: Pairs of a block in CIDR notation and its client region; blocks must not overlap.
+
+    Raises:
+        ValueError: When a block is not valid CIDR notation.
     """
 
     __slots__ = ("_ends", "_indexes", "_starts", "_v6", "regions")
@@ -179,19 +184,19 @@
         self._ends = array("L")
         self._indexes = array("H")
         self._v6: list[tuple[int, int, int]] = []
-        self._fill(blocks)
+        self._add_blocks(blocks)
 
-    def _fill(self, blocks: Iterable[tuple[str, str]]) -> None:
-        numbers: dict[str, int] = {}
+    def _add_blocks(self, blocks: Iterable[tuple[str, str]]) -> None:
+        indexes: dict[str, int] = {}
         rows: list[tuple[int, int, int]] = []
         for block, region in blocks:
             network = ipaddress.ip_network(block)
-            number = numbers.setdefault(region, len(numbers))
-            row = (int(network.network_address), int(network.broadcast_address), number)
+            index = indexes.setdefault(region, len(indexes))
+            row = (int(network.network_address), int(network.broadcast_address), index)
             (rows if network.version == _IPV4 else self._v6).append(row)
         rows.sort()
         self._v6.sort()
-        self.regions = list(numbers)
+        self.regions = list(indexes)
         self._starts.extend(row[0] for row in rows)
         self._ends.extend(row[1] for row in rows)
         self._indexes.extend(row[2] for row in rows)
@@ -200,10 +205,10 @@
         return len(self._starts) + len(self._v6)
 
     def region_of(self, address: str) -> Optional[str]:
-        """Return the client region of an address or block; None when no block holds it.
+        """Return the client region of an address or block; None when no block contains it.
 
         Raises:
-            ValueError: When the text is neither an IP number nor a block.
+            ValueError: When the text is neither an IP address nor a block.
         """
         ip = ipaddress.ip_address(address.partition("/")[0])
         number = int(ip)
