--- a/sprucewinch/steering/__init__.py
+++ b/sprucewinch/steering/__init__.py
@@ -1,5 +1,5 @@
-"""The decisions on regions that both programs share, free of input and output.
+"""Regional steering decisions that both programs share, without input or output.
 
 Owns policies and their bounds, the guard, the shift cap, and the placement of blocks and objects.
-Relies on `errors` and `_hash` alone. Read `guard` first: measures in, shares out.
+Relies on `errors` and `_hash` alone. Start with `guard`, which turns measures into shares.
 """
--- a/sprucewinch/steering/measures.py
+++ b/sprucewinch/steering/measures.py
@@ -1,7 +1,7 @@
 """Snapshots of measures that policies and the guard decide on.
 
 Owns the two types that carry measures into a decision, with their units. The values are collected
-elsewhere: `hall` and `gateway` build a `Snapshot` each time they plan. Relies on nothing.
+elsewhere: `hall` and `gateway` build a `Snapshot` each time they plan. Relies on no other module.
 """
 
 from collections.abc import Mapping
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionMeasures:
-    """What is measured of one region for one service.
+    """Measures of one region for one service.
 
     Args:
         capacity: Slots of backend servers that are not draining.
         in_use: Slots in use.
-        latency_ms: Mean time of a request there, in milliseconds; None when unmeasured.
+        latency_ms: Mean time of a request there, in milliseconds; None when not measured.
         arrivals_per_s: Requests a second of all callers.
-        age_s: Age of the oldest part of these measures, in seconds; None when there are none.
+        age_s: Age of the oldest of these measures, in seconds; None when there are none.
         drained: True when operators are draining the region.
     """
 
@@ -39,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Everything that one planning round decides on, for one service and one client region.
+    """The input of one planning round, for one service and one client region.
 
     Args:
-        service: Service.
+        service: Name of the service.
         client_region: Region of the callers.
         regions: Measures by region, in the configuration's order.
-        distance_ms: Time one way from the client region to each region, in milliseconds.
+        distance_ms: One-way time from the client region to each region, in milliseconds.
         link_per_s: Most requests a second from the client region to each other region.
         demand_per_s: Requests a second of the client region's callers.
         share_low: Smallest share that the measures of a region may still reflect.
