--- a/sprucewinch/hall/planning/planner.py
+++ b/sprucewinch/hall/planning/planner.py
@@ -1,19 +1,20 @@
-"""The rule of plans: which part of one region's callers each region serves, by service.
+"""Planner of one region's callers: which part of them each region serves, by service.
 
 Owns the last confirmed plan, one shift limiter and one history of shares for each service. Relies
 on the caller for policies, snapshots (slots, milliseconds, requests a second) and time (monotonic
 seconds), and does no I/O: `plan_rounds` reads and writes the store.
 
-The rule, for each service: the policy turns the snapshot into weights; a policy that fails keeps
-the shares in force and is noted as a fault. The guard grants what free slots, links and drains
-allow. A change below `_DEAD_BAND` is dropped, unless it leaves a region. The shift cap bounds the
-step, and a step counts as spent once the store has confirmed its write.
+For each service, the policy turns the snapshot into weights; a policy that fails keeps the shares
+in force and is noted as a fault. The guard grants what free slots, links and drains allow. A change
+below `_DEAD_BAND` is dropped, unless callers leave a region entirely. The shift cap bounds the
+step, and a step counts against the cap once the store has confirmed its write.
 
-Why this way: one planner for each client region costs a write a second at most, while every VM
-planning by itself would send callers that ask two VMs back and forth (docs/DESIGN.md, "Who plans").
-Constants: `_DEAD_BAND`, `_MEASURE_LAG_S`; the guard's and the cap's come from the configuration.
-The result shows in the plan's notes and faults and in `event=policy-fault`. Tests:
-`tests.test_guard`, `tests.test_shift`.
+One planner for each client region costs at most one write a second. If each VM planned by itself,
+callers that ask two VMs would be sent back and forth (docs/DESIGN.md, "Who plans").
+
+The limits of the guard and of the shift cap come from the configuration. The result shows in the
+plan's notes and faults and in `event=policy-fault`. The tests are `tests.test_guard` and
+`tests.test_shift`.
 """
 
 import dataclasses
@@ -30,22 +31,21 @@
 from .topology import Topology
 
 _DEAD_BAND = 0.005
-"""Part of the callers, in `[0, 1]`, below which a change is not worth a write and its spread to
-every VM. The leaving of a region is exempt."""
+"""Part of the callers, in `[0, 1]`, below which a change is not worth a write to the store and its
+transfer to every VM. A change after which a region serves no callers is exempt."""
 
 _MEASURE_LAG_S = 6.0
-"""Time that measures take to be smoothed and to reach the planner, in seconds: twice the time
-constant `metrics.SMOOTHING_S`. That some lag has to be counted is shown by
-`tests.test_guard.NoDecisionOverloads`."""
+"""Time for measures to be smoothed and to reach the planner: twice the time constant
+`metrics.SMOOTHING_S`. `tests.test_guard.NoDecisionOverloads` fails when the lag is ignored."""
 
 
 class _ServiceDraft(NamedTuple):
-    """The next plan's part for one service.
+    """The part of the next plan that is for one service.
 
     Args:
         shares: Weights by region.
         notes: Limits that took effect.
-        fault: Failure of the policy; None when it worked.
+        fault: Failure of the policy; None when it succeeded.
     """
 
     shares: dict[str, float]
@@ -56,25 +56,26 @@
 class Planner:
     """Makes the plans of one client region while this entry VM holds its lease.
 
-    A plan takes effect when the store accepts it by compare-and-swap, so of several planners that
-    consider themselves holders of the lease only one succeeds. Each starts with the whole shift cap
+    A plan takes effect when the store accepts it by compare-and-swap, so when several planners
+    believe that they hold the lease, only one succeeds. Each starts with the whole shift cap
     counted as spent.
 
     Args:
         client_region: Region of the callers.
-        me: Name of this incarnation of the VM.
+        incarnation: Name of this incarnation of the VM.
 
     Attributes:
-        faults: Failures of a policy so far, by service.
+        confirmed: Newest plan that the store is known to hold; None when there is none yet.
+        fault_counts: Number of failures of a policy, by service.
     """
 
-    def __init__(self, client_region: str, me: str) -> None:
+    def __init__(self, client_region: str, incarnation: str) -> None:
         self.client_region = client_region
-        self.me = me
-        self.base: Optional[Plan] = None
+        self.incarnation = incarnation
+        self.confirmed: Optional[Plan] = None
         self.limiters: dict[str, ShiftLimiter] = {}
         self.histories: dict[str, ShareHistory] = {}
-        self.faults: dict[str, int] = {}
+        self.fault_counts: dict[str, int] = {}
 
     def adopt(self, plan: Optional[Plan], topology: Topology, now: float) -> None:
         """Start from the plan that the store holds; the shift cap counts as spent now.
@@ -84,7 +85,7 @@
             topology: The configuration in force.
             now: Monotonic time, in seconds.
         """
-        self.base = plan
+        self.confirmed = plan
         self.limiters = {}
         self.histories = {}
         for service in topology.services:
@@ -109,15 +110,15 @@
             The next plan; None when nothing changes.
         """
         drafts = {
-            service: self._draft(service, topology, policies, snapshot, now)
+            service: self._draft_service(service, topology, policies, snapshot, now)
             for service, snapshot in snapshots.items()
         }
-        plan = self._next(topology, drafts)
-        if self.base is not None and _same(self.base, plan):
+        plan = self._next_plan(topology, drafts)
+        if self.confirmed is not None and _same_decisions(self.confirmed, plan):
             return None
         return plan
 
-    def _draft(
+    def _draft_service(
         self,
         service: str,
         topology: Topology,
@@ -127,15 +128,15 @@
     ) -> _ServiceDraft:
         limiter = self._limiter(service, topology, now)
         current = limiter.current
-        wanted = self._wanted(service, topology, policies, snapshot)
+        wanted = self._wanted_weights(service, topology, policies, snapshot)
         fault = None
         if isinstance(wanted, PolicyFault):
             fault = wanted.problem
-            self.faults[service] = self.faults.get(service, 0) + 1
+            self.fault_counts[service] = self.fault_counts.get(service, 0) + 1
             wanted = current.as_dict()
         measured = self._with_history(service, topology, snapshot, current, now)
         granted = grant(wanted, current, measured, guard_limits(topology))
-        target = current if _near(current, granted.shares) else granted.shares
+        target = current if _within_dead_band(current, granted.shares) else granted.shares
         return _ServiceDraft(limiter.propose(target, now).as_dict(), granted.notes, fault)
 
     def confirm(self, plan: Plan, topology: Topology, now: float) -> None:
@@ -146,7 +147,7 @@
             topology: The configuration in force.
             now: Monotonic time after the write was confirmed, in seconds.
         """
-        self.base = plan
+        self.confirmed = plan
         for service, weights in plan.shares.items():
             limiter = self.limiters.get(service)
             if limiter is None or limiter.current.regions != topology.order:
@@ -156,7 +157,7 @@
                 self._history(service, topology).replaced(limiter.current, now)
                 limiter.commit(shares, now)
 
-    def _wanted(
+    def _wanted_weights(
         self,
         service: str,
         topology: Topology,
@@ -176,7 +177,7 @@
     def _with_history(
         self, service: str, topology: Topology, snapshot: Snapshot, current: Shares, now: float
     ) -> Snapshot:
-        """Add the shares that the measures may reflect, so that no headroom is used twice."""
+        """Add the range of shares that the measures may reflect, so no headroom is used twice."""
         history = self._history(service, topology)
         regions = snapshot.order
         return dataclasses.replace(
@@ -189,19 +190,19 @@
         limit = topology.shift_limit(service)
         limiter = self.limiters.get(service)
         if limiter is None:
-            held = self.base.shares.get(service, {}) if self.base else {}
-            start = topology.shares_of(held, self.client_region)
+            weights = self.confirmed.shares.get(service, {}) if self.confirmed else {}
+            start = topology.shares_of(weights, self.client_region)
             limiter = self.limiters[service] = ShiftLimiter(start, limit, spent_at=now)
         limiter.set_limit(limit)
         if limiter.current.regions != topology.order:
             limiter.reorder(topology.order)
         return limiter
 
-    def _next(self, topology: Topology, drafts: Mapping[str, _ServiceDraft]) -> Plan:
+    def _next_plan(self, topology: Topology, drafts: Mapping[str, _ServiceDraft]) -> Plan:
         return Plan(
             client_region=self.client_region,
-            revision=self.base.revision + 1 if self.base else 1,
-            planner=self.me,
+            revision=self.confirmed.revision + 1 if self.confirmed else 1,
+            planner=self.incarnation,
             configuration_revision=topology.document.revision,
             shares={service: draft.shares for service, draft in drafts.items()},
             notes={service: draft.notes for service, draft in drafts.items()},
@@ -209,13 +210,18 @@
         )
 
 
-def _near(current: Shares, target: Shares) -> bool:
-    """Return whether a change is too small to be made; leaving a region never is."""
-    left = any(a > 0 and b <= 0 for a, b in zip(current.weights, target.weights, strict=True))
-    return not left and moved_part(current, target) < _DEAD_BAND
+def _within_dead_band(current: Shares, target: Shares) -> bool:
+    """Return whether a change is too small to be made.
+
+    A change after which a region serves no callers is never too small.
+    """
+    empties_region = any(
+        a > 0 and b <= 0 for a, b in zip(current.weights, target.weights, strict=True)
+    )
+    return not empties_region and moved_part(current, target) < _DEAD_BAND
 
 
-def _same(old: Plan, new: Plan) -> bool:
+def _same_decisions(old: Plan, new: Plan) -> bool:
     return (
         old.shares == new.shares
         and old.faults == new.faults
@@ -224,7 +230,7 @@
 
 
 def guard_limits(topology: Topology) -> GuardLimits:
-    """Return the guard's limits under a configuration."""
+    """Return the limits of the guard that a configuration sets."""
     guard = topology.configuration.guard
     planners = max(1, len(topology.order))
     return GuardLimits(guard.ceiling, guard.stale_s, guard.warm_step, planners)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -237,8 +237,8 @@
         before = planner.limiters["rates"].current
         fleet.round([{OTHER: 1.0}] * 3)
         self.assertEqual(planner.limiters["rates"].current, before)
-        self.assertEqual(planner.faults["rates"], 1)
-        self.assertEqual(planner.base.faults, {"rates": "took too long"})
+        self.assertEqual(planner.fault_counts["rates"], 1)
+        self.assertEqual(planner.confirmed.faults, {"rates": "took too long"})
 
     def test_drained_region_is_left_under_the_shift_cap(self) -> None:
         fleet = Fleet(500.0, 2)
@@ -257,7 +257,7 @@
     def test_new_planner_moves_nothing_within_its_first_window(self) -> None:
         fleet = Fleet(500.0, 0)
         planner = fleet.planners[HOME]
-        planner.adopt(planner.base, fleet.topology, 0.0)
+        planner.adopt(planner.confirmed, fleet.topology, 0.0)
         for _ in range(11):
             fleet.round([{OTHER: 1.0}] * 3)
         self.assertEqual(planner.limiters["rates"].current.share(HOME), 1.0)
