--- a/sprucewinch/hall/planning/plan_rounds.py
+++ b/sprucewinch/hall/planning/plan_rounds.py
@@ -23,7 +23,7 @@
 from ..store.store import Platform, Written
 from ..store.store_reader import PlatformReader
 from .planner import Planner
-from .planner_lease import LEASE_S, LeaseRenewal, is_candidate
+from .planner_lease import LEASE_DURATION_S, LeaseRenewal, is_candidate
 from .steering import Plan
 
 
@@ -62,7 +62,7 @@
             # The counter is enough: the reader logs the outage and its reason as `event=platform`.
             self._count("plan_rounds_without_store")
             self._planner = None
-            self._renewal.forget()
+            self._renewal.reset()
 
     def _count(self, name: str) -> None:
         self.node.metrics.counters[name] += 1
@@ -100,9 +100,9 @@
         """Return whether this VM holds the lease; renew it when that is due."""
         if not self._renewal.due(now):
             return self._planner is not None
-        self._renewal.asked(now)
+        self._renewal.record_request(now)
         name = f"planner/{self.node.settings.region}"
-        return await self.platform.lease(name, member_id(self.node.own), LEASE_S)
+        return await self.platform.lease(name, member_id(self.node.own), LEASE_DURATION_S)
 
     async def _adopt(self, key: str, region: str) -> None:
         """Start a planner from the newest plan: the stored one, or the one in force here."""
