--- a/sprucewinch/hall/planning/plan_rounds.py
+++ b/sprucewinch/hall/planning/plan_rounds.py
@@ -1,10 +1,10 @@
-"""Planning rounds: keeps the planner's lease, makes plans with `planner` and writes them.
+"""Planning rounds: hold the lease, make plans with `planner` and write them to the store.
 
-Owns the planner while this VM holds the lease. Relies on `planner_lease` for when to ask, on
-`planner` for the plan, on the store for the lease and for compare-and-swap, and on the node for
-configuration, members and measures. A round that fails shows in the counters
-`plan_rounds_without_store`, `plan_writes_unknown` and `plan_writes_overtaken`. Tests:
-`tests.test_plan_rounds`, `tests.test_formats_own_lines`.
+Owns the planner while this VM holds the lease. Relies on `planner_lease` for when to request the
+lease, on `planner` for the plan, on the store for the lease and for compare-and-swap, and on the
+node for configuration, members and measures. A round that fails shows in the counters
+`plan_rounds_without_store`, `plan_writes_unknown` and `plan_writes_overtaken`. The tests are
+`tests.test_plan_rounds` and `tests.test_formats_own_lines`.
 """
 
 from collections.abc import Callable
@@ -33,7 +33,7 @@
     Args:
         node: This VM's state.
         platform: Client of the store.
-        reader: Keeps the versions that the store holds.
+        reader: Holds the version of each value in the store, for compare-and-swap.
         clock: Source of time.
         changed: Called after a new plan was written.
     """
@@ -55,22 +55,26 @@
         self._planner: Optional[Planner] = None
 
     async def step(self) -> None:
-        """Plan once if this VM holds the lease; without the store the shares in force stay."""
+        """Plan once if this VM holds the lease.
+
+        When the store cannot be reached, the shares in force stay and the next round requests the
+        lease again.
+        """
         try:
-            await self._plan()
+            await self._plan_once()
         except PlatformError:
-            # The counter is enough: the reader logs the outage and its reason as `event=platform`.
-            self._count("plan_rounds_without_store")
+            # No log line here: the reader logs the outage and its reason as `event=platform`.
+            self._count_failure("plan_rounds_without_store")
             self._planner = None
             self._renewal.reset()
 
-    def _count(self, name: str) -> None:
+    def _count_failure(self, name: str) -> None:
         self.node.metrics.counters[name] += 1
 
-    async def _plan(self) -> None:
+    async def _plan_once(self) -> None:
         topology = self.node.topology
         now = self.clock.monotonic()
-        if topology is None or self.node.own.state != SERVING or not self._may_plan(now):
+        if topology is None or self.node.own.state != SERVING or not self._is_candidate(now):
             return
         if not await self._hold_lease(now):
             self._planner = None
@@ -78,7 +82,7 @@
         region = self.node.settings.region
         key = PLAN_PREFIX + region
         if self._planner is None:
-            await self._adopt(key, region)
+            await self._start_planner(key, region)
         assert self._planner is not None
         now = self.clock.monotonic()
         view = View(topology, self.node.membership, region, now)
@@ -87,8 +91,8 @@
         if plan is not None:
             await self._write_plan(key, plan)
 
-    def _may_plan(self, now: float) -> bool:
-        """Return whether this VM may ask for its region's lease."""
+    def _is_candidate(self, now: float) -> bool:
+        """Return whether this VM may request its region's lease."""
         topology = self.node.topology
         region = self.node.settings.region
         if topology is None or region not in topology.order:
@@ -97,41 +101,42 @@
         return is_candidate(self.node.own.vm, (m.vm for m in members if m.region == region))
 
     async def _hold_lease(self, now: float) -> bool:
-        """Return whether this VM holds the lease; renew it when that is due."""
+        """Return whether this VM holds the lease; request or renew it when that is due."""
         if not self._renewal.due(now):
             return self._planner is not None
         self._renewal.record_request(now)
         name = f"planner/{self.node.settings.region}"
         return await self.platform.lease(name, member_id(self.node.own), LEASE_DURATION_S)
 
-    async def _adopt(self, key: str, region: str) -> None:
-        """Start a planner from the newest plan: the stored one, or the one in force here."""
+    async def _start_planner(self, key: str, region: str) -> None:
+        """Start a planner from the newest plan: the stored one, or the one that this VM follows."""
         entry = await self.platform.get(key)
-        held = None
+        newest = None
         if entry is not None:
-            held = msgspec.json.decode(entry.value, type=Plan)
+            newest = msgspec.json.decode(entry.value, type=Plan)
             self.reader.take([entry])
-        newest = self.node.steering.plans.get(region)
-        if newest is not None and (held is None or newest.revision > held.revision):
-            held = newest
+        followed = self.node.steering.plans.get(region)
+        if followed is not None and (newest is None or followed.revision > newest.revision):
+            newest = followed
         self.reader.versions[key] = entry.version if entry else 0
         self._planner = Planner(region, member_id(self.node.own))
         assert self.node.topology is not None
-        self._planner.adopt(held, self.node.topology, self.clock.monotonic())
-        log.state(f"event=planner region={region} plan={held.revision if held else 0}")
+        self._planner.adopt(newest, self.node.topology, self.clock.monotonic())
+        log.state(f"event=planner region={region} plan={newest.revision if newest else 0}")
 
     async def _write_plan(self, key: str, plan: Plan) -> None:
+        """Write a plan by compare-and-swap; a write that is not confirmed drops the planner."""
         assert self._planner is not None and self.node.topology is not None
         value = msgspec.json.encode(plan)
         try:
             result = await self.platform.put(key, value, self.reader.versions.get(key, 0))
         except WriteUnknownError:
-            # The next round reads the stored plan, so the counter is enough.
-            self._count("plan_writes_unknown")
+            # No log line here: the next round starts again from the stored plan.
+            self._count_failure("plan_writes_unknown")
             self._planner = None
             return
         if not isinstance(result, Written):
-            self._count("plan_writes_overtaken")
+            self._count_failure("plan_writes_overtaken")
             self._planner = None
             return
         self.reader.versions[key] = result.version
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -1,4 +1,4 @@
-"""The planner's lease and its writes: what a round does when the store fails it."""
+"""Planning rounds whose lease request or write fails, or whose write is overtaken."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
 
 class FailedRounds(unittest.IsolatedAsyncioTestCase):
     def vm(self, platform: FakePlatform) -> OwnVm:
-        """Return a VM that serves."""
+        """Return a VM in state SERVING with a configuration."""
         return OwnVm(platform).configure(DOCUMENT, 7)
 
     def failures(self, vm: OwnVm) -> dict[str, int]:
@@ -30,7 +30,7 @@
         counters = vm.node.metrics.counters
         return {name: count for name, count in counters.items() if name.startswith("plan_")}
 
-    async def test_the_store_is_away(self) -> None:
+    async def test_the_store_is_unreachable(self) -> None:
         vm = self.vm(FakePlatform())
         vm.platform.down = True
         await rounds_at(vm).step()
