--- a/sprucewinch/hall/planning/_share_history.py
+++ b/sprucewinch/hall/planning/_share_history.py
@@ -11,42 +11,44 @@
 from ...steering.placement import Shares
 
 
-class _Past(NamedTuple):
+class _ReplacedShares(NamedTuple):
+    """Shares that were in force until a monotonic time in seconds."""
+
     until: float
     shares: Shares
 
 
 class ShareHistory:
-    """The shares that were in force within the last seconds.
+    """The shares that were in force within the last `settle_s`.
 
     Args:
         settle_s: Longest time until a change shows in measures, in seconds.
     """
 
-    __slots__ = ("_past", "settle_s")
+    __slots__ = ("_replaced", "settle_s")
 
     def __init__(self, settle_s: float) -> None:
         self.settle_s = settle_s
-        self._past: deque[_Past] = deque()
+        self._replaced: deque[_ReplacedShares] = deque()
 
-    def replaced(self, shares: Shares, now: float) -> None:
+    def record_replaced(self, shares: Shares, now: float) -> None:
         """Record that shares were in force until now.
 
         Args:
-            shares: Shares that another set replaces.
+            shares: Shares that others replace.
             now: Monotonic time of the replacement, in seconds.
         """
-        self._past.append(_Past(now, shares))
+        self._replaced.append(_ReplacedShares(now, shares))
 
     def low(self, region: str, current: Shares, now: float) -> float:
-        """Return the smallest share that measures of a region may reflect."""
-        return min(shares.share(region) for shares in self._reflected(current, now))
+        """Return the smallest share of a region that its measures may reflect."""
+        return min(shares.share(region) for shares in self._possibly_reflected(current, now))
 
     def high(self, region: str, current: Shares, now: float) -> float:
-        """Return the largest share that measures of a region may reflect."""
-        return max(shares.share(region) for shares in self._reflected(current, now))
+        """Return the largest share of a region that its measures may reflect."""
+        return max(shares.share(region) for shares in self._possibly_reflected(current, now))
 
-    def _reflected(self, current: Shares, now: float) -> list[Shares]:
-        while self._past and self._past[0].until < now - self.settle_s:
-            self._past.popleft()
-        return [current, *(past.shares for past in self._past)]
+    def _possibly_reflected(self, current: Shares, now: float) -> list[Shares]:
+        while self._replaced and self._replaced[0].until < now - self.settle_s:
+            self._replaced.popleft()
+        return [current, *(replaced.shares for replaced in self._replaced)]
--- a/sprucewinch/hall/planning/planner.py
+++ b/sprucewinch/hall/planning/planner.py
@@ -154,7 +154,7 @@
                 continue
             shares = make_shares(topology.order, weights)
             if shares != limiter.current:
-                self._history(service, topology).replaced(limiter.current, now)
+                self._history(service, topology).record_replaced(limiter.current, now)
                 limiter.commit(shares, now)
 
     def _wanted_weights(
