--- a/sprucewinch/hall/planning/lookup.py
+++ b/sprucewinch/hall/planning/lookup.py
@@ -118,7 +118,7 @@
         place = self.place(client, service)
         if isinstance(place, Refusal):
             return place
-        self.steering.answered.add(place.client_region)
+        self.steering.answered_regions.add(place.client_region)
         key = (place.client_region, service, place.region)
         answers = self._answers.get(key)
         if answers is None:
