--- a/sprucewinch/hall/planning/topology.py
+++ b/sprucewinch/hall/planning/topology.py
@@ -1,8 +1,8 @@
 """A configuration's regions, halls, links and drains, as tables built once for each revision.
 
 Owns the document in force and a bounded cache of callers' regions. Relies on `config.configuration`
-for the document and on `steering.placement` for client blocks. A `Topology` never changes after its
-construction but for that cache, so a new revision is a new object.
+for the document and on `steering.placement` for client blocks. Except for that cache, a `Topology`
+does not change after its construction, so a new revision is a new object.
 """
 
 import math
@@ -13,22 +13,22 @@
 from ...steering.placement import BlockTable, Shares, make_shares
 from ...steering.shift import ShiftCap
 
-_FAR_MS = 1000.0
-"""Distance between regions without a link, in milliseconds one way: above that of any real link, so
-that such a region is last."""
+_UNLINKED_DISTANCE_MS = 1000.0
+"""One-way distance between regions without a link: above that of any real link, so that such a
+region comes last."""
 
-_MAX_REMEMBERED = 8192
-"""Most callers whose region is cached; beyond it the cache starts empty."""
+_MAX_CACHED_CLIENTS = 8192
+"""Most callers whose region is cached; the cache is emptied when it is full."""
 
-_HOME_MS = 1.0
-"""Distance of a region to itself, in milliseconds one way."""
+_HOME_DISTANCE_MS = 1.0
+"""One-way distance of a region to itself."""
 
 
 class Topology:
-    """A configuration document with tables over it.
+    """A configuration document and the tables built from it.
 
     Args:
-        document: The configuration in force.
+        document: The document in force.
     """
 
     def __init__(self, document: Document) -> None:
@@ -41,36 +41,42 @@
             (block, region.name) for region in self.configuration.region for block in region.clients
         )
         self.drained = frozenset(document.drained)
-        self._client_regions: dict[str, Optional[str]] = {}
+        self._region_of_client: dict[str, Optional[str]] = {}
         self._links = {
             frozenset((link.a, link.b)): (link.one_way_ms, link.requests_per_s)
             for link in self.configuration.link
         }
 
     def client_region(self, client: str) -> Optional[str]:
-        """Return the region of a caller's address or block; None when no block holds it.
+        """Return the region of a caller's address or block; None when no block contains it.
 
         Raises:
-            ValueError: When the text is neither an IP number nor a block.
+            ValueError: When the text is neither an IP address nor a block.
         """
-        if client not in self._client_regions:
+        if client not in self._region_of_client:
             region = self.blocks.region_of(client)
-            if len(self._client_regions) >= _MAX_REMEMBERED:
-                self._client_regions.clear()
-            self._client_regions[client] = region
-        return self._client_regions[client]
+            if len(self._region_of_client) >= _MAX_CACHED_CLIENTS:
+                self._region_of_client.clear()
+            self._region_of_client[client] = region
+        return self._region_of_client[client]
 
     def distance_ms(self, client_region: str, region: str) -> float:
-        """Return the one-way time between two regions, in milliseconds; far without a link."""
+        """Return the one-way time between two regions, in milliseconds.
+
+        Without a link it is `_UNLINKED_DISTANCE_MS`.
+        """
         if client_region == region:
-            return _HOME_MS
-        return self._links.get(frozenset((client_region, region)), (_FAR_MS, 0.0))[0]
+            return _HOME_DISTANCE_MS
+        return self._links.get(frozenset((client_region, region)), (_UNLINKED_DISTANCE_MS, 0.0))[0]
 
     def link_per_s(self, client_region: str, region: str) -> float:
-        """Return the limit between two regions, in requests a second; 0 without a link."""
+        """Return the limit of the link between two regions, in requests a second.
+
+        It is 0 without a link, and infinite for one and the same region.
+        """
         if client_region == region:
             return math.inf
-        return self._links.get(frozenset((client_region, region)), (_FAR_MS, 0.0))[1]
+        return self._links.get(frozenset((client_region, region)), (_UNLINKED_DISTANCE_MS, 0.0))[1]
 
     def by_distance(self, client_region: str) -> list[str]:
         """Return all regions, the nearest to a client region first."""
@@ -81,28 +87,31 @@
         return tuple(pool for pool in self.configuration.pool if pool.hall == hall)
 
     def hall_drained(self, hall: str) -> bool:
-        """Return whether operators drain a data hall."""
+        """Return whether operators are draining a data hall."""
         return drain_key("hall", hall) in self.drained
 
     def region_drained(self, region: str) -> bool:
-        """Return whether operators drain a region, or every data hall of it."""
-        halls = [hall for hall, where in self.region_of_hall.items() if where == region]
+        """Return whether operators are draining a region, or every data hall of it."""
+        halls = [hall for hall, hall_region in self.region_of_hall.items() if hall_region == region]
         if halls and all(map(self.hall_drained, halls)):
             return True
         return drain_key("region", region) in self.drained
 
     def drained_servers(self, hall: str) -> frozenset[str]:
-        """Return the backend servers of a hall that operators drain: they get no new work."""
+        """Return the backend servers of a hall that operators are draining.
+
+        They get no new requests.
+        """
         servers = [server for pool in self.pools_of(hall) for server in pool.servers]
         if self.hall_drained(hall):
             return frozenset(servers)
         return frozenset(s for s in servers if drain_key("server", s) in self.drained)
 
     def shift_limit(self, service: str) -> ShiftCap:
-        """Return the shift cap of a service."""
-        own = self.services[service].shift_cap
+        """Return the shift cap of a service: its own, or else that of the configuration."""
+        service_cap = self.services[service].shift_cap
         shift = self.configuration.shift
-        cap = shift.cap if own is None else own
+        cap = shift.cap if service_cap is None else service_cap
         return ShiftCap(cap, shift.window_s, self.configuration.lookup.ttl_ms / 1000)
 
     def shares_of(self, weights: Mapping[str, float], default: str) -> Shares:
