--- a/sprucewinch/hall/planning/lookup.py
+++ b/sprucewinch/hall/planning/lookup.py
@@ -1,18 +1,18 @@
-"""The rule of look-ups: which entry VMs a caller uses for a service, and in which order.
+"""Look-ups: which entry VMs a caller uses for a service, and in which order.
 
 Owns the encoded answers and a bounded cache of callers' keys; relies on `Topology` for regions and
 distances (milliseconds), on `Steering` for the shares in force, and on the caller for the VMs that
 serve. A new table is built when the configuration or the serving VMs change.
 
-The rule: the caller's address gives its client region and its block, the block's key and the shares
-give the region. The answer names VMs of that region first, rotated by a byte of the key so that
-blocks spread over them, then those of other regions, nearest to the caller first. When the region
-has no VM, those of the nearest region that has some come first.
+The caller's address gives its client region and its block; the block's key and the shares give the
+region. The answer names VMs of that region first, rotated by a byte of the key so that blocks are
+spread over them, then those of other regions, nearest to the caller first. When the region has no
+VM, those of the nearest region that has some come first.
 
-Why this way: all callers of one block get the same region from any VM that holds the same plan, and
-an answer is a table access: 2.6 us at the target's tables (`tools.bench_core`). Constants:
-`MAX_ENTRY_VMS`, `_MAX_KEYS`, `_RETRY_MS`. Refusals are `no-such-service`, `malformed`,
-`unknown-client` and `no-entry-vm`. Tests: `tests.test_callers`, `tests.test_formats_own`.
+All callers of one block get the same region from any VM that holds the same plan, and an answer is
+a table access: 2.6 us for the tables of the target size (`tools.bench_core`). Refusals are
+`no-such-service`, `malformed`, `unknown-client` and `no-entry-vm`. The tests are
+`tests.test_callers` and `tests.test_formats_own`.
 """
 
 from collections.abc import Sequence
@@ -29,16 +29,16 @@
 MAX_ENTRY_VMS = 4
 """Most entry VMs named in one answer."""
 
-_MAX_KEYS = 8192
-"""Most pairs of client and service whose keys are cached, some 300 bytes each; beyond it the cache
-starts empty. A bound on memory."""
+_MAX_CACHED_KEYS = 8192
+"""Most pairs of client and service whose keys are cached, to bound memory: a pair takes some 300
+bytes. The cache is emptied when it is full."""
 
-_RETRY_MS = 1000
-"""Time after which a caller may ask again when no VM serves, in milliseconds: one round of
-`loops.EXCHANGE_S`, in which VMs learn of each other."""
+_RETRY_AFTER_MS = 1000
+"""Time after which a caller may retry when no VM serves: one round of `loops.EXCHANGE_S`, in which
+VMs learn of each other."""
 
-_V4_SUFFIX = ".0"
-"""Last part of a /24 block's address, which stands for all callers of the block."""
+_V4_BLOCK_SUFFIX = ".0"
+"""Last part of the address of a /24 block."""
 
 
 class EntryVm(msgspec.Struct, frozen=True):
@@ -69,12 +69,12 @@
 
 
 class Place(NamedTuple):
-    """The region of a client block for a service, with what it follows from.
+    """The region of a client block for a service, and the inputs that determine it.
 
     Args:
         client_region: Region of the callers.
         key: The block's key for the service.
-        region: Region it is steered to.
+        region: Region that the block is steered to.
     """
 
     client_region: str
@@ -86,7 +86,7 @@
     """Return the block that callers of an address share: a /24, or the text itself for IPv6."""
     host = address.partition("/")[0]
     head, dot, _ = host.rpartition(".")
-    return head + _V4_SUFFIX if dot else host
+    return head + _V4_BLOCK_SUFFIX if dot else host
 
 
 class LookupTable:
@@ -94,14 +94,14 @@
 
     Args:
         topology: The configuration in force.
-        steering: Shares in force here.
+        steering: Shares in force at this VM.
         members: Entry VMs that callers may be sent to.
     """
 
     def __init__(self, topology: Topology, steering: Steering, members: Sequence[Member]) -> None:
         self.topology = topology
         self.steering = steering
-        self._by_region = self._entry_vms(members)
+        self._by_region = self._entry_vms_by_region(members)
         self._answers: dict[tuple[str, str, str], list[bytes]] = {}
         self._keys: dict[tuple[str, str], tuple[str, bytes]] = {}
 
@@ -110,7 +110,7 @@
 
         Args:
             client: The caller's address or client block.
-            service: Service.
+            service: Name of the service.
 
         Returns:
             The encoded answer, or a refusal.
@@ -124,44 +124,44 @@
         if answers is None:
             answers = self._answers[key] = self._encode(*key)
         if not answers:
-            return not_run(Reason.NO_ENTRY_VM, _RETRY_MS)
+            return not_run(Reason.NO_ENTRY_VM, _RETRY_AFTER_MS)
         return answers[place.key[0] % len(answers)]
 
     def place(self, client: str, service: str) -> Union[Place, Refusal]:
         """Return the region that a client block is steered to, or a refusal."""
-        found = self._keys.get((client, service))
-        if found is None:
+        cached = self._keys.get((client, service))
+        if cached is None:
             located = self._locate(client, service)
             if isinstance(located, Refusal):
                 return located
-            found = located
-            if len(self._keys) >= _MAX_KEYS:
+            cached = located
+            if len(self._keys) >= _MAX_CACHED_KEYS:
                 self._keys.clear()
-            self._keys[(client, service)] = found
-        client_region, key = found
+            self._keys[(client, service)] = cached
+        client_region, key = cached
         shares = self.steering.shares(client_region, service)
         return Place(client_region, key, shares.region_at(key))
 
     def _locate(self, client: str, service: str) -> Union[tuple[str, bytes], Refusal]:
-        """Return a client's region and key; only a new configuration changes them."""
+        """Return a client's region and key, which change only with the configuration."""
         if service not in self.topology.services:
             return not_run(Reason.NO_SUCH_SERVICE)
         try:
             client_region = self.topology.client_region(client)
         except ValueError:
-            # The refusal is the typed result; it is counted by its reason.
+            # No log line here: the refusal is the result, and it is counted by its reason.
             return not_run(Reason.MALFORMED)
         if client_region is None:
             return not_run(Reason.UNKNOWN_CLIENT)
         return client_region, block_key(block_of(client), service)
 
-    def _entry_vms(self, members: Sequence[Member]) -> dict[str, list[EntryVm]]:
-        found: dict[str, list[EntryVm]] = {region: [] for region in self.topology.order}
+    def _entry_vms_by_region(self, members: Sequence[Member]) -> dict[str, list[EntryVm]]:
+        by_region: dict[str, list[EntryVm]] = {region: [] for region in self.topology.order}
         for member in sorted(members, key=lambda m: (m.hall, m.vm)):
-            if member.region in found and not self.topology.hall_drained(member.hall):
+            if member.region in by_region and not self.topology.hall_drained(member.hall):
                 entry = EntryVm(member.vm, member.hall, member.region, member.caller_address)
-                found[member.region].append(entry)
-        return found
+                by_region[member.region].append(entry)
+        return by_region
 
     def _encode(self, client_region: str, service: str, region: str) -> list[bytes]:
         """Return one encoded answer for each entry VM that may come first."""
@@ -172,7 +172,7 @@
             first = self._by_region[rest[0].region]
             rest = [entry for entry in rest if entry not in first]
         return [
-            self._encode_one(service, region, _spread(first, start) + rest)
+            self._encode_one(service, region, _rotated(first, start) + rest)
             for start in range(len(first))
         ]
 
@@ -187,8 +187,8 @@
         return msgspec.json.encode(answer)
 
 
-def _spread(entry_vms: list[EntryVm], start: int) -> list[EntryVm]:
-    """Rotate a list, so that its entry at `start` comes first."""
+def _rotated(entry_vms: list[EntryVm], start: int) -> list[EntryVm]:
+    """Return a list rotated so that its entry at `start` comes first."""
     return entry_vms[start:] + entry_vms[:start]
 
 
