--- a/sprucewinch/hall/planning/_share_history.py
+++ b/sprucewinch/hall/planning/_share_history.py
@@ -40,11 +40,11 @@
         """
         self._replaced.append(_ReplacedShares(now, shares))
 
-    def low(self, region: str, current: Shares, now: float) -> float:
+    def lowest_share(self, region: str, current: Shares, now: float) -> float:
         """Return the smallest share of a region that its measures may reflect."""
         return min(shares.share(region) for shares in self._possibly_reflected(current, now))
 
-    def high(self, region: str, current: Shares, now: float) -> float:
+    def highest_share(self, region: str, current: Shares, now: float) -> float:
         """Return the largest share of a region that its measures may reflect."""
         return max(shares.share(region) for shares in self._possibly_reflected(current, now))
 
--- a/sprucewinch/hall/planning/lookup.py
+++ b/sprucewinch/hall/planning/lookup.py
@@ -68,7 +68,7 @@
     revision: int
 
 
-class Place(NamedTuple):
+class BlockPlacement(NamedTuple):
     """The region of a client block for a service, and the inputs that determine it.
 
     Args:
@@ -127,7 +127,7 @@
             return not_run(Reason.NO_ENTRY_VM, _RETRY_AFTER_MS)
         return answers[place.key[0] % len(answers)]
 
-    def place(self, client: str, service: str) -> Union[Place, Refusal]:
+    def place(self, client: str, service: str) -> Union[BlockPlacement, Refusal]:
         """Return the region that a client block is steered to, or a refusal."""
         cached = self._keys.get((client, service))
         if cached is None:
@@ -140,7 +140,7 @@
             self._keys[(client, service)] = cached
         client_region, key = cached
         shares = self.steering.shares(client_region, service)
-        return Place(client_region, key, shares.region_at(key))
+        return BlockPlacement(client_region, key, shares.region_at(key))
 
     def _locate(self, client: str, service: str) -> Union[tuple[str, bytes], Refusal]:
         """Return a client's region and key, which change only with the configuration."""
--- a/sprucewinch/hall/planning/planner.py
+++ b/sprucewinch/hall/planning/planner.py
@@ -182,8 +182,8 @@
         regions = snapshot.order
         return dataclasses.replace(
             snapshot,
-            share_low={region: history.low(region, current, now) for region in regions},
-            share_high={region: history.high(region, current, now) for region in regions},
+            share_low={region: history.lowest_share(region, current, now) for region in regions},
+            share_high={region: history.highest_share(region, current, now) for region in regions},
         )
 
     def _limiter(self, service: str, topology: Topology, now: float) -> ShiftLimiter:
@@ -195,7 +195,7 @@
             limiter = self.limiters[service] = ShiftLimiter(start, limit, spent_at=now)
         limiter.set_limit(limit)
         if limiter.current.regions != topology.order:
-            limiter.reorder(topology.order)
+            limiter.set_regions(topology.order)
         return limiter
 
     def _next_plan(self, topology: Topology, drafts: Mapping[str, _ServiceDraft]) -> Plan:
--- a/sprucewinch/hall/planning/steering.py
+++ b/sprucewinch/hall/planning/steering.py
@@ -133,4 +133,4 @@
             self.limiters[key] = limiter
         limiter.set_limit(limit)
         if limiter.current.regions != topology.order:
-            limiter.reorder(topology.order)
+            limiter.set_regions(topology.order)
--- a/sprucewinch/steering/shift.py
+++ b/sprucewinch/steering/shift.py
@@ -134,7 +134,7 @@
         self.commit(self.propose(target, now), now)
         return self.current
 
-    def reorder(self, order: tuple[str, ...]) -> None:
+    def set_regions(self, order: tuple[str, ...]) -> None:
         """Apply a changed list of regions; shares of removed regions go to the others.
 
         Args:
