--- a/sprucewinch/hall/planning/lookup.py
+++ b/sprucewinch/hall/planning/lookup.py
@@ -10,7 +10,7 @@
 VM, those of the nearest region that has some come first.
 
 All callers of one block get the same region from any VM that holds the same plan, and an answer is
-a table access: 2.6 us for the tables of the target size (`tools.bench_core`). Refusals are
+a table access: 2.6 us with tables of the target size (`tools.bench_core`). Refusals are
 `no-such-service`, `malformed`, `unknown-client` and `no-entry-vm`. The tests are
 `tests.test_callers` and `tests.test_formats_own`.
 """
--- a/sprucewinch/hall/planning/planner.py
+++ b/sprucewinch/hall/planning/planner.py
@@ -36,7 +36,8 @@
 
 _MEASURE_LAG_S = 6.0
 """Time for measures to be smoothed and to reach the planner: twice the time constant
-`metrics.SMOOTHING_S`. `tests.test_guard.NoDecisionOverloads` fails when the lag is ignored."""
+`metrics.SMOOTHING_S`. Plans overload a region when the lag is ignored
+(`tests.test_guard.NoDecisionOverloads`)."""
 
 
 class _ServiceDraft(NamedTuple):
--- a/sprucewinch/steering/guard.py
+++ b/sprucewinch/steering/guard.py
@@ -18,7 +18,7 @@
 
 The notes of `Granted` name the limits that took effect; `sprucewinch explain` and `compare` print
 them as `limits`, and `/state` of the routed path lists them by service. Nothing is logged, since a
-limit may take effect in every round. The tests are `tests.test_guard` (`Filters`,
+limit may take effect in every round. The tests are `tests.test_guard` (`GrantedShares`,
 `NoDecisionOverloads`) and `tests.test_gateway_policies`.
 """
 
--- a/sprucewinch/steering/policy.py
+++ b/sprucewinch/steering/policy.py
@@ -15,10 +15,10 @@
 
 Operators may copy the shipped programs (`policies/`) and edit their figures. `capacity` keeps no
 more callers at home than home's part of all slots: when it kept a third more, the callers of the
-region with the fewest slots met 0.62 where others met 0.78 to 0.87 (no unit is recorded). A region
-takes callers of others with its slots above 0.7 of that part. The figures are explained here and
-not beside the code, as `gateway.regions.policies` searches a program's text, comments included, for
-names of measures.
+region with the fewest slots met 0.62 where others met 0.78 to 0.87 (no unit is recorded). Another
+region takes callers only with the slots that it has above 0.7 of that part. The figures are
+explained here and not beside the code, as `gateway.regions.policies` searches a program's text,
+comments included, for names of measures.
 
 Faults show as `event=policy-fault` in the log, as `fault` in `sprucewinch explain` and `compare`,
 and as notes `policy-fault:...` in `/state` of the routed path. The tests are `tests.test_policy`
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -35,7 +35,7 @@
     )
 
 
-class Filters(unittest.TestCase):
+class GrantedShares(unittest.TestCase):
     at_home = make_shares(ORDER, {HOME: 1.0})
 
     def granted(self, wanted: dict, measured: Snapshot, limits: GuardLimits = LIMITS):
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -68,7 +68,7 @@
 
 
 class FleetShift(RuleBasedStateMachine):
-    """Several VMs that learn plans at different times; the test counts where callers are sent.
+    """Several VMs that receive plans at different times; the test counts where callers are sent.
 
     Callers are spread evenly over the VMs. Within any window, at most the cap of all callers may be
     sent to another region than before.
@@ -102,12 +102,12 @@
         assert sum(recent) <= LIMIT.cap + COUNT_TOLERANCE, recent
 
     @rule(weights=WEIGHTS)
-    def all_learn_a_plan(self, weights: dict) -> None:
+    def all_get_a_plan(self, weights: dict) -> None:
         self.targets = [make_shares(ORDER, weights)] * self.vms
         self.move()
 
     @rule(weights=WEIGHTS, index=st.integers(0, 2))
-    def one_learns_a_plan(self, weights: dict, index: int) -> None:
+    def one_gets_a_plan(self, weights: dict, index: int) -> None:
         self.targets[index] = make_shares(ORDER, weights)
         self.move()
 
@@ -160,7 +160,7 @@
 class WrongVersionsAreFound(unittest.TestCase):
     def play(self, limiter_class: type[ShiftLimiter]) -> None:
         machine = type("Fleet", (FleetShift,), {"limiter_class": limiter_class})()
-        machine.all_learn_a_plan({"west": 1.0})
+        machine.all_get_a_plan({"west": 1.0})
         for _ in range(8):
             machine.time_passes(2.0)
 
