--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -18,7 +18,7 @@
 
 
 class NoPeers(PeerLink):
-    """Other VMs that cannot be reached."""
+    """Stands for other VMs, none of which has room."""
 
     async def hand_on(self, member, request, responder, *, home) -> Attempt:
         return Attempt(not_run(Reason.NO_ROOM))
@@ -40,7 +40,7 @@
         return CallerApp(target, Dispatcher(target, None, NoPeers(), self.clock), self.clock)
 
     async def book(self, target: Node, ticket: str | None, **headers: str) -> dict[str, Any]:
-        """Send a booking; returns the refusal that it gets."""
+        """Send a booking and return the JSON body of its refusal."""
         named = {"sprucewinch-client-block": "10.1.0.1"}
         named.update({name.replace("_", "-"): value for name, value in headers.items()})
         if ticket is not None:
@@ -73,7 +73,11 @@
 
 
 class NotRunIsTrue(CallerCase):
-    """A refusal before the ticket's home has looked at the ticket says nothing about the run."""
+    """Guards against *not run* for an operation that ran earlier under the same ticket.
+
+    Such an answer comes about when a request is refused before the home has seen its ticket: by a
+    new process, by an overloaded VM, or as malformed.
+    """
 
     def overload(self, target: Node) -> None:
         target.in_flight.count = target.settings.limits.requests
@@ -81,9 +85,9 @@
     async def test_new_process_without_configuration(self) -> None:
         ticket = self.issue(self.node)
         self.settle(self.node, ticket, Outcome.ANSWERED)
-        fresh = self.make(configured=False, incarnation=2)
-        self.assertEqual((await self.book(fresh, ticket))["outcome"], "unknown")
-        self.assertEqual((await self.book(fresh, None))["outcome"], "not-run")
+        restarted = self.make(configured=False, incarnation=2)
+        self.assertEqual((await self.book(restarted, ticket))["outcome"], "unknown")
+        self.assertEqual((await self.book(restarted, None))["outcome"], "not-run")
 
     async def test_overloaded_vm_that_is_not_the_home(self) -> None:
         ticket = self.issue(self.node)
@@ -102,7 +106,7 @@
             self.assertEqual((await self.book(self.node, ticket))["outcome"], "unknown")
             self.node.in_flight.count = 0
 
-    async def test_overloaded_home_refuses_an_unused_ticket_for_ever(self) -> None:
+    async def test_overloaded_home_invalidates_an_unused_ticket(self) -> None:
         ticket = self.issue(self.node)
         self.overload(self.node)
         self.assertEqual((await self.book(self.node, ticket))["outcome"], "not-run")
@@ -116,16 +120,16 @@
         refused = await self.book(self.node, ticket, sprucewinch_deadline_ms="soon")
         self.assertEqual((refused["outcome"], refused["reason"]), ("unknown", "malformed"))
 
-    async def test_service_that_is_gone_by_now(self) -> None:
+    async def test_service_that_was_removed(self) -> None:
         ticket = self.issue(self.node)
         self.settle(self.node, ticket, Outcome.ANSWERED)
-        whole = example()
-        left = msgspec.structs.replace(
-            whole,
-            service=tuple(s for s in whole.service if s.name != "booking"),
-            pool=tuple(p for p in whole.pool if p.service != "booking"),
+        full_configuration = example()
+        without_booking = msgspec.structs.replace(
+            full_configuration,
+            service=tuple(s for s in full_configuration.service if s.name != "booking"),
+            pool=tuple(p for p in full_configuration.pool if p.service != "booking"),
         )
-        configure(self.node, Document(2, left))
+        configure(self.node, Document(2, without_booking))
         self.assertEqual((await self.book(self.node, ticket))["outcome"], "unknown")
 
     async def test_ticket_of_another_service(self) -> None:
@@ -133,16 +137,16 @@
         refused = await self.book(self.node, ticket)
         self.assertEqual((refused["outcome"], refused["reason"]), ("unknown", "ticket-reused"))
 
-    async def test_no_ticket_and_no_ticket_of_ours(self) -> None:
+    async def test_missing_and_malformed_ticket(self) -> None:
         self.assertEqual((await self.book(self.node, None))["reason"], "ticket-required")
         self.assertEqual((await self.book(self.node, "junk"))["reason"], "ticket-invalid")
 
 
-class _AnswersAndLingers:
-    """Gives a whole answer and goes on for a moment, as the end of a hand-on does."""
+class _DispatcherThatReturnsLate:
+    """Completes an answer and returns later, as the dispatcher does after forwarding a request."""
 
     def __init__(self) -> None:
-        self.undisturbed = False
+        self.returned = False
 
     async def enter(self, request: Request, responder: Responder) -> None:
         await responder.start(200, [("content-length", "2")])
@@ -150,15 +154,18 @@
         await responder.finish()
         for _ in range(10):
             await asyncio.sleep(0)
-        self.undisturbed = True
+        self.returned = True
 
 
 class AnswersThatAreComplete(CallerCase):
-    """The HTTP server tells a disconnect as soon as an answer is complete; that is no leaving."""
+    """Guards against taking the end of an answer for a caller that disconnects.
+
+    The HTTP server reports a disconnect as soon as an answer is complete.
+    """
 
     async def test_nothing_is_cancelled_or_sent_after_a_complete_answer(self) -> None:
-        lingers = _AnswersAndLingers()
-        app = CallerApp(self.node, lingers, self.clock)
+        dispatcher = _DispatcherThatReturnsLate()
+        app = CallerApp(self.node, dispatcher, self.clock)
         complete = asyncio.Event()
         received = iter([{"type": "http.request", "body": b"", "more_body": False}])
         sent: list[dict] = []
@@ -184,5 +191,5 @@
             "client": ("10.1.0.1", 1),
         }
         await app(scope, receive, send)
-        self.assertTrue(lingers.undisturbed)
+        self.assertTrue(dispatcher.returned)
         self.assertEqual(len([m for m in sent if m["type"] == "http.response.start"]), 1)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -8,7 +8,7 @@
 from sprucewinch.hall.planning import planner as planning
 from sprucewinch.hall.planning.planner import Planner
 from sprucewinch.hall.planning.topology import Topology
-from sprucewinch.steering.guard import GuardLimits, grant, valid_weights
+from sprucewinch.steering.guard import GuardLimits, grant, weights_problem
 from sprucewinch.steering.measures import RegionMeasures, Snapshot
 from sprucewinch.steering.placement import make_shares
 from sprucewinch.steering.policy import Policy, PolicyFault
@@ -19,7 +19,7 @@
 NAMES = [region.replace("-", "_") for region in ORDER]
 LIMITS = GuardLimits(ceiling=0.8, stale_s=5.0, warm_step=0.25, planners=1)
 CAPACITY = 40.0
-HOLD_S = 0.02
+SLOT_TIME_S = 0.02
 
 
 def snapshot(demand: float = 1000.0, **regions: RegionMeasures) -> Snapshot:
@@ -35,13 +35,13 @@
     )
 
 
-class Filters(unittest.TestCase):
+class GrantedShares(unittest.TestCase):
     at_home = make_shares(ORDER, {HOME: 1.0})
 
     def granted(self, wanted: dict, measured: Snapshot, limits: GuardLimits = LIMITS):
         return grant(wanted, self.at_home, measured, limits)
 
-    def test_wanted_is_granted_when_there_is_room(self) -> None:
+    def test_wanted_shares_are_granted_when_slots_are_free(self) -> None:
         granted = self.granted({HOME: 8, OTHER: 1, THIRD: 1}, snapshot())
         self.assertAlmostEqual(granted.shares.share(OTHER), 0.1)
         self.assertEqual(granted.notes, ())
@@ -60,21 +60,21 @@
     def test_headroom_bounds_the_gain(self) -> None:
         full = RegionMeasures(CAPACITY, 31.0, 20.0, 1550.0, 0.5)
         granted = self.granted({OTHER: 1}, snapshot(interior=full))
-        self.assertAlmostEqual(granted.shares.share(OTHER), (32 - 31) / HOLD_S / 1000)
+        self.assertAlmostEqual(granted.shares.share(OTHER), (32 - 31) / SLOT_TIME_S / 1000)
 
     def test_drained_region_gets_nothing(self) -> None:
         drained = RegionMeasures(CAPACITY, 0.0, 20.0, 0.0, 0.5, drained=True)
         granted = self.granted({OTHER: 1}, snapshot(interior=drained))
         self.assertEqual(granted.shares.share(OTHER), 0.0)
 
-    def test_drained_home_is_left_even_if_the_policy_insists(self) -> None:
+    def test_drained_home_is_left_even_if_the_policy_wants_it(self) -> None:
         drained = RegionMeasures(CAPACITY, 10.0, 20.0, 500.0, 0.5, drained=True)
         granted = self.granted({HOME: 1}, snapshot(lower_mainland=drained))
         self.assertEqual(granted.shares.share(HOME), 0.0)
 
-    def test_nothing_usable_keeps_what_is_held(self) -> None:
-        gone = RegionMeasures(0.0)
-        measured = snapshot(lower_mainland=gone, interior=gone, island=gone)
+    def test_shares_stay_when_no_region_is_usable(self) -> None:
+        no_slots = RegionMeasures(0.0)
+        measured = snapshot(lower_mainland=no_slots, interior=no_slots, island=no_slots)
         self.assertEqual(self.granted({OTHER: 1}, measured).shares, self.at_home)
 
     @given(
@@ -95,19 +95,19 @@
         ),
         st.floats(0, 5000),
     )
-    def test_shares_always_add_up(self, wanted, held, measures, demand) -> None:
+    def test_shares_always_add_up(self, wanted, current, measures, demand) -> None:
         measured = snapshot(demand, **dict(zip(NAMES, measures, strict=True)))
-        shares = grant(wanted, make_shares(ORDER, held), measured, LIMITS).shares
+        shares = grant(wanted, make_shares(ORDER, current), measured, LIMITS).shares
         self.assertAlmostEqual(sum(shares.as_dict().values()), 1.0)
         self.assertTrue(all(share >= -1e-9 for share in shares.as_dict().values()))
 
-    def test_weights_that_make_no_sense(self) -> None:
+    def test_invalid_weights_are_refused(self) -> None:
         for wanted in (None, {}, {HOME: float("nan")}, {HOME: -1}, {"x": 1}, {HOME: True}):
-            self.assertIsNotNone(valid_weights(wanted, ORDER))
+            self.assertIsNotNone(weights_problem(wanted, ORDER))
 
 
-class _Whim(Policy):
-    """Wants whatever the test drew next."""
+class _ScriptedPolicy(Policy):
+    """Returns the weights that the test sets in `next`."""
 
     name = "whim"
 
@@ -119,7 +119,7 @@
 
 
 class Fleet:
-    """Three planners whose measures lag; the oracle works out the true load of each region."""
+    """Three planners whose measures lag by `lag` rounds; `load` returns the true slots in use."""
 
     def __init__(self, demand: float, lag: int) -> None:
         self.topology = Topology(Document(1, example()))
@@ -129,7 +129,7 @@
         self.planners = {c: Planner(c, "me") for c in ORDER}
         for planner in self.planners.values():
             planner.adopt(None, self.topology, -60.0)
-        self.policies = {c: _Whim() for c in ORDER}
+        self.policies = {c: _ScriptedPolicy() for c in ORDER}
         self.loads: deque[dict[str, float]] = deque(maxlen=lag + 1)
         self.most = self.load()
 
@@ -137,7 +137,7 @@
         total = dict.fromkeys(ORDER, 0.0)
         for planner in self.planners.values():
             for region, share in planner.limiters["rates"].current.as_dict().items():
-                total[region] += share * self.demand * HOLD_S
+                total[region] += share * self.demand * SLOT_TIME_S
         return total
 
     def round(self, wanted: list[dict[str, float]]) -> None:
@@ -155,7 +155,7 @@
                         CAPACITY,
                         seen[r],
                         20.0,
-                        seen[r] / HOLD_S,
+                        seen[r] / SLOT_TIME_S,
                         float(self.lag),
                         self.topology.region_drained(r),
                     )
@@ -195,30 +195,31 @@
     def test_under_any_policies_and_lag(self, demand: float, lag: int, wanted: list) -> None:
         self.play(demand, lag, wanted)
 
-    def all_into_one(self) -> None:
+    def all_want_one_region(self) -> None:
         self.play(1200.0, 4, [[{THIRD: 1.0}] * 3] * 12)
 
-    def test_all_regions_into_the_same_quiet_one(self) -> None:
-        self.all_into_one()
+    def test_all_planners_want_the_same_lightly_loaded_region(self) -> None:
+        self.all_want_one_region()
 
-    def test_proof_fails_when_lag_is_forgotten(self) -> None:
-        """A wrong version: measures count as showing every decision at once."""
+    def test_check_fails_when_measurement_lag_is_ignored(self) -> None:
+        """A planner that takes measures to reflect each decision at once overloads the region."""
         original = Planner._with_history
         Planner._with_history = lambda self, service, topology, measured, *rest: measured
         try:
             with self.assertRaises(AssertionError):
-                self.all_into_one()
+                self.all_want_one_region()
         finally:
             Planner._with_history = original
 
-    def test_proof_fails_when_planners_do_not_divide_headroom(self) -> None:
+    def test_check_fails_when_planners_do_not_divide_headroom(self) -> None:
+        """A planner that may use all free slots of a region overloads it with the others."""
         original = planning.guard_limits
         planning.guard_limits = lambda topology: original(topology)._replace(
             planners=1, warm_step=10.0
         )
         try:
             with self.assertRaises(AssertionError):
-                self.all_into_one()
+                self.all_want_one_region()
         finally:
             planning.guard_limits = original
 
@@ -227,7 +228,7 @@
     def test_faulty_policy_keeps_the_last_shares_and_is_counted(self) -> None:
         fleet = Fleet(500.0, 0)
 
-        class Broken(_Whim):
+        class Broken(_ScriptedPolicy):
             def weights(self, snapshot: Snapshot) -> PolicyFault:
                 return PolicyFault("took too long")
 
@@ -236,8 +237,8 @@
         before = planner.limiters["rates"].current
         fleet.round([{OTHER: 1.0}] * 3)
         self.assertEqual(planner.limiters["rates"].current, before)
-        self.assertEqual(planner.faults["rates"], 1)
-        self.assertEqual(planner.base.faults, {"rates": "took too long"})
+        self.assertEqual(planner.fault_counts["rates"], 1)
+        self.assertEqual(planner.confirmed.faults, {"rates": "took too long"})
 
     def test_drained_region_is_left_under_the_shift_cap(self) -> None:
         fleet = Fleet(500.0, 2)
@@ -253,10 +254,10 @@
         for begin in range(80 - window):
             self.assertLessEqual(shares[begin] - shares[begin + window], limit.cap + 1e-9)
 
-    def test_new_planner_waits_out_the_window(self) -> None:
+    def test_new_planner_moves_nothing_within_its_first_window(self) -> None:
         fleet = Fleet(500.0, 0)
         planner = fleet.planners[HOME]
-        planner.adopt(planner.base, fleet.topology, 0.0)
+        planner.adopt(planner.confirmed, fleet.topology, 0.0)
         for _ in range(11):
             fleet.round([{OTHER: 1.0}] * 3)
         self.assertEqual(planner.limiters["rates"].current.share(HOME), 1.0)
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -17,14 +17,15 @@
 
 
 class OneRun(RuleBasedStateMachine):
-    """Two VMs, replaced at will; operations arrive at either, at any time, again and again.
+    """Two VMs restart at any time while operations arrive at them repeatedly.
 
-    The oracle is the backend server, which counts runs by operation, and remembers what callers
-    were told. A VM runs an operation after it has claimed it, possibly much later.
+    The test counts the runs of each operation, as the backend server would, and records which
+    operations were refused as not run. It guards against a second run of an operation, and
+    against the run of one that was refused so. A VM may run an operation long after claiming it.
     """
 
     book_class = TicketBook
-    remembers_incarnation = True
+    new_incarnation_on_restart = True
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,11 +35,11 @@
         self.tickets: list[str] = []
         self.pending: list[tuple[TicketBook, Claim, str]] = []
         self.runs: Counter[str] = Counter()
-        self.told_not_run: set[str] = set()
+        self.reported_not_run: set[str] = set()
 
     def make(self, vm: str) -> TicketBook:
-        number = self.incarnations[vm] if self.remembers_incarnation else 1
-        return self.book_class(vm, number, KEY, lifetime_s=10, retention_s=20, answer_bytes=64)
+        number = self.incarnations[vm] if self.new_incarnation_on_restart else 1
+        return self.book_class(vm, number, KEY, lifetime_s=10, retention_s=20, max_answer_bytes=64)
 
     @rule(vm=st.sampled_from("ab"))
     def issue(self, vm: str) -> None:
@@ -49,47 +50,47 @@
     @precondition(lambda self: self.tickets)
     @rule(index=st.integers(0, 2))
     def arrive(self, index: int) -> None:
-        """Reach the home, straight or handed on by the other VM."""
+        """A request reaches the home, from its caller or forwarded by the other VM."""
         text = self.tickets[-1 - index % len(self.tickets)]
         ticket = parse_ticket(text)
         assert ticket is not None
         home = self.books[ticket.vm]
         if not home.is_home(ticket):
-            return  # answered unknown: the home is gone
+            return  # The home is gone, so the outcome is unknown.
         result = home.claim(ticket, "booking", "same", self.now)
         if isinstance(result, Claim):
             self.pending.append((home, result, text))
         elif isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN:
-            self.told_not_run.add(text)
+            self.reported_not_run.add(text)
 
     @precondition(lambda self: self.tickets)
     @rule(index=st.integers(0, 2))
-    def refused_at_the_door(self, index: int) -> None:
-        """An overloaded home refuses before it looks at the request."""
+    def refused_before_claim(self, index: int) -> None:
+        """An overloaded home refuses a request before it claims the ticket."""
         text = self.tickets[-1 - index % len(self.tickets)]
         ticket = parse_ticket(text)
         assert ticket is not None
         home = self.books[ticket.vm]
         if home.is_home(ticket) and home.close(ticket, self.now):
-            self.told_not_run.add(text)
+            self.reported_not_run.add(text)
 
     @precondition(lambda self: self.pending)
-    @rule(index=st.integers(0, 2), fate=st.sampled_from(["runs", "lost", "refused"]))
-    def settle(self, index: int, fate: str) -> None:
+    @rule(index=st.integers(0, 2), result=st.sampled_from(["runs", "lost", "refused"]))
+    def settle(self, index: int, result: str) -> None:
         home, claim, text = self.pending.pop(index % len(self.pending))
-        if fate == "refused":
+        if result == "refused":
             home.settle(claim, Outcome.NOT_RUN)
-            self.told_not_run.add(text)
+            self.reported_not_run.add(text)
             return
         self.runs[text] += 1
-        if fate == "lost":
+        if result == "lost":
             home.settle(claim, Outcome.UNKNOWN)
         else:
             home.settle(claim, Outcome.ANSWERED, Answer(200, (), text.encode()))
 
     @rule(vm=st.sampled_from("ab"))
-    def replace(self, vm: str) -> None:
-        """The old process may still run what it had claimed: it was only frozen."""
+    def restart(self, vm: str) -> None:
+        """The old process is only suspended: it may still run the operations that it claimed."""
         self.incarnations[vm] += 1
         self.books[vm] = self.make(vm)
 
@@ -103,15 +104,15 @@
 
     @invariant()
     def not_run_is_true(self) -> None:
-        assert not self.told_not_run & self.runs.keys()
+        assert not self.reported_not_run & self.runs.keys()
 
 
 OneRun.TestCase.settings = SETTINGS
 TestOneRun = OneRun.TestCase
 
 
-class ForgetfulBook(TicketBook):
-    """A wrong version: forgets what it refused, so that a repeat may run."""
+class BookDroppingRefusals(TicketBook):
+    """A wrong version that drops the claims it refused, so that a repeat may run."""
 
     def settle(self, claim: Claim, outcome: Outcome, answer: Answer | None = None) -> None:
         if outcome is Outcome.NOT_RUN:
@@ -127,8 +128,8 @@
         machine.arrive(0)
         return machine
 
-    def test_without_memory_of_refusals(self) -> None:
-        machine = self.machine(book_class=ForgetfulBook)
+    def test_book_that_drops_refusals(self) -> None:
+        machine = self.machine(book_class=BookDroppingRefusals)
         machine.settle(0, "refused")
         machine.arrive(0)
         machine.settle(0, "runs")
@@ -136,8 +137,8 @@
             machine.not_run_is_true()
 
     def test_without_incarnations(self) -> None:
-        machine = self.machine(remembers_incarnation=False)
-        machine.replace("a")
+        machine = self.machine(new_incarnation_on_restart=False)
+        machine.restart("a")
         machine.issue("a")
         machine.arrive(0)
         machine.settle(0, "runs")
@@ -150,14 +151,14 @@
         machine.settle(0, "refused")
         machine.arrive(0)
         self.assertEqual(machine.pending, [])
-        machine.replace("a")
+        machine.restart("a")
         machine.arrive(0)
         self.assertEqual(machine.pending, [])
 
 
 class TicketBookCases(unittest.TestCase):
-    def claim(self, tickets: TicketBook, text: str, now: float = 0.0, what: str = "same"):
-        return tickets.claim(parse_ticket(text), "booking", what, now)
+    def claim(self, tickets: TicketBook, text: str, now: float = 0.0, fingerprint: str = "same"):
+        return tickets.claim(parse_ticket(text), "booking", fingerprint, now)
 
     def test_repeat_gets_the_same_answer(self) -> None:
         tickets = book()
@@ -176,7 +177,7 @@
         tickets = book()
         [text] = tickets.issue("booking", 1, 0.0)
         tickets.settle(self.claim(tickets, text), Outcome.ANSWERED, Answer(200, (), b"mine"))
-        refusal = self.claim(tickets, text, what="other")
+        refusal = self.claim(tickets, text, fingerprint="other")
         self.assertEqual(refusal, Refusal(Outcome.UNKNOWN, Reason.TICKET_REUSED))
 
     def test_forged_and_misdirected_tickets(self) -> None:
@@ -197,7 +198,7 @@
         self.assertEqual(later, Refusal(Outcome.UNKNOWN, Reason.TICKET_EXPIRED))
 
     def test_full_table_refuses_to_issue(self) -> None:
-        tickets = book(max_open=3)
+        tickets = book(max_tickets=3)
         self.assertEqual(len(tickets.issue("booking", 3, 0.0)), 3)
         refusal = tickets.issue("booking", 1, 1.0)
         self.assertEqual(refusal.reason, Reason.TICKET_TABLE_FULL)
@@ -205,7 +206,7 @@
         self.assertEqual(len(tickets.issue("booking", 1, 30.0)), 1)
 
     def test_kept_answers_are_bounded(self) -> None:
-        tickets = book(answer_bytes=10)
+        tickets = book(max_answer_bytes=10)
         texts = tickets.issue("booking", 3, 0.0)
         for text in texts:
             tickets.settle(self.claim(tickets, text), Outcome.ANSWERED, Answer(200, (), b"12345"))
