--- a/tests/test_platform_known_routes.py
+++ b/tests/test_platform_known_routes.py
@@ -1,4 +1,7 @@
-"""A configuration is read as in whole, whichever came before; what has not changed is kept."""
+"""Decoding with the cache gives what full decoding gives, whichever configuration came before.
+
+Also: unchanged routes are reused, and a malformed configuration leaves the cache as it was.
+"""
 
 import json
 import unittest
@@ -14,7 +17,7 @@
 
 from . import adapter  # noqa: F401 - makes the next imports possible
 
-from store_items import CONFIGURATION_KEY, StoreItems, configuration, routes  # isort: skip
+from store_items import CONFIGURATION_KEY, StoreItems, decode_configuration, decode_routes  # isort: skip
 from wire_text import WireError  # isort: skip
 
 Outcome = Union[RouteConfiguration, str]
@@ -93,7 +96,7 @@
 def _read_in_whole(text: bytes) -> Outcome:
     try:
         table = msgspec.json.decode(text)
-        return configuration(table, routes(table))
+        return decode_configuration(table, decode_routes(table))
     except (WireError, msgspec.MsgspecError) as error:
         return str(error)
 
