--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of the platform's settings, configuration and backend servers."""
+"""The adapter translates the platform's settings, configuration and backend servers."""
 
 import json
 import tempfile
