--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The adapter's store client and the product's followers against the store's stand-in."""
+"""The store client and the gateway's followers against a simulated store with faults."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 
 ADDRESS = "10.200.1.7:8541"
 BOUND_S = 2.0
-"""The shortest time that the pages give a change to be in force, in seconds."""
+"""Shortest time that the documentation gives a change to be in force, in seconds."""
 
 CONTACT_S = 3.0
 _CONFIGURATION = (
@@ -123,7 +123,7 @@
         self.assertEqual(vm.version(), 9)
 
     def test_an_outage_needs_no_listing(self) -> None:
-        """A failed connection must not be taken for an answer that was cut short."""
+        """A failed connection is no truncated answer, after which the follower would list anew."""
 
         async def main(loop: VirtualLoop, fault: Fault) -> int:
             store, vm = await started(loop)
@@ -142,7 +142,7 @@
         self.assertEqual(listings, dict.fromkeys(listings, 1))
 
     def test_a_connection_that_fails_is_no_answer_that_was_cut_short(self) -> None:
-        """What had come on the connection before belongs to another answer."""
+        """Bytes that arrived on the previous connection are not counted."""
 
         async def main(loop: VirtualLoop) -> None:
             store = standin(loop)
@@ -220,13 +220,13 @@
 
 
 class EmptyLastPages(StoreStandIn):
-    """A store whose page after the last item is empty and says that more follows."""
+    """A store that says of each page that more follow, so that the page after the last is empty."""
 
     def _range(self, query: dict[str, str]) -> dict[str, Any]:
         return {**super()._range(query), "more": True}
 
 
-class DeafToAfter(StoreStandIn):
+class FirstPageAgain(StoreStandIn):
     """A store that answers each page of a listing with the first one."""
 
     def _range(self, query: dict[str, str]) -> dict[str, Any]:
@@ -234,7 +234,7 @@
 
 
 class Listing(unittest.TestCase):
-    """A listing whose pages lead nowhere ends with an error."""
+    """A listing whose pages do not advance fails; it does not loop."""
 
     async def _listing(self, loop: VirtualLoop, store: StoreStandIn, items: int) -> None:
         loop.listen(ADDRESS, store.accept)
@@ -260,7 +260,7 @@
         self._fails(EmptyLastPages, 0)
 
     def test_a_page_that_comes_again(self) -> None:
-        self._fails(DeafToAfter, 5)
+        self._fails(FirstPageAgain, 5)
 
     def test_the_follower_keeps_what_it_holds_and_goes_on_once_the_store_recovers(self) -> None:
         async def main(loop: VirtualLoop) -> None:
