--- a/tests/test_platform_workspace_report.py
+++ b/tests/test_platform_workspace_report.py
@@ -6,7 +6,7 @@
 
 from . import adapter  # noqa: F401 - makes the next import possible
 
-from workspace_report import FleetRows, fleet_rows, sum_up, workspace_line  # isort: skip
+from workspace_report import FleetRows, fleet_rows, workspace_totals, workspace_line  # isort: skip
 
 
 def row(vm: str, workspace: str, used: int, refused: int, part: float = 0.0) -> dict:
@@ -29,7 +29,7 @@
             row("a", "hot", 7, 2, 0.5),
             row("b", "hot", 1, 9, 0.25),
         ]
-        hot, calm = sum_up(rows)
+        hot, calm = workspace_totals(rows)
         self.assertEqual((hot.name, hot.used, hot.refused), ("hot", 8, 11))
         self.assertEqual(
             workspace_line(hot),
