--- a/sprucewinch/net/_answer_reader.py
+++ b/sprucewinch/net/_answer_reader.py
@@ -1,9 +1,9 @@
-"""Reads the answers that arrive on one connection to a server.
+"""Parses the answers that arrive on one connection to a server.
 
-Owns what is known of the answer that is arriving, and the rules of HTTP framing that the parser
-leaves open: an answer with two lengths is none, and one without a length lasts until the orderly
-end of its connection. Relies on httptools for the grammar. Which request an answer belongs to is
-the business of `connection`.
+Owns the state of the answer that is arriving, and the rules of HTTP framing that the parser leaves
+open: an answer with both `content-length` and `transfer-encoding` is malformed, and one with
+neither lasts until the orderly end of its connection. Relies on httptools for the grammar.
+`connection` decides to which request an answer belongs.
 """
 
 from collections.abc import Callable
@@ -12,15 +12,16 @@
 import httptools
 
 MAX_ANSWER_BYTES = 32 * 1024 * 1024
-"""Longest body of an answer that is kept in memory, in bytes."""
+"""Longest body of an answer; answers are kept in memory as a whole."""
 
 FIRST_FINAL_STATUS = 200
-"""Lowest status of a final answer: HTTP announces that one follows with 100 to 199 (RFC 9110)."""
+"""Lowest status of a final answer: 100 to 199 announce that another one follows (RFC 9110)."""
 
 _STATUSES_WITHOUT_BODY = (204, 304)
-"""Statuses whose answers end with their headers (RFC 9112)."""
+"""Statuses of answers that end with their headers (RFC 9112)."""
 
 _LENGTH_HEADERS = {"content-length", "transfer-encoding"}
+"""Headers that state where a body ends (RFC 9112)."""
 
 
 class Answer(NamedTuple):
@@ -28,7 +29,7 @@
 
     Args:
         status: HTTP status.
-        headers: Names in lower case, and values.
+        headers: Pairs of name, in lower case, and value.
         body: The whole body.
     """
 
@@ -44,16 +45,16 @@
 class AnswerReader:
     """Parses bytes into answers, one after another.
 
-    The methods whose names begin with `on_` are called by the parser.
+    The parser of httptools calls the methods whose names begin with `on_`.
 
     Args:
-        received: Called with each whole answer, also with one that announces a final one.
-        failed: Called with the problem when the bytes are no proper answer.
+        deliver: Called with each whole answer, also with interim ones (1xx).
+        fail: Called with the problem when the bytes are not a valid answer.
     """
 
-    def __init__(self, received: Callable[[Answer], None], failed: Callable[[str], None]) -> None:
-        self.received = received
-        self.failed = failed
+    def __init__(self, deliver: Callable[[Answer], None], fail: Callable[[str], None]) -> None:
+        self.deliver = deliver
+        self.fail = fail
         self._parser = httptools.HttpResponseParser(self)
         self._reset()
 
@@ -61,56 +62,56 @@
         self._headers: list[tuple[str, str]] = []
         self._chunks: list[bytes] = []
         self._size = 0
-        self._head_done = False
+        self._headers_complete = False
 
     def feed(self, data: bytes) -> None:
-        """Parse what arrived."""
+        """Parse bytes of the connection."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self.failed(f"no proper answer: {error}")
+            self.fail(f"malformed answer: {error}")
         except httptools.HttpParserUpgrade:
-            self.failed("an upgrade that was not requested")
+            self.fail("the answer upgrades the protocol, which was not requested")
 
     @property
     def ends_with_connection(self) -> bool:
-        """True while an answer is arriving whose body lasts until the connection's end."""
-        if not self._head_done:
+        """True while the body of the arriving answer lasts until the connection ends."""
+        if not self._headers_complete:
             return False
         status = self._parser.get_status_code()
         if status < FIRST_FINAL_STATUS or status in _STATUSES_WITHOUT_BODY:
             return False
-        return not self._lengths()
+        return not self._length_headers()
 
     @property
     def keeps_connection(self) -> bool:
-        """True when the last answer lets the connection carry another request."""
+        """True when the last answer permits another request on the connection."""
         return self._parser.should_keep_alive()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header."""
         self._headers.append((name.decode("latin-1").lower(), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Check the lengths that the headers give."""
-        self._head_done = True
-        if self._lengths() == _LENGTH_HEADERS:
-            self.failed("an answer with two lengths")
+        """Check that the headers state the length of the body at most once."""
+        self._headers_complete = True
+        if self._length_headers() == _LENGTH_HEADERS:
+            self.fail("the answer has both content-length and transfer-encoding")
 
     def on_body(self, body: bytes) -> None:
-        """Keep a piece of the body."""
+        """Store a chunk of the body."""
         self._size += len(body)
         if self._size > MAX_ANSWER_BYTES:
-            self.failed("the answer is too large")
+            self.fail("the answer is too large")
             return
         self._chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand over the whole answer."""
+        """Deliver the whole answer."""
         status = self._parser.get_status_code()
         answer = Answer(status, tuple(self._headers), b"".join(self._chunks))
         self._reset()
-        self.received(answer)
+        self.deliver(answer)
 
-    def _lengths(self) -> set[str]:
+    def _length_headers(self) -> set[str]:
         return {name for name, _ in self._headers} & _LENGTH_HEADERS
--- a/sprucewinch/net/_progress_timeout.py
+++ b/sprucewinch/net/_progress_timeout.py
@@ -1,11 +1,11 @@
-"""Timeouts on silence instead of size: work goes on while bytes arrive.
+"""Timeouts that an answer's progress extends: a call continues while bytes arrive.
 
-Question: has a peer failed to answer in time? Rule: it has `first_s` until its first byte, after
-that `silence_s` from each byte to the next, and `most_s` in all. Reason: a limit on the whole time
-fails each answer that is larger than the link carries in that time, also when it is asked for
-again. With such limits a configuration of 0.95 MB never reached VMs with links of 5 Mbit/s; with
-this rule it does within 3 s (`tests/test_gateway_large_items.py`, virtual links). Relies on the
-event loop's clock alone; used by `connection` and by clients that keep a connection.
+Decides when a peer has failed to answer in time. It has `first_s` seconds until its first byte,
+then `silence_s` from each byte to the next, and `most_s` in all. A limit on the total time alone
+would fail every answer that is larger than the link can carry in that time, also when the call is
+retried: with such limits a configuration of 0.95 MB never reached VMs with links of 5 Mbit/s, and
+with this rule it arrives within 3 s (`tests/test_gateway_large_items.py`, on simulated links).
+Relies on the event loop's clock alone; used by `connection` and by clients that keep a connection.
 """
 
 import asyncio
@@ -16,13 +16,14 @@
 
 
 class Patience(NamedTuple):
-    """How long an answer may take, in seconds.
+    """Timeouts of one answer, in seconds.
 
     Args:
-        first_s: Until its first byte, with the connection.
-        silence_s: From one byte to the next. It counts from `first_s` on, so that a peer that
-            sends its headers at once, and then waits for something to tell, has that time too.
-        most_s: In all, so that a peer that trickles holds nobody up without end.
+        first_s: Until its first byte, including the time to connect.
+        silence_s: From one byte to the next. It never ends a call before `first_s` is over, so that
+            a peer may send its headers at once and wait that long until it has data to send.
+        most_s: Until its last byte, so that a peer that sends very slowly cannot block the caller
+            without limit.
     """
 
     first_s: float
@@ -31,16 +32,16 @@
 
     @classmethod
     def in_all(cls, seconds: float) -> "Patience":
-        """Return a limit on the whole time alone, for answers that are always small."""
+        """Return a limit on the total time alone, for answers that are always small."""
         return cls(seconds, seconds, seconds)
 
     def until(self, started: float, last_byte_at: Optional[float]) -> float:
-        """Return the time at which an answer is given up, in seconds of the caller's clock.
+        """Return the time at which the call times out, in seconds of the caller's clock.
 
         Args:
             started: When the call started.
-            last_byte_at: When the last byte arrived; None before the first. One that came before
-                the start belongs to an earlier answer on the same connection.
+            last_byte_at: When the last byte arrived; None before the first. A byte from before the
+                start belongs to an earlier answer on the same connection and does not count.
         """
         due = started + self.first_s
         if last_byte_at is not None and last_byte_at >= started:
@@ -53,15 +54,15 @@
     last_byte_at: Callable[[], Optional[float]],
     patience: Patience,
 ) -> T:
-    """Run work until it ends or its bytes stay away.
+    """Run a call until it ends or one of its timeouts is over.
 
     Args:
-        work: Coroutine to run; cancelled when its time is over.
-        last_byte_at: Returns when the last byte arrived, see `Patience.until`.
-        patience: The limits.
+        work: The call; cancelled on a timeout.
+        last_byte_at: Returns when the last byte arrived; see `Patience.until`.
+        patience: The timeouts.
 
     Raises:
-        TimeoutError: When a limit was passed.
+        TimeoutError: When a timeout is over.
     """
     loop = asyncio.get_running_loop()
     started = loop.time()
--- a/sprucewinch/net/connection.py
+++ b/sprucewinch/net/connection.py
@@ -1,10 +1,11 @@
-"""One HTTP/1.1 connection to a server, with strict framing.
-
-Owns the connection, the one request that it carries, and the check that an answer belongs to that
-request. Never sends a request again: its callers decide that. Relies on `_answer_reader` for what
-arrives, and serves the routed path, the store's client and what VMs fetch from each other. The
-HTTP client library is not used here, since it reports an answer without a length as complete when
-its connection is reset (`tests/test_gateway_connection.py` shows both).
+"""Client connection over HTTP/1.1 with strict framing.
+
+Owns the connection, the one request in flight on it, and the check that an answer belongs to that
+request. Never retries a request: its callers decide that. Relies on `_answer_reader` to parse
+answers, on `_progress_timeout` and `_stall_timeout` for timeouts. Used by the routed path, by the
+store's client and by VMs that fetch from each other. The HTTP client library (aiohttp) is not used
+here, because it reports an answer without a length as complete when the connection is reset
+(`tests/test_gateway_connection.py` shows both).
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 
 from ._answer_reader import FIRST_FINAL_STATUS, Answer, AnswerReader
 from ._progress_timeout import Patience, run_while_progress
-from ._stall_timeout import run_within
+from ._stall_timeout import run_with_stall_timeout
 from .address import parse_address
 
 __all__ = [
@@ -30,33 +31,34 @@
     "run_while_progress",
 ]
 
-_ANSWERED_EARLY_BYTES = 65_536
-"""Shortest body, in bytes, whose unsent rest makes an answered connection unusable.
+_MAX_UNREAD_BODY_BYTES = 65_536
+"""Longest request body that may be partly unsent when its answer arrives, for the connection to
+stay usable.
 
-A server that answers before it has read a long body may go on reading it; what is written next
-would be taken for the rest of that body.
+A server that answers before it has read a long body may go on reading it, and would take the next
+request for the rest of that body.
 """
 
-_SILENT_PEER_MS = 3000
-"""Milliseconds for which sent bytes may stay unacknowledged before the system ends a connection."""
+_TCP_USER_TIMEOUT_MS = 3000
+"""Time without an acknowledgement of sent bytes after which the kernel closes a connection."""
 
 
 class NoAnswer(NamedTuple):
     """Result of `get` when no whole answer came.
 
     Args:
-        reason: Kind of the failure and its text, for a log line.
+        reason: Kind and text of the failure, for a log line.
     """
 
     reason: str
 
 
 class ConnectFailedError(Exception):
-    """No connection came up, so no byte was sent; another server or a later try may do.
+    """No connection was opened, so no byte was sent; another server or a retry may succeed.
 
     Args:
-        problem: What went wrong.
-        refused: True when it was refused: nobody listens there, or too many are connected.
+        problem: What failed.
+        refused: True when the peer refused it: nothing listens there, or too many are connected.
     """
 
     def __init__(self, problem: str, *, refused: bool = False) -> None:
@@ -65,11 +67,11 @@
 
 
 class ExchangeFailedError(Exception):
-    """A connection carried no proper answer; the request may have run if it was sent.
+    """An open connection gave no valid answer; the request may have run if it was sent.
 
     Args:
-        problem: What went wrong.
-        ended: True when the connection ended before the whole answer had come.
+        problem: What failed.
+        ended: True when the connection ended before the whole answer had arrived.
     """
 
     def __init__(self, problem: str, *, ended: bool = False) -> None:
@@ -78,21 +80,21 @@
 
 
 class Connection(asyncio.Protocol):
-    """A connection that carries one request at a time.
+    """A connection with at most one request in flight.
 
     Args:
         loop: Event loop.
-        id_header: Header that names the request in answers; an answer that names another is
-            discarded. None when answers name no request.
+        id_header: Header in which answers repeat the request's id; an answer with another id is
+            discarded. None when answers have no such header.
 
     Attributes:
-        usable: False once the connection must carry no further request.
-        idle_since: Monotonic time since which the connection rests, in seconds.
-        idle_until: Monotonic time until which the connection may rest, in seconds.
-        last_byte_at: Time of the loop at which the last byte of the answer that is awaited
-            arrived, in seconds; None before its first byte.
-        received_bytes: Bytes of that answer so far; 0 once it is whole.
-        on_bytes: Called whenever some arrive.
+        usable: False once no further request may be sent.
+        idle_since: Monotonic time since which the connection has been idle, in seconds.
+        idle_until: Monotonic time until which the connection may stay idle, in seconds.
+        last_byte_at: Loop time at which the last byte of the pending answer arrived, in seconds;
+            None before its first byte.
+        received_bytes: Bytes of the pending answer so far; 0 once it is whole.
+        on_bytes: Called whenever bytes arrive.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, *, id_header: Optional[str] = None) -> None:
@@ -105,8 +107,8 @@
         self.last_byte_at: Optional[float] = None
         self.received_bytes = 0
         self.on_bytes: Callable[[], None] = _ignore
-        self._reader = AnswerReader(self._received, self.fail)
-        self._waiting: Optional[asyncio.Future[Answer]] = None
+        self._reader = AnswerReader(self._handle_answer, self.fail)
+        self._pending: Optional[asyncio.Future[Answer]] = None
         self._request_id = ""
         self._body_length = 0
         self._clean_end = False
@@ -116,11 +118,11 @@
 
         Args:
             data: The request's bytes.
-            request_id: Its id.
+            request_id: Its id, which an answer with `id_header` must repeat.
             body_length: Length of its body, in bytes.
 
         Raises:
-            ExchangeFailedError: When no whole answer came; the request may have run.
+            ExchangeFailedError: When no whole answer arrived; the request may have run.
         """
         if not self.alive:
             raise ExchangeFailedError("closed before the request was sent")
@@ -129,15 +131,15 @@
         self._body_length = body_length
         self.last_byte_at = None
         self.received_bytes = 0
-        self._waiting = self.loop.create_future()
+        self._pending = self.loop.create_future()
         try:
             self.transport.write(data)
-            return await self._waiting
+            return await self._pending
         except BaseException:
             self.close()
             raise
         finally:
-            self._waiting = None
+            self._pending = None
 
     @property
     def alive(self) -> bool:
@@ -145,7 +147,7 @@
         return self.usable and self.transport is not None and not self.transport.is_closing()
 
     def close(self) -> None:
-        """Close at once; bytes that are not yet sent are lost."""
+        """Close at once; bytes that have not been sent are lost."""
         self.usable = False
         if self.transport is not None:
             self.transport.abort()
@@ -156,8 +158,8 @@
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived; bytes that no request waits for end the connection."""
-        if self._waiting is None or self._waiting.done():
+        """Parse received bytes; close the connection when no answer is pending."""
+        if self._pending is None or self._pending.done():
             self.close()
             return
         self.last_byte_at = self.loop.time()
@@ -166,55 +168,55 @@
         self._reader.feed(data)
 
     def eof_received(self) -> bool:
-        """Record that the server ended the connection in order, not by a reset."""
+        """Record that the server closed the connection in order (FIN), not by a reset."""
         self._clean_end = True
         return False
 
     def connection_lost(self, exc: Optional[Exception]) -> None:
-        """End an answer that lasts until the connection's end, or fail."""
+        """Complete an answer that ends with the connection, or fail the pending one."""
         self.usable = False
-        if self._waiting is None or self._waiting.done():
+        if self._pending is None or self._pending.done():
             return
         if exc is None and self._clean_end and self._reader.ends_with_connection:
             self._reader.on_message_complete()
-        if not self._waiting.done():
-            self._waiting.set_exception(ExchangeFailedError("the connection ended", ended=True))
+        if not self._pending.done():
+            self._pending.set_exception(ExchangeFailedError("the connection ended", ended=True))
 
-    def _received(self, answer: Answer) -> None:
-        """Hand over an answer, unless it announces one or belongs to another request."""
-        if answer.status < FIRST_FINAL_STATUS or self._waiting is None:
+    def _handle_answer(self, answer: Answer) -> None:
+        """Deliver an answer, unless it is an interim one (1xx) or belongs to another request."""
+        if answer.status < FIRST_FINAL_STATUS or self._pending is None:
             return
-        if self._waiting.done():
+        if self._pending.done():
             self.close()
             return
-        if self._names_another(answer):
+        if self._answers_another_request(answer):
             self.usable = False
             return
-        self._finish(answer)
+        self._complete(answer)
 
-    def _names_another(self, answer: Answer) -> bool:
+    def _answers_another_request(self, answer: Answer) -> bool:
         if self.id_header is None:
             return False
-        named = answer.header(self.id_header)
-        return named is not None and named != self._request_id
+        answered_id = answer.header(self.id_header)
+        return answered_id is not None and answered_id != self._request_id
 
-    def _finish(self, answer: Answer) -> None:
-        assert self._waiting is not None and self.transport is not None
-        long_body = self._body_length > _ANSWERED_EARLY_BYTES
+    def _complete(self, answer: Answer) -> None:
+        assert self._pending is not None and self.transport is not None
+        long_body = self._body_length > _MAX_UNREAD_BODY_BYTES
         answered_early = long_body and self.transport.get_write_buffer_size()
         if answered_early or not self._reader.keeps_connection:
             self.usable = False
         self.received_bytes = 0
-        self._waiting.set_result(answer)
+        self._pending.set_result(answer)
 
     def fail(self, problem: str) -> None:
-        """Close at once, and let a request that waits for its answer fail.
+        """Close at once, and fail the pending answer.
 
         Args:
             problem: Text of the `ExchangeFailedError`.
         """
-        if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_exception(ExchangeFailedError(problem))
+        if self._pending is not None and not self._pending.done():
+            self._pending.set_exception(ExchangeFailedError(problem))
         self.close()
 
 
@@ -223,34 +225,34 @@
 
     Args:
         address: `IP:PORT`.
-        timeout_s: Longest wait, in seconds; time in which this process stood still does not count.
+        timeout_s: Timeout, in seconds; granted once more when this process stalled meanwhile.
         id_header: See `Connection`.
 
     Raises:
-        ConnectFailedError: When none came up in time.
+        ConnectFailedError: When no connection was opened in time.
     """
     loop = asyncio.get_running_loop()
     host, port = parse_address(address)
     try:
         opening = loop.create_connection(lambda: Connection(loop, id_header=id_header), host, port)
-        _, connection = await run_within(opening, timeout_s)
+        _, connection = await run_with_stall_timeout(opening, timeout_s)
     except (OSError, TimeoutError) as error:
         refused = isinstance(error, ConnectionRefusedError)
         raise ConnectFailedError(f"{address}: {type(error).__name__}", refused=refused) from None
-    _limit_silence(connection)
+    _set_tcp_user_timeout(connection)
     return connection
 
 
-def _limit_silence(connection: Connection) -> None:
-    """Let the system end a connection whose server acknowledges nothing."""
+def _set_tcp_user_timeout(connection: Connection) -> None:
+    """Let the kernel close a connection whose server acknowledges nothing."""
     assert connection.transport is not None
     raw = connection.transport.get_extra_info("socket")
     if raw is None:
         return
-    # Silence is right: without the option a silent server only costs its caller the caller's own
-    # timeout, and a socket that is already closed fails the exchange.
+    # The error is ignored: without the option, a server that does not answer costs its caller no
+    # more than the caller's own timeout, and a socket that is already closed fails the exchange.
     with contextlib.suppress(OSError):
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _SILENT_PEER_MS)
+        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS)
 
 
 async def get(
@@ -265,18 +267,18 @@
     Args:
         address: `IP:PORT`.
         target: Path and query.
-        patience: How long the answer may take.
+        patience: Timeouts of the answer.
         on_bytes: Called whenever bytes of the answer arrive.
 
     Returns:
-        The answer, of any status; `NoAnswer` when no whole one came in time.
+        The answer, whatever its status; `NoAnswer` when no whole one arrived in time.
     """
     request = f"GET {target} HTTP/1.1\r\nhost: {address}\r\n\r\n"
     call = _SingleCall(address, request.encode(), on_bytes or _ignore)
     try:
         return await run_while_progress(call.run(patience.first_s), call.last_byte_at, patience)
     except (ConnectFailedError, ExchangeFailedError, TimeoutError) as error:
-        return NoAnswer(f"{type(error).__name__}: {error} ({call.received_bytes()} bytes came)")
+        return NoAnswer(f"{type(error).__name__}: {error} ({call.received_bytes()} bytes received)")
 
 
 class _SingleCall:
@@ -300,7 +302,11 @@
         """Connect, send the request, and return the whole answer.
 
         Args:
-            connect_s: Longest time for the connection, in seconds.
+            connect_s: Timeout of the connection attempt, in seconds.
+
+        Raises:
+            ConnectFailedError: When no connection was opened in time.
+            ExchangeFailedError: When no whole answer arrived.
         """
         self.connection = await connect(self.address, connect_s)
         self.connection.on_bytes = self.on_bytes
@@ -319,4 +325,4 @@
 
 
 def _ignore() -> None:
-    """Do nothing: nobody follows the bytes of this answer."""
+    """Do nothing, as the default of `on_bytes`."""
--- a/tools/wrong_version_list.py
+++ b/tools/wrong_version_list.py
@@ -170,7 +170,7 @@
         "MIXED",
         "an answer to another request is taken",
         "sprucewinch/net/connection.py",
-        "return named is not None and named != self._request_id",
+        "return answered_id is not None and answered_id != self._request_id",
         "return False",
         ("tests.test_gateway_pipeline.SpoiltAnswers",),
     ),
