--- a/sprucewinch/net/__init__.py
+++ b/sprucewinch/net/__init__.py
@@ -1,5 +1,6 @@
-"""HTTP and addresses: listeners, connections, requests and answers, without any decision.
+"""HTTP and addresses: listeners, connections, requests and answers.
 
-Owns how bytes become requests and answers, for callers, VMs and backend servers alike. Relies on
-uvicorn, aiohttp and httptools. Read `connection` first, then `http_server`.
+Owns how bytes become requests and answers, for callers, VMs and backend servers alike, with their
+limits and timeouts; makes no steering decision. Relies on uvicorn, aiohttp and httptools. Read
+`connection` first, then `http_server`.
 """
--- a/sprucewinch/net/address.py
+++ b/sprucewinch/net/address.py
@@ -1,7 +1,7 @@
-"""Addresses written as an IP number and a port.
+"""Parses addresses of the form `IP:PORT`.
 
-Owns the text form `IP:PORT` in settings, in the store and on the wire, and its check. Host names
-are refused: VMs reach each other by IP numbers, and a look-up of names could block.
+Owns this form in settings, in the store and on the wire, and its check. Host names are rejected:
+VMs reach each other by IP address, and resolving a name could block.
 """
 
 import ipaddress
@@ -12,7 +12,7 @@
 
 
 class Address(NamedTuple):
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     host: str
     port: int
@@ -31,19 +31,19 @@
         The address.
 
     Raises:
-        ValueError: When the host is no IP number, or the port is not in 1..65535.
+        ValueError: When the host is not an IP address, or the port is not in 1..65535.
     """
     host, _, port = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     ipaddress.ip_address(host)
     if not (port.isascii() and port.isdigit() and 0 < int(port) <= _MAX_PORT):
-        raise ValueError(f"{port!r} is not a port")
+        raise ValueError(f"expected a port from 1 to {_MAX_PORT}, found {port!r}")
     return Address(host, int(port))
 
 
 def is_address(text: str) -> bool:
     """Return whether a text is `IP:PORT`."""
-    # Silence is right: the result is the answer, and callers report the text with its key.
+    # The error is not lost: callers report the text with the name of its field.
     try:
         parse_address(text)
     except ValueError:
--- a/sprucewinch/net/asgi.py
+++ b/sprucewinch/net/asgi.py
@@ -1,4 +1,4 @@
-"""Requests and answers of the own interface as ASGI messages.
+"""Translates requests and answers of Sprucewinch's own interface from and to ASGI messages.
 
 Owns the translation between ASGI and the types of `body` and `request`, and the form of refusals
 to callers. Relies on an ASGI server, which `http_server` makes, for bytes and back-pressure.
@@ -20,7 +20,6 @@
 _JSON = (b"content-type", b"application/json")
 
 _MS_PER_S = 1000
-"""Milliseconds in a second: Retry-After is in whole seconds, rounded up."""
 
 
 async def send_answer(
@@ -44,13 +43,14 @@
     Args:
         send: ASGI send.
         refusal: The refusal.
-        close: Close the connection afterwards, as the rest of a body would have to be read.
+        close: Close the connection afterwards, so that the rest of the body need not be read.
     """
     headers = [
         (OUTCOME_HEADER.encode(), refusal.outcome.value.encode()),
         (REASON_HEADER.encode(), refusal.reason.value.encode()),
     ]
     if refusal.retry_after_ms:
+        # `Retry-After` is in whole seconds, rounded up.
         seconds = -(-refusal.retry_after_ms // _MS_PER_S)
         headers.append((b"retry-after", b"%d" % seconds))
     if close:
@@ -69,7 +69,7 @@
         self._ended = asyncio.Event()
 
     async def keep_start(self, limit: int) -> None:
-        """Read the body's start, up to a limit; less when it ends before."""
+        """Read chunks into `first` until it has at least `limit` bytes or the body ends."""
         start = bytearray()
         while len(start) < limit:
             chunk = await self._read()
@@ -80,11 +80,11 @@
         self.first = bytes(start)
 
     async def next_chunk(self) -> Optional[bytes]:
-        """Return the next piece; None at the end."""
+        """Return the next chunk; None at the end."""
         return await self._read()
 
     async def caller_left(self) -> None:
-        """Return when the caller has closed its connection after its whole body."""
+        """Wait until the caller closes its connection, after its whole body has been read."""
         await self._ended.wait()
         message = await self._receive()
         while message["type"] != "http.disconnect":
@@ -108,36 +108,36 @@
     """Sends an answer to the caller."""
 
     finished = False
-    """True once the end of the answer is being sent."""
+    """True once `finish` was called."""
 
     def __init__(self, send: Send, hall: str) -> None:
         self.send = send
         self.hall = hall
-        self._left: Optional[int] = None
-        self._last = b""
+        self._remaining_bytes: Optional[int] = None
+        self._last_chunk = b""
 
     async def start(self, status: int, headers: Headers) -> None:
         """Send the status and the headers; see `Responder`."""
         self.started = True
-        self._left = _content_length(headers)
+        self._remaining_bytes = _content_length(headers)
         raw = [(name.lower().encode("latin-1"), value.encode("latin-1")) for name, value in headers]
         raw.append((OUTCOME_HEADER.encode(), Outcome.ANSWERED.value.encode()))
         raw.append((HALL_HEADER.encode(), self.hall.encode()))
         await self.send({"type": "http.response.start", "status": status, "headers": raw})
 
     async def write(self, chunk: bytes) -> None:
-        """Send a piece at once; the last piece of a known length is left to `finish`."""
-        if self._left is not None:
-            self._left -= len(chunk)
-            if self._left == 0:
-                self._last = chunk
+        """Send a chunk at once; with a known length, `finish` sends the last chunk."""
+        if self._remaining_bytes is not None:
+            self._remaining_bytes -= len(chunk)
+            if self._remaining_bytes == 0:
+                self._last_chunk = chunk
                 return
         await self.send({"type": "http.response.body", "body": chunk, "more_body": True})
 
     async def finish(self) -> None:
-        """Send the last piece of the body; see `Responder`."""
+        """Send the last chunk of the body; see `Responder`."""
         self.finished = True
-        await self.send({"type": "http.response.body", "body": self._last})
+        await self.send({"type": "http.response.body", "body": self._last_chunk})
 
 
 def _content_length(headers: Headers) -> Optional[int]:
--- a/sprucewinch/net/body.py
+++ b/sprucewinch/net/body.py
@@ -1,8 +1,8 @@
-"""Request bodies: streamed with back-pressure, and kept only while they are small.
+"""Request bodies: streamed with back-pressure, and buffered in memory only while small.
 
-Owns the abstract body and the rule when it may be sent a second time: while nothing beyond the part
-that is kept in memory was taken. Where the pieces come from is the subclass's; the limit on what is
-kept is the settings'.
+Owns the abstract body and the rule when it may be sent again: as long as nothing beyond the
+buffered part has been consumed. Subclasses provide the chunks; the settings limit the size of the
+buffered part.
 """
 
 import abc
@@ -15,31 +15,31 @@
 
 
 class Body(abc.ABC):
-    """A request body that arrives in pieces.
+    """A request body that arrives in chunks.
 
-    The start of the body, up to a limit, is kept in memory. While that is the whole body it may be
-    sent more than once.
+    The start of the body, up to a limit, is buffered in memory. A body that is buffered as a whole
+    may be sent more than once.
     """
 
     first: bytes
-    """Start of the body, as far as it is kept in memory."""
+    """Start of the body, as far as it is buffered in memory."""
 
     complete: bool
     """True when `first` is the whole body."""
 
     consumed = False
-    """True when more than `first` was taken, so that the body cannot be sent again."""
+    """True once chunks after `first` may have been consumed: the body cannot be sent again."""
 
     @abc.abstractmethod
     async def next_chunk(self) -> Optional[bytes]:
-        """Return the next piece after `first`; None at the end.
+        """Return the next chunk after `first`; None at the end.
 
         Raises:
-            CallerLeftError: When the body was cut short.
+            CallerLeftError: When the caller closed its connection before the end.
         """
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the whole body."""
+        """Yield the whole body, chunk by chunk."""
         if self.first:
             yield self.first
         if self.complete:
--- a/sprucewinch/net/http_client.py
+++ b/sprucewinch/net/http_client.py
@@ -1,7 +1,7 @@
-"""HTTP client sessions that never send a request again by themselves.
+"""HTTP client sessions without automatic retries.
 
-Owns how the own interface's sessions towards backend servers and its store are made. Relies on
-aiohttp, and on its private attribute `_retry_connection`, as the library has no public option.
+Owns how sessions to backend servers and to the store are made for Sprucewinch's own interface.
+Relies on aiohttp and on its private attribute `_retry_connection`, as it has no public option.
 """
 
 from typing import Any
@@ -10,11 +10,11 @@
 
 
 def make_session(**options: Any) -> aiohttp.ClientSession:
-    """Return a client session without hidden retries.
+    """Return a client session that never retries a request by itself.
 
-    The library sends requests of some methods again when a kept connection breaks. A write or a
-    request that must not run twice would then run twice; a compare-and-swap that took effect would
-    look as if another writer had won.
+    By default aiohttp retries requests of some methods when a reused connection breaks. A write, or
+    a request that must not run twice, might then run twice; a compare-and-swap that took effect
+    would appear to have been overtaken by another writer.
 
     Args:
         options: Options of `aiohttp.ClientSession`.
--- a/sprucewinch/net/http_server.py
+++ b/sprucewinch/net/http_server.py
@@ -1,9 +1,10 @@
-"""HTTP listeners that refuse what goes beyond their limits.
+"""HTTP listeners that refuse connections and requests beyond their limits.
 
-Owns the limits of a listener on headers, connections and requests, the answers that the listener
-itself gives when one is reached, and how an address is bound. Decides nothing about a request: the
-ASGI application does. Relies on uvicorn for HTTP/1.1 and subclasses its httptools protocol, whose
-attributes `connections` and `tasks` count what is open on the listener.
+Owns the limits of a listener on headers, connections and requests, the refusals that the listener
+itself sends when a limit is exceeded, and how an address is bound. Every other decision about a
+request is the ASGI application's. Relies on uvicorn for HTTP/1.1 and subclasses its httptools
+protocol, whose attributes `connections` and `tasks` hold the listener's open connections and its
+requests in flight.
 """
 
 import asyncio
@@ -23,25 +24,24 @@
 AsgiApp = Callable[[dict, Callable[[], Awaitable[dict]], Callable[[dict], Awaitable[None]]], Any]
 
 TARGET_KEY = "sprucewinch.target"
-"""Key of the ASGI scope that holds a request's target as it was sent, not decoded."""
+"""Key of the ASGI scope that holds a request's target as it was sent, before decoding."""
 
 _BACKLOG = 2048
-"""Connections that wait to be accepted. The default of uvicorn."""
+"""Connections that may wait to be accepted, which is uvicorn's default."""
 
-_KEEPALIVE_S = 30
-"""Seconds that a connection may rest between requests."""
+_KEEPALIVE_TIMEOUT_S = 30
+"""Time that a connection may stay idle between requests, unless the listener states another."""
 
 _RETRY_AFTER_S = 1
-"""Retry-After of a refused connection, in seconds: the least whole number."""
+"""`Retry-After` of a listener's refusal: the smallest positive value of this header."""
 
 _MS_PER_S = 1000
-"""Milliseconds in a second."""
 
 _REFUSAL_HEAD = (
     b"HTTP/1.1 %s\r\ncontent-type: application/json\r\nretry-after: %d\r\n"
     b"connection: close\r\ncontent-length: %d\r\n\r\n"
 )
-"""Status line and headers of a listener's own answer."""
+"""Status line and headers of a listener's refusal: status, `Retry-After` and body length."""
 
 
 def refusal_body(outcome: Outcome, reason: Reason, retry_after_ms: int) -> bytes:
@@ -55,10 +55,10 @@
     """Limits of one listener; `change` replaces some of them while it runs.
 
     Args:
-        header_bytes: Most bytes of a request's headers.
-        connections: Most open connections.
-        requests: Most requests in flight.
-        header_s: Longest time for a request's headers to arrive, in seconds; None for any time.
+        header_bytes: Maximum size of a request's target and headers, in bytes.
+        connections: Maximum number of open connections.
+        requests: Maximum number of requests in flight.
+        header_s: Timeout of a request's headers, in seconds; None for no timeout.
     """
 
     __slots__ = ("connections", "header_bytes", "header_s", "requests")
@@ -72,82 +72,85 @@
         self.header_s = header_s
 
     def change(self, *, header_bytes: int, header_s: Optional[float]) -> None:
-        """Replace the limits on headers; requests whose headers are being read follow the new size.
+        """Replace the limits on headers.
 
         Args:
-            header_bytes: Most bytes of a request's headers.
-            header_s: Longest time for headers that begin later, in seconds; None for any time.
+            header_bytes: Maximum size of a request's target and headers, in bytes; applies also to
+                headers that are being read.
+            header_s: Timeout of headers that begin later, in seconds; None for no timeout.
         """
         self.header_bytes = header_bytes
         self.header_s = header_s
 
 
 class LimitedProtocol(HttpToolsProtocol):
-    """One connection of a listener: refuses what goes beyond the limits, then closes.
+    """One connection of a listener; sends a refusal and closes when a limit is exceeded.
 
-    uvicorn creates protocols without arguments of ours, so each listener has a subclass, made by
-    `limited_by`, that carries its limits.
+    uvicorn creates the protocols itself and passes no further arguments, so that each listener
+    needs a subclass, made by `limited_by`, that holds its limits.
     """
 
     limits: ListenerLimits
     """Limits of the listener, shared by all its connections."""
 
     header_bytes = 0
-    """Bytes of the current request's headers so far."""
+    """Bytes of the current request's target and headers so far."""
 
     header_timer: Optional[asyncio.TimerHandle] = None
-    """Fires when the current request's headers are late; None while none are awaited."""
+    """Timer of the current request's headers; None while no headers are being read."""
 
     @classmethod
     def limited_by(cls, limits: ListenerLimits) -> type["LimitedProtocol"]:
-        """Return a subclass whose connections keep to some limits."""
+        """Return a subclass whose connections enforce the given limits."""
         return type(cls.__name__, (cls,), {"limits": limits})
 
     def connection_made(self, transport: Any) -> None:
-        """Refuse the connection when too many are open; else close it if no request begins."""
+        """Refuse the connection when too many are open; else start its idle timeout."""
         super().connection_made(transport)
         if len(self.connections) > self.limits.connections:
-            self._refuse(b"503 Service Unavailable", Reason.OVERLOADED_VM)
+            self._send_refusal(b"503 Service Unavailable", Reason.OVERLOADED_VM)
             return
         self.timeout_keep_alive_task = self.loop.call_later(
             self.timeout_keep_alive, self.timeout_keep_alive_handler
         )
 
     def connection_lost(self, exc: Optional[Exception]) -> None:
-        """Stop the timer of headers that were still due."""
-        self._stop_header_timer()
+        """Cancel the timer of headers that have not arrived."""
+        self._cancel_header_timer()
         super().connection_lost(exc)
 
     def on_message_begin(self) -> None:
-        """Count the bytes and the time of a new request's headers from here on."""
+        """Start to count the bytes and the time of a new request's headers."""
         self.header_bytes = 0
         if self.limits.header_s is not None:
-            self.header_timer = self.loop.call_later(self.limits.header_s, self._headers_late)
+            self.header_timer = self.loop.call_later(
+                self.limits.header_s, self._refuse_late_headers
+            )
         super().on_message_begin()
 
     def on_url(self, url: bytes) -> None:
-        """Count a piece of the target."""
+        """Count a chunk of the target."""
         super().on_url(url)
-        self._count(len(url))
+        self._count_header_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Count a header."""
         super().on_header(name, value)
-        self._count(len(name) + len(value))
+        self._count_header_bytes(len(name) + len(value))
 
     def on_headers_complete(self) -> None:
-        """Hand the request to the application, unless too many are in flight."""
-        self._stop_header_timer()
+        """Pass the request to the application, unless too many are in flight."""
+        self._cancel_header_timer()
         if self.header_bytes > self.limits.header_bytes:
             return
         if len(self.tasks) >= self.limits.requests:
-            self._refuse(b"503 Service Unavailable", Reason.OVERLOADED_VM)
+            self._send_refusal(b"503 Service Unavailable", Reason.OVERLOADED_VM)
             return
         self.scope[TARGET_KEY] = self.url
         super().on_headers_complete()
 
     def on_body(self, body: bytes) -> None:
-        """Pass a piece of the body on, unless the request was refused."""
+        """Pass on a chunk of the body, unless the request was refused."""
         if not self.transport.is_closing():
             super().on_body(body)
 
@@ -157,34 +160,34 @@
             super().on_message_complete()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived; bytes that follow a refusal are not read."""
+        """Parse received bytes; those that follow a refusal are dropped."""
         if self.transport.is_closing():
             return
         super().data_received(data)
 
-    def _headers_late(self) -> None:
-        self._refuse(b"408 Request Timeout", Reason.MALFORMED)
+    def _refuse_late_headers(self) -> None:
+        self._send_refusal(b"408 Request Timeout", Reason.MALFORMED)
 
-    def _stop_header_timer(self) -> None:
+    def _cancel_header_timer(self) -> None:
         if self.header_timer is not None:
             self.header_timer.cancel()
             self.header_timer = None
 
-    def _count(self, size: int) -> None:
+    def _count_header_bytes(self, size: int) -> None:
         before = self.header_bytes
         self.header_bytes += size
         if before <= self.limits.header_bytes < self.header_bytes:
-            self._refuse(b"431 Request Header Fields Too Large", Reason.MALFORMED)
+            self._send_refusal(b"431 Request Header Fields Too Large", Reason.MALFORMED)
 
-    def _refuse(self, status: bytes, reason: Reason) -> None:
-        # The request may carry a ticket that an earlier request ran, so the outcome is unknown.
+    def _send_refusal(self, status: bytes, reason: Reason) -> None:
+        # The outcome is unknown: the request may carry a ticket that an earlier request has run.
         body = refusal_body(Outcome.UNKNOWN, reason, _RETRY_AFTER_S * _MS_PER_S)
         self.transport.write(_REFUSAL_HEAD % (status, _RETRY_AFTER_S, len(body)) + body)
         self.transport.close()
 
 
 class _Server(uvicorn.Server):
-    """A server that installs no signal handlers: the daemon has its own."""
+    """A server that installs no signal handlers, because the daemon has its own."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -192,7 +195,7 @@
 
 
 def bind(key: str, address: str) -> socket.socket:
-    """Return a socket that is bound to an address.
+    """Bind a TCP socket to an address.
 
     Args:
         key: The settings key that holds the address, for messages.
@@ -211,20 +214,20 @@
         bound.close()
         raise SettingsError(
             f"{key}: cannot listen on {address}: {error.strerror}",
-            "free the address or write another",
+            "stop the process that uses the address, or configure another one",
         ) from None
     return bound
 
 
 def make_listener(
-    app: AsgiApp, limits: ListenerLimits, *, keepalive_s: float = _KEEPALIVE_S
+    app: AsgiApp, limits: ListenerLimits, *, keepalive_s: float = _KEEPALIVE_TIMEOUT_S
 ) -> uvicorn.Server:
     """Return a server for an ASGI application, to be given a bound socket.
 
     Args:
         app: The application.
         limits: Limits of the listener; they may change while it runs.
-        keepalive_s: How long a connection may rest, in seconds; see `keep_alive`.
+        keepalive_s: Time that a connection may stay idle, in seconds; see `keep_alive`.
     """
     config = uvicorn.Config(
         app,
@@ -245,10 +248,10 @@
 
 
 def keep_alive(server: uvicorn.Server, seconds: float) -> None:
-    """Change how long new connections of a server may rest.
+    """Change the idle timeout of a server's new connections.
 
     Args:
         server: The server.
-        seconds: Longest rest, in seconds.
+        seconds: Time that a connection may stay idle, in seconds; rounded down to whole seconds.
     """
     server.config.timeout_keep_alive = int(seconds)
--- a/sprucewinch/net/outcome.py
+++ b/sprucewinch/net/outcome.py
@@ -1,7 +1,7 @@
-"""Outcomes of a request: the three final answers, the reasons of refusals and their HTTP status.
+"""Outcomes of a request: the three outcomes, the reasons of refusals and their HTTP statuses.
 
-Owns the words that callers, operators and other VMs read; `docs/OPERATORS.md` explains each reason.
-Relies on nothing. Which refusal a request gets is decided by the modules that refuse.
+Owns the values that callers, operators and other VMs read; `docs/OPERATORS.md` explains each
+reason. Relies on nothing. The modules that refuse requests decide which refusal a request gets.
 """
 
 import enum
@@ -9,18 +9,18 @@
 
 
 class Outcome(enum.Enum):
-    """The final answer to one request."""
+    """What is known about whether a request has run, as told with its final answer."""
 
     ANSWERED = "answered"
     """The backend server's complete answer was sent."""
     NOT_RUN = "not-run"
-    """Certain: no byte of the request reached a backend server that could run it."""
+    """It is certain that no byte of the request reached a backend server that could run it."""
     UNKNOWN = "unknown"
     """The request may have run."""
 
 
 class Reason(enum.Enum):
-    """Reason for which a request or look-up was refused; see `docs/OPERATORS.md`."""
+    """Reason why a request or look-up was refused; see `docs/OPERATORS.md`."""
 
     NO_CONFIGURATION = "no-configuration"
     NO_SUCH_SERVICE = "no-such-service"
@@ -54,7 +54,7 @@
     Args:
         outcome: `NOT_RUN` or `UNKNOWN`.
         reason: Reason of the refusal.
-        retry_after_ms: Wait before the next try, in milliseconds; 0 when a retry cannot help.
+        retry_after_ms: Wait before a retry, in milliseconds; 0 when a retry cannot help.
     """
 
     outcome: Outcome
@@ -89,7 +89,7 @@
     Reason.PEER_FAILED: 502,
     Reason.TICKET_HOME_LOST: 502,
 }
-"""HTTP status of each reason that has one of its own."""
+"""HTTP status of each reason that does not use `_UNAVAILABLE`."""
 
 _UNAVAILABLE = 503
 """HTTP status of all other reasons."""
--- a/sprucewinch/net/request.py
+++ b/sprucewinch/net/request.py
@@ -1,8 +1,8 @@
-"""A request of the own interface as it passes through a VM, and the receiver of its answer.
+"""A request of Sprucewinch's own interface as it passes through a VM, and its responder.
 
-Owns the request's data, the abstract receiver of an answer, the names of the own headers, and
-which headers are end-to-end. Holds no decision. Relies on `body` for the request's bytes; `asgi`
-implements the receiver for callers.
+Owns the request's data, the abstract responder that receives its answer, the names of Sprucewinch's
+own headers, and which headers are end-to-end. Makes no decision. Relies on `body` for the request's
+body; `asgi` implements the responder for callers.
 """
 
 import abc
@@ -18,9 +18,9 @@
 DEADLINE_HEADER = "sprucewinch-deadline-ms"
 """Time that is left for the request, in milliseconds."""
 BLOCK_HEADER = "sprucewinch-client-block"
-"""Client block that the caller belongs to; without it, its address counts."""
+"""Client block that the caller belongs to; its IP address decides when absent."""
 REQUEST_ID_HEADER = "sprucewinch-request-id"
-"""Unique name of the request."""
+"""Unique id of the request."""
 OUTCOME_HEADER = "sprucewinch-outcome"
 """Outcome of the request, on answers to callers."""
 REASON_HEADER = "sprucewinch-reason"
@@ -47,10 +47,10 @@
         "upgrade",
     )
 )
-"""Headers that pertain to one connection, or that each sender writes itself (RFC 9110)."""
+"""Headers that concern one connection only, or that each sender sets itself (RFC 9110)."""
 
 _OWN_PREFIX = "sprucewinch-"
-"""Prefix of the own headers, which are not passed on."""
+"""Prefix of Sprucewinch's own headers, which are not forwarded."""
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
     """One request.
 
     Args:
-        request_id: Unique name, carried along the whole path.
+        request_id: Unique id, carried along the whole path.
         service: Service.
         client_region: Region of the caller; empty when unknown.
         method: HTTP method.
@@ -83,26 +83,26 @@
 
 
 class Responder(abc.ABC):
-    """Receives the answer of one request, piece by piece, with back-pressure."""
+    """Receives the answer of one request, chunk by chunk, with back-pressure."""
 
     started = False
     """True once `start` was called; from then on no other answer can be sent."""
 
     @abc.abstractmethod
     async def start(self, status: int, headers: Headers) -> None:
-        """Begin the answer."""
+        """Begin the answer with its status and headers."""
 
     @abc.abstractmethod
     async def write(self, chunk: bytes) -> None:
-        """Send a piece of the answer's body; waits while the caller reads slowly."""
+        """Send a chunk of the answer's body; waits while the caller reads slowly."""
 
     @abc.abstractmethod
     async def finish(self) -> None:
-        """End the answer, which is complete only then."""
+        """End the answer; without this call it is incomplete."""
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the headers that are passed on: no hop-by-hop headers and none of the own."""
+    """Return the headers to forward: neither hop-by-hop headers nor Sprucewinch's own."""
     named = {name.lower(): value for name, value in headers}
     listed = {token.strip().lower() for token in named.get("connection", "").split(",")}
     return [
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,3 +1,5 @@
+"""Listeners refuse connections, requests and headers beyond their limits."""
+
 import asyncio
 import unittest
 
--- a/tests/test_net_progress_timeout.py
+++ b/tests/test_net_progress_timeout.py
@@ -1,7 +1,7 @@
-"""An answer is given up for its silence or its whole time, never for its size.
+"""A call times out when its bytes stop or its total time is over, never because of its size.
 
-The rule by itself against a plain oracle, and work on the virtual loop that sends bytes at set
-times.
+Tests `Patience` by itself and against a simple oracle, and `run_while_progress` on the virtual loop
+with work whose bytes arrive at given times.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class Sender:
-    """Work whose bytes come at set pauses, and which then ends.
+    """Work whose bytes arrive after given pauses, and which then ends.
 
     Args:
         loop: Source of time.
@@ -50,7 +50,7 @@
 
 
 class Outcome:
-    """What became of a sender's work: its result, how long it took, whether it was cancelled."""
+    """Result of a sender's work, how long it took, and whether it was cancelled."""
 
     def __init__(self) -> None:
         self.result: Optional[str] = None
@@ -61,7 +61,7 @@
 def _outcome(
     pauses_s: list[float], *, earlier_s: Optional[float] = None, patience: Patience = _PATIENCE
 ) -> Outcome:
-    """Run a sender with some patience."""
+    """Run a sender under the given timeouts."""
 
     async def main(loop: VirtualLoop) -> Outcome:
         outcome = Outcome()
@@ -155,7 +155,7 @@
         self.assertAlmostEqual(late.took_s, 1.0)
 
     def test_silence_after_an_early_byte_ends_it_at_the_first_bytes_limit(self) -> None:
-        """A peer may send its headers at once, and the rest when there is something to tell."""
+        """A peer may send its headers at once and the rest when it has data to send."""
         outcome = _outcome([0.1, 5.0])
         self.assertIsNone(outcome.result)
         self.assertAlmostEqual(outcome.took_s, 1.0)
@@ -171,7 +171,7 @@
 
 
 def _expected_end(pauses_s: list[float], patience: Patience) -> Optional[float]:
-    """Return when bytes at these pauses are given up, in seconds; None when all come in time."""
+    """Return when a call with these pauses times out, in seconds; None when it does not."""
     passed_s = 0.0
     allowed_s = patience.first_s
     for pause_s in pauses_s:
