--- a/sprucewinch/config/configuration.py
+++ b/sprucewinch/config/configuration.py
@@ -1,8 +1,8 @@
-"""The types of the operators' configuration and of the document that the platform keeps.
+"""Types of the operators' configuration and of the document that the platform stores.
 
-Owns the regions, data halls, services, backend servers, caps and links, each as an immutable
-struct whose field names are the keys of the TOML file and of the stored JSON. Makes no check beyond
-types: `loading` reads and checks. Relies on msgspec alone.
+Owns the regions, data halls, services, backend servers, caps and links, each as an immutable struct
+whose field names are the keys of the TOML file and of the stored JSON. Checks nothing beyond types:
+`loading` reads and checks. Relies on msgspec alone.
 """
 
 from typing import Literal
@@ -11,11 +11,11 @@
 
 
 class Struct(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Base of all parts of a configuration: immutable, with slots."""
+    """Base of all types of a configuration: immutable, without unknown fields."""
 
 
 class Region(Struct, frozen=True):
-    """A region and the client blocks that count as its own.
+    """A region and the client blocks that belong to it.
 
     Args:
         name: Name of the region.
@@ -44,10 +44,10 @@
     Args:
         name: Name of the service; also the first part of its request path.
         repeatable: True when a request may safely run more than once, so that it may be retried.
-        deadline_ms: Time a request has when its caller names none, in milliseconds.
-        max_wait_ms: Longest wait for a free slot before the request is refused, in milliseconds.
+        deadline_ms: Deadline of requests whose caller states none, in milliseconds.
+        max_wait_ms: Longest wait for a free slot before a request is refused, in milliseconds.
         policy: Name of the steering policy.
-        shift_cap: Cap of this service alone, in place of the cap in `[shift]`.
+        shift_cap: Cap of this service, in place of the cap in `[shift]`; None for that cap.
     """
 
     name: str
@@ -65,8 +65,8 @@
         hall: Data hall.
         service: Service.
         servers: Addresses, `IP:PORT`.
-        slots: Requests one backend server runs at once.
-        connections: Connections one backend server accepts.
+        slots: Requests that one backend server runs at once.
+        connections: Connections that one backend server accepts.
     """
 
     hall: str
@@ -77,13 +77,14 @@
 
 
 class Link(Struct, frozen=True):
-    """A path between two regions, with its hard limit.
+    """A network path between two regions, with its capacity.
 
     Args:
         a: One region.
         b: The other region.
-        one_way_ms: Time one way, in milliseconds.
-        requests_per_s: Most requests a second that cross it from one side's callers.
+        one_way_ms: One-way latency, in milliseconds.
+        requests_per_s: Maximum rate of requests over it from the callers of one side, in requests
+            per second.
     """
 
     a: str
@@ -103,11 +104,11 @@
 
 
 class Shift(Struct, frozen=True):
-    """The cap on moving callers between regions.
+    """The cap on moving callers to other regions.
 
     Args:
-        cap: Largest share of a client region's callers of one service that may change region
-            within any window.
+        cap: Largest share of a client region's callers of one service that may be moved to
+            another region within any window.
         window_s: Length of the window, in seconds.
     """
 
@@ -119,10 +120,9 @@
     """Limits that no policy can override.
 
     Args:
-        ceiling: Largest part of a region's slots that steering plans to use.
-        stale_s: Age beyond which a region's measures are too old for it to gain callers, in
-            seconds.
-        warm_step: Largest share of its slots' worth of callers a region may gain in one window.
+        ceiling: Largest share of a region's slots that steering plans to use.
+        stale_s: Age of a region's measurements beyond which it may not gain callers, in seconds.
+        warm_step: Largest gain of callers of a region in one window, as a share of its slots.
     """
 
     ceiling: float = 0.8
@@ -133,7 +133,7 @@
 class Configuration(Struct, frozen=True):
     """A whole configuration, as operators write it.
 
-    Fields are named for the tables of the TOML file, so lists have singular names.
+    The fields have the names of the TOML file's tables, so that lists have singular names.
 
     Args:
         name: Name of the deployment.
@@ -141,8 +141,8 @@
         hall: All data halls.
         service: All services.
         pool: Backend servers by hall and service.
-        link: Paths between regions.
-        lookup: Look-up answers.
+        link: Network paths between regions.
+        lookup: Caching of look-up answers.
         shift: The shift cap.
         guard: Limits on steering.
     """
@@ -159,11 +159,11 @@
 
 
 class Policy(Struct, frozen=True):
-    """A policy program kept with the configuration.
+    """A policy program that is stored with the configuration.
 
     Args:
         name: Name of the policy.
-        source: Text of the program.
+        source: Source text of the program.
     """
 
     name: str
@@ -175,11 +175,11 @@
 
     Args:
         revision: Configuration revision that the change made.
-        operation: Identifier of the change, unique.
-        at: Wall-clock time of the writer, seconds since the epoch.
-        operator: Who made it.
-        action: What kind of change.
-        detail: What it changed, on one line.
+        operation: Unique identifier of the change.
+        at: Wall-clock time of the writer, in seconds since the epoch.
+        operator: Name of the operator who made the change.
+        action: Kind of the change.
+        detail: What was changed, on one line.
     """
 
     revision: int
@@ -191,14 +191,14 @@
 
 
 class Document(Struct, frozen=True):
-    """What the platform keeps: the configuration with its revision and audit trail.
+    """What the platform stores: the configuration with its revision and audit trail.
 
     Args:
-        revision: Grows by one with every accepted change.
+        revision: Number of the configuration; increases by 1 with every accepted change.
         configuration: The configuration.
         policies: Loaded policy programs.
-        drained: Keys of draining backend servers, data halls and regions, as `drain_key` makes.
-        audit: Newest changes, oldest first; bounded.
+        drained: Keys of draining backend servers, data halls and regions; see `drain_key`.
+        audit: The most recent changes, oldest first; limited in number.
     """
 
     revision: int
@@ -209,7 +209,7 @@
 
 
 DrainKind = Literal["server", "hall", "region"]
-"""What operators can drain: a backend server, a data hall, a region."""
+"""Kind of what operators can drain: a backend server, a data hall or a region."""
 
 
 def drain_key(kind: DrainKind, name: str) -> str:
--- a/sprucewinch/config/loading.py
+++ b/sprucewinch/config/loading.py
@@ -1,8 +1,8 @@
 """Reads configurations from files, from operators' calls and from the platform, and checks them.
 
-Owns the order decode, then check: nothing outside this module holds a configuration that was read
-and not checked. Relies on `toml_decode` for TOML and its messages, on `_check` for what types
-alone cannot say, and on `configuration` for the types.
+Owns the order of decoding and checking: no other module receives a configuration that has not been
+checked. Relies on `toml_decode` for TOML and its messages, on `_check` for what types cannot
+express, and on `configuration` for the types.
 """
 
 from pathlib import Path
@@ -25,7 +25,7 @@
         The configuration.
 
     Raises:
-        ConfigurationError: One line naming file, key, what was found and what to write.
+        ConfigurationError: On one line, with the file, the key, what was found and what to write.
     """
     tables = read_toml(path, ConfigurationError)
     configuration = decode(tables, Configuration, str(path), ConfigurationError)
@@ -34,11 +34,11 @@
 
 
 def parse_configuration(tables: dict, source: str) -> Configuration:
-    """Decode and check tables that do not come from a file.
+    """Decode and check a configuration that does not come from a file.
 
     Args:
-        tables: The configuration as plain tables.
-        source: Where they come from, for messages.
+        tables: The configuration, as decoded JSON or TOML.
+        source: Where it comes from, for messages.
 
     Returns:
         The configuration.
@@ -52,7 +52,7 @@
 
 
 def encode_document(document: Document) -> bytes:
-    """Encode a document for the platform and for peers."""
+    """Encode a document for the platform and for peers, as JSON."""
     return msgspec.json.encode(document)
 
 
@@ -66,7 +66,7 @@
         The document.
 
     Raises:
-        ConfigurationError: When the bytes are not a whole, consistent document.
+        ConfigurationError: When the bytes are not a complete, valid document.
     """
     try:
         document = msgspec.json.decode(value, type=Document)
--- a/sprucewinch/config/settings.py
+++ b/sprucewinch/config/settings.py
@@ -1,8 +1,8 @@
-"""The daemon's settings: what one entry VM reads about itself at start.
+"""The daemon's settings, which an entry VM reads from a file when it starts.
 
-Owns the types of the settings file, the limits of every listener and their checks. A process reads
-its settings once; nothing changes them while it runs. Relies on `toml_decode` for TOML and its
-messages and on `net.address` for the form of addresses.
+Owns the types of the settings file, the limits of its listeners and the checks of all settings.
+They do not change while the process runs. Relies on `toml_decode` for TOML and its messages and on
+`net.address` for the form of addresses.
 """
 
 from pathlib import Path
@@ -13,22 +13,22 @@
 from ..net.address import is_address
 from .toml_decode import decode, read_toml
 
-_KIB = 1024
-"""Bytes in a kibibyte."""
+_BYTES_PER_KIB = 1024
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Limits of every listener.
 
     Args:
-        header_bytes: Most bytes of a request's headers.
-        memory_body_bytes: Most bytes of a body kept in memory so that it can be sent again.
-        connections: Most open connections on one listener.
-        requests: Most requests in flight on one listener.
+        header_bytes: Maximum size of a request's target and headers, in bytes.
+        memory_body_bytes: Maximum size of the part of a body that is buffered in memory so that it
+            can be sent again, in bytes.
+        connections: Maximum number of open connections on one listener.
+        requests: Maximum number of requests in flight on one listener.
     """
 
-    header_bytes: int = 16 * _KIB
-    memory_body_bytes: int = 64 * _KIB
+    header_bytes: int = 16 * _BYTES_PER_KIB
+    memory_body_bytes: int = 64 * _BYTES_PER_KIB
     connections: int = 2000
     requests: int = 1000
 
@@ -37,25 +37,25 @@
     """How a planned stop proceeds.
 
     Args:
-        report_s: Seconds between log lines that name what still holds the stop up.
+        report_s: Interval of log lines about what still delays the stop, in seconds.
     """
 
     report_s: float = 5.0
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one entry VM knows about itself before it asks anyone.
+    """The settings of one entry VM.
 
     Args:
         vm: Name of this entry VM, unique in the fleet.
-        hall: Data hall it stands in.
+        hall: Its data hall.
         region: Region of that hall.
         caller_address: `IP:PORT` that callers use.
         peer_address: `IP:PORT` that other entry VMs use.
         operators_address: `IP:PORT` that operators use.
         operators_token: Secret that every operator's call must carry.
         platform_address: `IP:PORT` of the platform's service.
-        peers: Peer addresses to ask first, for a start without the platform.
+        peers: Addresses of peers to contact first, so that a VM can start without the platform.
         log_format: `text` (key=value) or `json`.
         limits: Limits of the listeners.
         stop: How a planned stop proceeds.
@@ -75,8 +75,8 @@
     stop: Stop = msgspec.field(default_factory=Stop)
 
 
-_MIN_TOKEN = 16
-"""Fewest characters of the operators' token: 64 bits when it is written in hexadecimal."""
+_MIN_TOKEN_CHARACTERS = 16
+"""Minimum length of the operators' token: 64 bits in hexadecimal notation."""
 
 _ADDRESSES = ("caller_address", "peer_address", "operators_address", "platform_address")
 _LOG_FORMATS = ("text", "json")
@@ -92,7 +92,7 @@
         The settings.
 
     Raises:
-        SettingsError: One line naming file, key, what was found and what to write.
+        SettingsError: On one line, with the file, the key, what was found and what to write.
     """
     settings = decode(read_toml(path, SettingsError), Settings, str(path), SettingsError)
     check_settings(settings, str(path))
@@ -100,18 +100,18 @@
 
 
 def check_settings(settings: Settings, source: str) -> None:
-    """Check what types alone cannot.
+    """Check what types cannot express.
 
     Args:
         settings: The settings.
         source: Name of the file, for messages.
 
     Raises:
-        SettingsError: For the first fault found.
+        SettingsError: For the first violation found.
     """
     _check_names(source, settings)
     _check_addresses(source, settings)
-    _check_words(source, settings)
+    _check_token_and_format(source, settings)
     _check_limits(source, settings.limits)
     if settings.stop.report_s <= 0:
         raise SettingsError(f"{source}: stop.report_s: found 0 or less", "write seconds above 0")
@@ -128,17 +128,17 @@
         _check_address(source, key, getattr(settings, key))
     for index, peer in enumerate(settings.peers):
         _check_address(source, f"peers[{index}]", peer)
-    own = [getattr(settings, key) for key in _ADDRESSES]
-    if len(set(own)) < len(own):
+    own_addresses = [getattr(settings, key) for key in _ADDRESSES]
+    if len(set(own_addresses)) < len(own_addresses):
         raise SettingsError(f"{source}: two addresses are the same", "give each its own port")
 
 
-def _check_words(source: str, settings: Settings) -> None:
+def _check_token_and_format(source: str, settings: Settings) -> None:
     """Check the token's length and the log format."""
-    if len(settings.operators_token) < _MIN_TOKEN:
+    if len(settings.operators_token) < _MIN_TOKEN_CHARACTERS:
         raise SettingsError(
             f"{source}: operators_token: found {len(settings.operators_token)} characters",
-            f"write a secret of at least {_MIN_TOKEN}",
+            f"write a secret of at least {_MIN_TOKEN_CHARACTERS}",
         )
     if settings.log_format not in _LOG_FORMATS:
         raise SettingsError(
@@ -158,5 +158,5 @@
 def _check_address(source: str, key: str, text: str) -> None:
     if not is_address(text):
         raise SettingsError(
-            f"{source}: {key}: found {text!r}", "write IP:PORT with an IP number, no host name"
+            f"{source}: {key}: found {text!r}", "write IP:PORT with an IP address, not a host name"
         )
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,3 +1,5 @@
+"""Configurations and settings are decoded and checked; errors name the file, key and remedy."""
+
 import tempfile
 import unittest
 from pathlib import Path
@@ -21,7 +23,7 @@
 
 
 class Examples(unittest.TestCase):
-    def test_both_deployments_have_the_sizes_of_today(self) -> None:
+    def test_the_examples_have_the_expected_sizes(self) -> None:
         for name, sizes in (("freight", [20, 13, 12]), ("kovacs", [20, 12, 12])):
             configuration = load_configuration(Path(f"examples/{name}.toml"))
             servers = [
@@ -36,7 +38,7 @@
         document = Document(3, example(), drained=("hall:van-1",))
         self.assertEqual(decode_document(encode_document(document)), document)
 
-    def test_half_a_document_is_refused(self) -> None:
+    def test_a_truncated_document_is_refused(self) -> None:
         value = encode_document(Document(3, example()))
         for cut in (0, 1, len(value) // 2, len(value) - 1):
             with self.subTest(cut), self.assertRaises(ConfigurationError):
