--- a/sprucewinch/net/_answer_reader.py
+++ b/sprucewinch/net/_answer_reader.py
@@ -93,7 +93,7 @@
         self._headers.append((name.decode("latin-1").lower(), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Check that the headers state the length of the body at most once."""
+        """Check that the headers do not state the length of the body in both ways."""
         self._headers_complete = True
         if self._length_headers() == _LENGTH_HEADERS:
             self.fail("the answer has both content-length and transfer-encoding")
--- a/tests/test_platform_server_report.py
+++ b/tests/test_platform_server_report.py
@@ -1,4 +1,4 @@
-"""What operators see of servers that state something of themselves."""
+"""The report lists each server process with what each VM knows of its statements."""
 
 import unittest
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -90,7 +90,7 @@
 
 
 class InForce(unittest.TestCase):
-    def test_changes_are_in_force_at_once_in_calm_times(self) -> None:
+    def test_changes_are_in_force_within_half_a_second_without_faults(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store, vm = await started(loop)
             self.assertEqual(vm.version(), 3)
@@ -106,13 +106,15 @@
 
         run_virtual(main)
 
-    def test_changes_during_trouble_are_in_force_within_the_bound_after_it(self) -> None:
+    def test_changes_during_a_fault_are_in_force_within_the_bound_after_it(self) -> None:
         for fault in (Fault.BUSY, Fault.MANY, Fault.RESET, Fault.SILENT, Fault.DEAF):
             for lasts_s in (0.5, 3.0, 9.0):
                 with self.subTest(fault=fault, lasts_s=lasts_s):
-                    run_virtual(lambda loop, f=fault, s=lasts_s: self._trouble(loop, f, s))
+                    run_virtual(
+                        lambda loop, f=fault, s=lasts_s: self._change_during_fault(loop, f, s)
+                    )
 
-    async def _trouble(self, loop: VirtualLoop, fault: Fault, lasts_s: float) -> None:
+    async def _change_during_fault(self, loop: VirtualLoop, fault: Fault, lasts_s: float) -> None:
         store, vm = await started(loop)
         store.fault = fault
         await pass_time(lasts_s / 2)
@@ -156,7 +158,7 @@
 
         run_virtual(main)
 
-    def test_a_slow_store_does_not_keep_changes_back(self) -> None:
+    def test_a_slow_store_does_not_delay_changes_beyond_the_bound(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store, vm = await started(loop)
             store.slow_s = 0.3
@@ -167,7 +169,7 @@
 
         run_virtual(main)
 
-    def test_lost_history_is_made_up_for_by_a_listing(self) -> None:
+    def test_lost_history_is_replaced_by_a_listing(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store, vm = await started(loop)
             store.put("op/evacuate/z", b"{}")
@@ -279,7 +281,7 @@
 
 
 class Registered(unittest.TestCase):
-    def test_a_lost_answer_or_a_key_taken_away_is_made_up_for(self) -> None:
+    def test_a_lost_answer_or_a_removed_key_is_followed_by_a_registration(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store = standin(loop)
             store.fault = Fault.LOST
@@ -311,7 +313,7 @@
 
         run_virtual(main)
 
-    def test_a_registered_vm_in_calm_times_makes_few_calls(self) -> None:
+    def test_a_registered_vm_without_faults_makes_few_calls(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store, _ = await started(loop)
             before = len(store.calls)
--- a/tests/test_platform_workspace_report.py
+++ b/tests/test_platform_workspace_report.py
@@ -1,4 +1,4 @@
-"""What operators see of workspaces' limits over the fleet."""
+"""The report of workspaces' limits adds up all VMs and names those that do not answer."""
 
 import unittest
 
@@ -23,7 +23,7 @@
 
 
 class Sums(unittest.TestCase):
-    def test_the_one_with_most_refusals_comes_first_and_its_places(self) -> None:
+    def test_the_one_with_most_refusals_comes_first_with_its_refusing_vms(self) -> None:
         rows = [
             row("a", "calm", 5, 0, 0.5),
             row("a", "hot", 7, 2, 0.5),
--- a/tools/wrong_workspace_versions.py
+++ b/tools/wrong_workspace_versions.py
@@ -120,8 +120,8 @@
         "SECRET",
         "an unusable configuration is told with what stands in it",
         "platform/known_workspaces.py",
-        'raise WireError(f"{_FIELD}: {field_name} of {name!r} is no list of texts")',
-        'raise WireError(f"{_FIELD}: {field_name} of {name!r} is {found!r}")',
+        'raise WireError(f"{_TENANTS}: {field_name} of {name!r} is no list of texts")',
+        'raise WireError(f"{_TENANTS}: {field_name} of {name!r} is {found!r}")',
         _KEYS,
     ),
 )
