--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The adapter's store client and the product's followers against the store's stand-in."""
+"""The store client and the gateway's followers against a simulated store with faults."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 
 ADDRESS = "10.200.1.7:8541"
 BOUND_S = 2.0
-"""The shortest time that the pages give a change to be in force, in seconds."""
+"""Shortest time that the documentation gives a change to be in force, in seconds."""
 
 CONTACT_S = 3.0
 _CONFIGURATION = (
@@ -90,7 +90,7 @@
 
 
 class InForce(unittest.TestCase):
-    def test_changes_are_in_force_at_once_in_calm_times(self) -> None:
+    def test_changes_are_in_force_within_half_a_second_without_faults(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store, vm = await started(loop)
             self.assertEqual(vm.version(), 3)
@@ -106,13 +106,15 @@
 
         run_virtual(main)
 
-    def test_changes_during_trouble_are_in_force_within_the_bound_after_it(self) -> None:
+    def test_changes_during_a_fault_are_in_force_within_the_bound_after_it(self) -> None:
         for fault in (Fault.BUSY, Fault.MANY, Fault.RESET, Fault.SILENT, Fault.DEAF):
             for lasts_s in (0.5, 3.0, 9.0):
                 with self.subTest(fault=fault, lasts_s=lasts_s):
-                    run_virtual(lambda loop, f=fault, s=lasts_s: self._trouble(loop, f, s))
+                    run_virtual(
+                        lambda loop, f=fault, s=lasts_s: self._change_during_fault(loop, f, s)
+                    )
 
-    async def _trouble(self, loop: VirtualLoop, fault: Fault, lasts_s: float) -> None:
+    async def _change_during_fault(self, loop: VirtualLoop, fault: Fault, lasts_s: float) -> None:
         store, vm = await started(loop)
         store.fault = fault
         await pass_time(lasts_s / 2)
@@ -123,7 +125,7 @@
         self.assertEqual(vm.version(), 9)
 
     def test_an_outage_needs_no_listing(self) -> None:
-        """A failed connection must not be taken for an answer that was cut short."""
+        """A failed connection is no truncated answer, after which the follower would list anew."""
 
         async def main(loop: VirtualLoop, fault: Fault) -> int:
             store, vm = await started(loop)
@@ -142,7 +144,7 @@
         self.assertEqual(listings, dict.fromkeys(listings, 1))
 
     def test_a_connection_that_fails_is_no_answer_that_was_cut_short(self) -> None:
-        """What had come on the connection before belongs to another answer."""
+        """Bytes that arrived on the previous connection are not counted."""
 
         async def main(loop: VirtualLoop) -> None:
             store = standin(loop)
@@ -156,7 +158,7 @@
 
         run_virtual(main)
 
-    def test_a_slow_store_does_not_keep_changes_back(self) -> None:
+    def test_a_slow_store_does_not_delay_changes_beyond_the_bound(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store, vm = await started(loop)
             store.slow_s = 0.3
@@ -167,7 +169,7 @@
 
         run_virtual(main)
 
-    def test_lost_history_is_made_up_for_by_a_listing(self) -> None:
+    def test_lost_history_is_replaced_by_a_listing(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store, vm = await started(loop)
             store.put("op/evacuate/z", b"{}")
@@ -220,13 +222,13 @@
 
 
 class EmptyLastPages(StoreStandIn):
-    """A store whose page after the last item is empty and says that more follows."""
+    """A store that says of each page that more follow, so that the page after the last is empty."""
 
     def _range(self, query: dict[str, str]) -> dict[str, Any]:
         return {**super()._range(query), "more": True}
 
 
-class DeafToAfter(StoreStandIn):
+class FirstPageAgain(StoreStandIn):
     """A store that answers each page of a listing with the first one."""
 
     def _range(self, query: dict[str, str]) -> dict[str, Any]:
@@ -234,7 +236,7 @@
 
 
 class Listing(unittest.TestCase):
-    """A listing whose pages lead nowhere ends with an error."""
+    """A listing whose pages do not advance fails; it does not loop."""
 
     async def _listing(self, loop: VirtualLoop, store: StoreStandIn, items: int) -> None:
         loop.listen(ADDRESS, store.accept)
@@ -260,7 +262,7 @@
         self._fails(EmptyLastPages, 0)
 
     def test_a_page_that_comes_again(self) -> None:
-        self._fails(DeafToAfter, 5)
+        self._fails(FirstPageAgain, 5)
 
     def test_the_follower_keeps_what_it_holds_and_goes_on_once_the_store_recovers(self) -> None:
         async def main(loop: VirtualLoop) -> None:
@@ -279,7 +281,7 @@
 
 
 class Registered(unittest.TestCase):
-    def test_a_lost_answer_or_a_key_taken_away_is_made_up_for(self) -> None:
+    def test_a_lost_answer_or_a_removed_key_is_followed_by_a_registration(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store = standin(loop)
             store.fault = Fault.LOST
@@ -311,7 +313,7 @@
 
         run_virtual(main)
 
-    def test_a_registered_vm_in_calm_times_makes_few_calls(self) -> None:
+    def test_a_registered_vm_without_faults_makes_few_calls(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store, _ = await started(loop)
             before = len(store.calls)
