--- a/sprucewinch/operators/_write_calls.py
+++ b/sprucewinch/operators/_write_calls.py
@@ -15,7 +15,7 @@
 from ..hall.node import Node
 from ._messages import json_answer, json_body, operator_name
 from .changes import ApplyConfiguration, Change, Drain, LoadPolicy, RetirePolicy, UsePolicy
-from .writer import Accepted, ChangeWriter
+from .writer import ChangeWriter, CommittedChange
 
 Applied = Callable[[Document], None]
 """Called with each document that this VM wrote."""
@@ -92,7 +92,7 @@
         )
         return self._accepted(accepted)
 
-    def _accepted(self, accepted: Accepted) -> Response:
+    def _accepted(self, accepted: CommittedChange) -> Response:
         self.applied(accepted.document)
         return json_answer(
             {"revision": accepted.document.revision, "operation": accepted.operation}
--- a/sprucewinch/operators/changes.py
+++ b/sprucewinch/operators/changes.py
@@ -1,8 +1,9 @@
-"""Changes of the configuration that operators ask for, as steps from document to document.
+"""Changes that operators make to the configuration document.
 
-Owns what each change does and when it is refused: a policy in use is not removed, a service names a
-known policy, a drain names something that exists. A change knows neither revision nor audit trail;
-`writer` adds both and may apply the same change again to a newer document. Does no I/O.
+Each change is a pure function from one document to the next and refuses documents that it does not
+fit: a policy in use is not removed, a service names a known policy, a drain names a backend server,
+data hall or region that exists. A change sets neither the revision nor the audit trail; `writer`
+adds both, and may apply the same change again to a newer document. The module does no I/O.
 """
 
 import abc
@@ -15,17 +16,18 @@
 
 
 class Change(abc.ABC):
-    """One change that an operator asks for."""
+    """One change to the configuration document, requested by an operator."""
 
     action: str
-    """Kind of change, for the audit trail."""
+    """Kind of change, as the audit trail records it."""
 
     replaces_all = False
-    """True when the change must not be made on top of another operator's newer change."""
+    """True when the change would overwrite a newer change of another operator, so that it needs the
+    revision that it was edited from."""
 
     @abc.abstractmethod
     def detail(self) -> str:
-        """Return what the change is about, on one line."""
+        """Return what is changed, on one line, for the audit trail."""
 
     @abc.abstractmethod
     def apply(self, document: Document) -> Document:
@@ -33,15 +35,15 @@
 
         Raises:
             ConfigurationError: When the change does not fit this document.
-            PolicyError: When a policy program is refused.
+            PolicyError: When a policy program fails its check.
         """
 
 
 class ApplyConfiguration(Change):
-    """Replace the whole configuration; policies and drains stay.
+    """Replace the whole configuration; loaded policies and drains are kept.
 
     Args:
-        configuration: The new configuration, checked.
+        configuration: The new configuration, already validated.
     """
 
     action = "apply"
@@ -51,29 +53,29 @@
         self.configuration = configuration
 
     def detail(self) -> str:
-        """Return the sizes of the configuration."""
+        """Return the configuration's name and how many regions, halls and servers it has."""
         c = self.configuration
         servers = sum(len(pool.servers) for pool in c.pool)
         return f"{c.name}: {len(c.region)} regions, {len(c.hall)} data halls, {servers} servers"
 
     def apply(self, document: Document) -> Document:
-        """Replace the configuration when every policy that it names is known."""
+        """Replace the configuration if every policy that its services name is shipped or loaded."""
         known = _policy_names(document)
         for service in self.configuration.service:
             if service.policy not in known:
                 raise ConfigurationError(
                     f"service {service.name}: policy {service.policy!r} is not loaded",
-                    f"load it first, or write one of: {', '.join(sorted(known))}",
+                    f"load the policy first, or name one of: {', '.join(sorted(known))}",
                 )
         return msgspec.structs.replace(document, configuration=self.configuration)
 
 
 class LoadPolicy(Change):
-    """Load a policy program, or replace one of the same name.
+    """Load a policy program, or replace the loaded one of the same name.
 
     Args:
         name: Name of the policy.
-        source: Text of the program.
+        source: Source text of the program.
     """
 
     action = "policy-load"
@@ -87,12 +89,15 @@
         return self.name
 
     def apply(self, document: Document) -> Document:
-        """Add the program after a trial run."""
+        """Add the program if `check_program` accepts it on trial snapshots of these regions."""
         if not self.name.replace("-", "").replace("_", "").isalnum():
-            raise ConfigurationError(f"policy name {self.name!r}", "use letters, digits, - and _")
+            raise ConfigurationError(
+                f"invalid policy name {self.name!r}", "use only letters, digits, - and _"
+            )
         if self.name in shipped_policies():
             raise ConfigurationError(
-                f"policy {self.name} comes with the system", "load yours under another name"
+                f"policy {self.name} is shipped with sprucewinch and cannot be replaced",
+                "load the program under another name",
             )
         regions = tuple(region.name for region in document.configuration.region)
         check_program(self.name, self.source, regions)
@@ -102,7 +107,7 @@
 
 
 class RetirePolicy(Change):
-    """Remove a policy program.
+    """Remove a loaded policy program.
 
     Args:
         name: Name of the policy.
@@ -123,18 +128,18 @@
         if users:
             raise ConfigurationError(
                 f"policy {self.name} is in use by {', '.join(users)}",
-                "give those services another policy first",
+                "assign another policy to those services first",
             )
-        left = tuple(p for p in document.policies if p.name != self.name)
-        if len(left) == len(document.policies):
+        remaining = tuple(p for p in document.policies if p.name != self.name)
+        if len(remaining) == len(document.policies):
             raise ConfigurationError(
                 f"no loaded policy {self.name!r}", "list them with: sprucewinch policy list"
             )
-        return msgspec.structs.replace(document, policies=left)
+        return msgspec.structs.replace(document, policies=remaining)
 
 
 class UsePolicy(Change):
-    """Give a service another policy.
+    """Assign a policy to a service.
 
     Args:
         service: Name of the service.
@@ -148,7 +153,7 @@
         self.policy = policy
 
     def detail(self) -> str:
-        """Return service and policy."""
+        """Return the names of the service and the policy."""
         return f"{self.service} {self.policy}"
 
     def apply(self, document: Document) -> Document:
@@ -156,12 +161,12 @@
         known = _policy_names(document)
         if self.policy not in known:
             raise ConfigurationError(
-                f"no policy {self.policy!r}", f"write one of: {', '.join(sorted(known))}"
+                f"no policy {self.policy!r}", f"name one of: {', '.join(sorted(known))}"
             )
         services = document.configuration.service
         if self.service not in {service.name for service in services}:
             names = ", ".join(service.name for service in services)
-            raise ConfigurationError(f"no service {self.service!r}", f"write one of: {names}")
+            raise ConfigurationError(f"no service {self.service!r}", f"name one of: {names}")
         changed = tuple(
             msgspec.structs.replace(s, policy=self.policy) if s.name == self.service else s
             for s in services
@@ -171,12 +176,12 @@
 
 
 class Drain(Change):
-    """Drain or undrain a backend server, data hall or region.
+    """Start or end the drain of a backend server, data hall or region.
 
     Args:
-        kind: What is drained.
-        name: Its address or name.
-        undo: Undrain it.
+        kind: What is drained: `server`, `hall` or `region`.
+        name: Address of the server, or name of the hall or region.
+        undo: End the drain instead of starting it.
     """
 
     def __init__(self, kind: DrainKind, name: str, *, undo: bool = False) -> None:
@@ -186,20 +191,20 @@
         self.action = "undrain" if undo else "drain"
 
     def detail(self) -> str:
-        """Return kind and name."""
+        """Return the kind and the name of what is drained."""
         return f"{self.kind} {self.name}"
 
     def apply(self, document: Document) -> Document:
         """Add or remove the drain."""
-        known = _drainable(document.configuration, self.kind)
+        known = _drainable_names(document.configuration, self.kind)
         if self.name not in known:
             raise ConfigurationError(
-                f"no {self.kind} {self.name!r}", f"write one of: {', '.join(sorted(known))}"
+                f"no {self.kind} {self.name!r}", f"name one of: {', '.join(sorted(known))}"
             )
         key = drain_key(self.kind, self.name)
         if self.undo != (key in document.drained):
             state = "not draining" if self.undo else "draining already"
-            raise ConfigurationError(f"{self.kind} {self.name} is {state}", "nothing is to be done")
+            raise ConfigurationError(f"{self.kind} {self.name} is {state}", "no change is needed")
         others = tuple(d for d in document.drained if d != key)
         return msgspec.structs.replace(document, drained=others if self.undo else (*others, key))
 
@@ -208,7 +213,7 @@
     return {*shipped_policies(), *(policy.name for policy in document.policies)}
 
 
-def _drainable(configuration: Configuration, kind: DrainKind) -> set[str]:
+def _drainable_names(configuration: Configuration, kind: DrainKind) -> set[str]:
     if kind == "server":
         return {server for pool in configuration.pool for server in pool.servers}
     if kind == "hall":
--- a/sprucewinch/operators/writer.py
+++ b/sprucewinch/operators/writer.py
@@ -1,19 +1,19 @@
-"""Safe writing of changes: compare-and-swap, with the audit record in the same write.
-
-Question: did this change take effect, did it not, or is that unknown?
-
-Owns the key of the configuration on the platform and the audit trail. A change is made on top of
-the document that the platform holds, with its audit record in the same write, so that a lost answer
-is resolved by reading back: the record is there, or the change is written again over the same
-version, which only one of the two writes can win. A write that meets a newer document starts again
-from that one; a whole configuration is refused instead, since it would undo another operator's
-change. Relies on the platform's compare-and-swap alone.
-
-Why: a write whose answer is lost may have taken effect, and two operators may write at once. A
-platform that shows less than is in force has lost writes, so nothing is built on it.
-
-Shows in: the audit trail, and `ConflictError`, `StaleStoreError` or `WriteUnknownError` at the
-operator. Tests: `tests.test_changes`.
+"""Writes changes to the configuration document by compare-and-swap.
+
+For each change it decides whether the change took effect, did not, or may have. It owns the
+configuration's key on the platform and the audit trail, and relies only on the platform's
+compare-and-swap. Each change is applied to the document that the platform holds and written
+together with its audit record. Two operators may write at once, and a write whose answer is lost
+may have taken effect; such a write is resolved by reading the document back. Either the audit
+record is in it, or the change is written again over the same version, and at most one of the two
+writes can succeed.
+
+When the platform holds a newer document, the change is applied again to that one. A whole
+configuration is refused instead, since it would overwrite another operator's change. A platform
+that shows a lower revision than the one in force has lost writes, so no change is applied to it.
+
+Operators see the result in the audit trail, or as a `ConflictError`, `StaleStoreError` or
+`WriteUnknownError`. `tests.test_changes` covers these rules.
 """
 
 import enum
@@ -37,43 +37,43 @@
 from ..hall.store.store import Entry, Mismatch, Platform
 from .changes import Change
 
-MAX_RECORDS = 200
-"""Most audit records kept in the document itself."""
+MAX_AUDIT_RECORDS = 200
+"""Audit records kept in the document itself; older ones are archived."""
 
-_ARCHIVED = 100
-"""Records moved to a key of their own at once: half of `MAX_RECORDS`, so that one write in a
-hundred costs two."""
+_ARCHIVE_BATCH_RECORDS = 100
+"""Audit records moved to an archive key at a time. Half of `MAX_AUDIT_RECORDS`, so that only one
+change in a hundred needs a second write."""
 
-_TRIES = 5
-"""Writes of one change, each on top of a newer document, before the operator has to decide."""
+_MAX_WRITE_ATTEMPTS = 5
+"""Attempts to write one change, each on the newest document, before the operator gets an error."""
 
-_MAX_VALUE = 1_000_000
-"""Largest document, in bytes: the brief's platform holds values up to a megabyte."""
+_MAX_DOCUMENT_BYTES = 1_000_000
+"""Largest encoded document: the platform stores values of up to one megabyte."""
 
-_SHOWN_CHANGES = 5
-"""Newest changes named in a conflict, so that the message stays on one line."""
+_MAX_CHANGES_SHOWN = 5
+"""Newest changes that a conflict message lists, so that it stays on one line."""
 
 
-class Accepted(NamedTuple):
-    """A change that is in the platform's service.
+class CommittedChange(NamedTuple):
+    """A change that the platform has stored.
 
     Args:
-        document: The document with the change.
-        operation: Identifier of the change.
+        document: The document that contains the change.
+        operation: Identifier of the change in the audit trail.
     """
 
     document: Document
     operation: str
 
 
-class _Call(NamedTuple):
-    """One operator's call on its way to the platform.
+class _ChangeRequest(NamedTuple):
+    """A change that an operator requests, with what is needed to check and record it.
 
     Args:
         change: The change.
-        operator: Who makes it.
-        operation: Identifier of the change.
-        base: Revision that the operator saw.
+        operator: Name of the operator.
+        operation: Identifier of the change in the audit trail.
+        base: Revision that the operator edited; None when unknown.
         in_force: Highest revision known to be in force.
     """
 
@@ -84,8 +84,8 @@
     in_force: int
 
 
-class _Result(enum.Enum):
-    """Result of one write; `UNKNOWN` when its answer is lost."""
+class _WriteResult(enum.Enum):
+    """Result of one write; `OVERTAKEN` by a newer version, or `UNKNOWN` as its answer was lost."""
 
     WRITTEN = "written"
     OVERTAKEN = "overtaken"
@@ -96,9 +96,9 @@
     """Writes changes by compare-and-swap, each with its audit record.
 
     Args:
-        platform: The platform's service.
+        platform: Client of the platform's store.
         clock: Source of time.
-        new_operation: Returns a fresh identifier.
+        new_operation: Returns a unique identifier for a change.
     """
 
     def __init__(
@@ -114,62 +114,72 @@
 
     async def write(
         self, change: Change, operator: str, *, base: Optional[int], in_force: int
-    ) -> Accepted:
-        """Make a change.
+    ) -> CommittedChange:
+        """Apply a change to the newest document and write it.
 
         Args:
             change: The change.
-            operator: Who makes it.
-            base: Revision that the operator saw; needed when the change replaces everything.
+            operator: Name of the operator.
+            base: Revision that the operator edited; required when the change replaces everything.
             in_force: Highest revision known to be in force.
 
         Returns:
-            The accepted change.
+            The committed change.
 
         Raises:
-            ConflictError: When another operator changed the configuration since `base`.
-            StaleStoreError: When the platform shows less than is in force.
-            ConfigurationError: When the change cannot be made.
+            ConflictError: When another operator changed the configuration since `base`, or other
+                changes were written first on every attempt.
+            StaleStoreError: When the platform shows a lower revision than `in_force`.
+            ConfigurationError: When the change does not fit the document, or makes it too large.
+            PolicyError: When a policy program fails its check.
             PlatformError: When the platform does not answer; nothing was changed.
-            WriteUnknownError: When the platform went away during the write, so that the change
-                may or may not have been made; names the operation.
+            WriteUnknownError: When the answer to a write was lost, so that the change may or may
+                not have been made; names the operation.
         """
         operation = self.new_operation()
-        return await self._write(_Call(change, operator, operation, base, in_force))
-
-    async def _write(self, call: _Call) -> Accepted:
-        sent = False
-        for _ in range(_TRIES):
-            entry = await self._read(call.operation, sent)
-            held = _held(entry)
-            if _made(held, call.operation):
-                return Accepted(held, call.operation)
-            document = self._next(call, held)
-            result = await self._put(document, entry.version if entry else 0)
-            if result is _Result.WRITTEN:
-                return Accepted(document, call.operation)
-            sent = sent or result is _Result.UNKNOWN
-        if sent:
-            raise _unknown(call.operation)
-        raise ConflictError("other changes came first each time", "try again")
-
-    async def restore(self, in_force: Document, operator: str) -> Accepted:
-        """Write the document in force over an older one that the platform shows.
+        return await self._write(_ChangeRequest(change, operator, operation, base, in_force))
+
+    async def _write(self, request: _ChangeRequest) -> CommittedChange:
+        unresolved = False
+        for _ in range(_MAX_WRITE_ATTEMPTS):
+            entry = await self._read_entry(request.operation, unresolved)
+            current = _decode_stored(entry)
+            if _contains_operation(current, request.operation):
+                return CommittedChange(current, request.operation)
+            document = self._next_document(request, current)
+            result = await self._try_write(document, entry.version if entry else 0)
+            if result is _WriteResult.WRITTEN:
+                return CommittedChange(document, request.operation)
+            unresolved = unresolved or result is _WriteResult.UNKNOWN
+        if unresolved:
+            raise _write_unknown(request.operation)
+        raise ConflictError(
+            "other operators' changes were written first in every attempt", "try again"
+        )
+
+    async def restore(self, in_force: Document, operator: str) -> CommittedChange:
+        """Write the document in force over an older one that the platform holds.
 
         Args:
             in_force: The document in force.
-            operator: Who restores it.
+            operator: Name of the operator.
+
+        Returns:
+            The committed document, one revision above the one in force.
 
         Raises:
-            ConflictError: When the platform shows nothing older, or its value changes meanwhile.
+            ConflictError: When the platform's document is not older, or changes during the call.
             PlatformError: When the platform does not answer.
         """
         operation = self.new_operation()
         entry = await self.platform.get(CONFIGURATION_KEY)
-        held = _held(entry)
-        if held.revision >= in_force.revision:
-            raise ConflictError("the platform shows nothing older", "no restore is needed")
-        record = self._record(in_force, operator, operation, "restore", f"over {held.revision}")
+        current = _decode_stored(entry)
+        if current.revision >= in_force.revision:
+            raise ConflictError(
+                "the platform's configuration is not older than the one in force",
+                "no restore is needed",
+            )
+        record = self._record(in_force, operator, operation, "restore", f"over {current.revision}")
         document = msgspec.structs.replace(
             in_force, revision=in_force.revision + 1, audit=(*in_force.audit, record)
         )
@@ -178,102 +188,110 @@
         )
         if isinstance(result, Mismatch):
             raise ConflictError(
-                "the platform's value changed meanwhile", "look at it and try again"
+                "the platform's configuration changed during the restore",
+                "check the change with: sprucewinch audit; then try again",
             )
-        return Accepted(document, operation)
+        return CommittedChange(document, operation)
 
-    async def _read(self, operation: str, sent: bool) -> Optional[Entry]:
+    async def _read_entry(self, operation: str, unresolved: bool) -> Optional[Entry]:
         try:
             return await self.platform.get(CONFIGURATION_KEY)
         except PlatformError:
-            if sent:
-                raise _unknown(operation) from None
+            if unresolved:
+                raise _write_unknown(operation) from None
             raise
 
-    def _next(self, call: _Call, held: Document) -> Document:
-        _check_base(call, held)
-        change = call.change
-        changed = change.apply(held)
-        record = self._record(held, call.operator, call.operation, change.action, change.detail())
+    def _next_document(self, request: _ChangeRequest, current: Document) -> Document:
+        _check_base_revision(request, current)
+        change = request.change
+        changed = change.apply(current)
+        record = self._record(
+            current, request.operator, request.operation, change.action, change.detail()
+        )
         return msgspec.structs.replace(
-            changed, revision=held.revision + 1, audit=(*held.audit, record)
+            changed, revision=current.revision + 1, audit=(*current.audit, record)
         )
 
     def _record(
-        self, held: Document, operator: str, operation: str, action: str, detail: str
+        self, previous: Document, operator: str, operation: str, action: str, detail: str
     ) -> AuditRecord:
         return AuditRecord(
-            held.revision + 1, operation, self.clock.wall(), operator, action, detail
+            previous.revision + 1, operation, self.clock.wall(), operator, action, detail
         )
 
-    async def _put(self, document: Document, expected: int) -> _Result:
+    async def _try_write(self, document: Document, expected: int) -> _WriteResult:
         try:
             document = await self._archive(document)
             value = encode_document(document)
-            if len(value) > _MAX_VALUE:
+            if len(value) > _MAX_DOCUMENT_BYTES:
                 raise ConfigurationError(
-                    f"the configuration takes {len(value)} bytes; at most {_MAX_VALUE} are held",
+                    f"the configuration document has {len(value)} bytes; "
+                    f"at most {_MAX_DOCUMENT_BYTES} can be stored",
                     "retire policies or shorten lists",
                 )
             result = await self.platform.put(CONFIGURATION_KEY, value, expected)
         except WriteUnknownError:
-            # A result, no error yet: the next try reads back whether the write took effect.
-            return _Result.UNKNOWN
-        return _Result.OVERTAKEN if isinstance(result, Mismatch) else _Result.WRITTEN
+            # This is no error yet: the next attempt reads back whether the write took effect.
+            return _WriteResult.UNKNOWN
+        return _WriteResult.OVERTAKEN if isinstance(result, Mismatch) else _WriteResult.WRITTEN
 
     async def _archive(self, document: Document) -> Document:
-        """Move the oldest records to a key of their own before they leave the document."""
-        if len(document.audit) <= MAX_RECORDS:
+        """Copy the oldest audit records to an archive key before removing them here."""
+        if len(document.audit) <= MAX_AUDIT_RECORDS:
             return document
-        oldest, rest = document.audit[:_ARCHIVED], document.audit[_ARCHIVED:]
+        oldest, rest = (
+            document.audit[:_ARCHIVE_BATCH_RECORDS],
+            document.audit[_ARCHIVE_BATCH_RECORDS:],
+        )
         key = f"{AUDIT_PREFIX}{oldest[0].revision:012d}"
         await self.platform.put(key, msgspec.json.encode(oldest), 0)
         return msgspec.structs.replace(document, audit=rest)
 
 
-EMPTY = Document(0, Configuration("none", (), (), (), ()))
-"""What the platform holds before the first configuration."""
+EMPTY_DOCUMENT = Document(0, Configuration("none", (), (), (), ()))
+"""Stands for the document before the first configuration is written."""
 
 
-def _held(entry: Optional[Entry]) -> Document:
-    return decode_document(entry.value) if entry else EMPTY
+def _decode_stored(entry: Optional[Entry]) -> Document:
+    return decode_document(entry.value) if entry else EMPTY_DOCUMENT
 
 
-def _check_base(call: _Call, held: Document) -> None:
-    """Refuse to build on a document that is not the newest, or not the one that was edited."""
-    if held.revision < call.in_force:
+def _check_base_revision(request: _ChangeRequest, current: Document) -> None:
+    """Refuse a document older than the one in force, or other than the one that was edited."""
+    if current.revision < request.in_force:
         raise StaleStoreError(
-            f"the platform shows revision {held.revision}, but {call.in_force} is in force",
-            "write it back with: sprucewinch config restore",
+            f"the platform shows revision {current.revision}, but {request.in_force} is in force",
+            "write the newer one back with: sprucewinch config restore",
         )
-    if not call.change.replaces_all or held.revision == 0:
+    if not request.change.replaces_all or current.revision == 0:
         return
-    if call.base is None:
+    if request.base is None:
         raise ConflictError(
-            "a whole configuration needs the revision it was edited from",
-            f"give --base; the newest is {held.revision}",
+            "the revision that the configuration was edited from is missing",
+            f"give it with --base; the newest is {current.revision}",
         )
-    if call.base != held.revision:
+    if request.base != current.revision:
         raise ConflictError(
-            f"revision {call.base} was edited, but {held.revision} is the newest: "
-            + since(held, call.base),
-            "show the newest configuration, make your change again and apply it",
+            f"the configuration was edited from revision {request.base}, but {current.revision} "
+            "is the newest: " + changes_since(current, request.base),
+            "get the newest with: sprucewinch config show; then edit and apply it again",
         )
 
 
-def _made(held: Document, operation: str) -> bool:
-    return any(record.operation == operation for record in held.audit)
+def _contains_operation(document: Document, operation: str) -> bool:
+    return any(record.operation == operation for record in document.audit)
 
 
-def _unknown(operation: str) -> WriteUnknownError:
+def _write_unknown(operation: str) -> WriteUnknownError:
     return WriteUnknownError(
-        f"the platform went away during the write; operation {operation} may have been made",
-        f"when it is back, look with: sprucewinch audit --operation {operation}",
+        f"the platform stopped answering during the write; operation {operation} "
+        "may or may not have taken effect",
+        f"when it answers again, check with: sprucewinch audit --operation {operation}",
     )
 
 
-def since(document: Document, revision: int) -> str:
-    """Return the newest changes after a revision, on one line."""
-    newer = [r for r in document.audit if r.revision > revision]
-    shown = newer[-_SHOWN_CHANGES:]
-    return "; ".join(f"{r.revision} {r.operator} {r.action} {r.detail}" for r in shown)
+def changes_since(document: Document, revision: int) -> str:
+    """Return the newest changes made after a revision, on one line."""
+    newer_records = [r for r in document.audit if r.revision > revision]
+    shown_records = newer_records[-_MAX_CHANGES_SHOWN:]
+    return "; ".join(f"{r.revision} {r.operator} {r.action} {r.detail}" for r in shown_records)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -21,14 +21,14 @@
     RetirePolicy,
     UsePolicy,
 )
-from sprucewinch.operators.writer import MAX_RECORDS, ChangeWriter
+from sprucewinch.operators.writer import MAX_AUDIT_RECORDS, ChangeWriter
 from tests.fakes import FakePlatform, example
 from tests.manual_clock import ManualClock
 
 PROGRAM = "def shares(snapshot):\n    return {snapshot['client_region']: 1}"
 
 
-class Writing(unittest.IsolatedAsyncioTestCase):
+class ChangeWriting(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.platform = FakePlatform()
         numbers = count(1)
@@ -54,7 +54,7 @@
         self.assertEqual([r.action for r in document.audit], ["apply", "drain"])
         self.assertEqual([r.revision for r in document.audit], [1, 2])
 
-    async def test_of_two_operators_one_wins_and_the_other_is_told(self) -> None:
+    async def test_of_two_concurrent_operators_one_gets_a_conflict(self) -> None:
         await self.first()
         await self.drain()
         change = ApplyConfiguration(example())
@@ -68,7 +68,7 @@
         with self.assertRaises(ConflictError):
             await self.writer.write(ApplyConfiguration(example()), "bob", base=None, in_force=1)
 
-    async def test_small_changes_at_the_same_moment_both_land(self) -> None:
+    async def test_concurrent_small_changes_are_both_written(self) -> None:
         first = await self.first()
 
         def other() -> None:
@@ -83,14 +83,14 @@
         self.assertEqual(document.drained, ("hall:kel-1", "hall:van-1"))
         self.assertEqual(document.revision, 3)
 
-    async def test_lost_answer_is_settled_as_made(self) -> None:
+    async def test_lost_answer_is_resolved_by_reading_back(self) -> None:
         await self.first()
         self.platform.lose_next_answer = True
         document = await self.drain()
         self.assertEqual(document.revision, 2)
         self.assertEqual(len(self.held().audit), 2)
 
-    async def test_lost_answer_is_settled_as_made_under_a_newer_change(self) -> None:
+    async def test_lost_answer_under_a_newer_change_is_resolved_by_reading_back(self) -> None:
         await self.first()
         self.platform.lose_next_answer = True
         original = self.platform.get
@@ -110,8 +110,8 @@
         await self.drain()
         self.assertEqual(self.held().drained, ("hall:van-1",))
 
-    async def test_write_that_was_sent_twice_underway_is_settled_as_made(self) -> None:
-        """A client below may send a write again by itself; the second is then a mismatch."""
+    async def test_write_resent_by_the_client_is_resolved_by_reading_back(self) -> None:
+        """The HTTP client may resend a write by itself; the second one is then a mismatch."""
         await self.first()
         original = self.platform.put
 
@@ -149,7 +149,7 @@
             await self.drain()
         self.assertNotIsInstance(caught.exception, WriteUnknownError)
 
-    async def test_platform_that_shows_an_older_value_is_not_built_upon(self) -> None:
+    async def test_no_change_is_applied_to_an_older_document(self) -> None:
         await self.first()
         with self.assertRaises(StaleStoreError):
             await self.writer.write(Drain("hall", "van-1"), "eva", base=None, in_force=7)
@@ -161,7 +161,7 @@
 
     async def test_audit_trail_is_archived_before_it_is_shortened(self) -> None:
         await self.first()
-        for number in range(MAX_RECORDS):
+        for number in range(MAX_AUDIT_RECORDS):
             undo = bool(number % 2)
             change = Drain("hall", "van-1", undo=undo)
             await self.writer.write(change, "eva", base=None, in_force=0)
@@ -169,7 +169,7 @@
         self.assertEqual(archived, ["audit/000000000001"])
         old = msgspec.json.decode(self.platform.values[archived[0]].value)
         kept = [r.revision for r in self.held().audit]
-        self.assertEqual([r["revision"] for r in old] + kept, list(range(1, MAX_RECORDS + 2)))
+        self.assertEqual([r["revision"] for r in old] + kept, list(range(1, MAX_AUDIT_RECORDS + 2)))
 
     async def test_policies(self) -> None:
         await self.first()
