--- a/sprucewinch/operators/__init__.py
+++ b/sprucewinch/operators/__init__.py
@@ -1,6 +1,7 @@
-"""The operators' side: command line calls, the operators' port, changes, reports, explanations.
+"""The operators' interface: the operators' port, its client, changes, reports and request traces.
 
-Owns what operators see and how a change is written safely. Relies on `hall` for what a VM knows, on
-`config` for what may be written and on `steering` for what would be granted. Read `port` first,
-then `writer`; `story` stands apart and reads only the logs of the routed path.
+The package owns what operators see and how a change is written safely. It relies on `hall` for a
+VM's view of the fleet, on `config` for what a configuration may contain and on `steering` for the
+shares that a policy would be granted. Start with `port`, then `writer`. `story` is independent of
+both and reads only the logs of the routed path.
 """
--- a/sprucewinch/operators/_messages.py
+++ b/sprucewinch/operators/_messages.py
@@ -1,7 +1,7 @@
-"""Bodies and answers of the operators' port, as JSON.
+"""Reads request bodies and builds responses of the operators' port, as JSON.
 
-Owns the form of answers and problems, and the bounds of what a call may send. Relies on msgspec for
-JSON; the calls themselves are in `_read_calls` and `_write_calls`.
+The module owns the form of responses and errors, and the limits on what a request may send. It
+relies on msgspec for JSON; the handlers are in `_read_handlers` and `_write_handlers`.
 """
 
 from http import HTTPStatus
@@ -13,55 +13,60 @@
 
 from ..errors import ConfigurationError
 
-_MAX_BODY = 2_000_000
-"""Largest body of a call, in bytes: twice the megabyte that the platform holds."""
+_MAX_BODY_BYTES = 2_000_000
+"""Largest request body: twice the megabyte that the platform stores in one value."""
 
-_MAX_NAME = 64
-"""Longest name of an operator in the audit trail, in characters."""
+_MAX_OPERATOR_NAME_CHARS = 64
+"""Longest operator name kept in the audit trail; longer ones are cut."""
 
-_UNNAMED = "unnamed"
+_UNNAMED_OPERATOR = "unnamed"
 
 
 def operator_name(request: Request) -> str:
-    """Return who makes a call, as the audit trail names them."""
-    name = request.headers.get("sprucewinch-operator", _UNNAMED)
-    return "".join(c for c in name if c.isprintable())[:_MAX_NAME] or _UNNAMED
+    """Return the name of the operator who sent a request, for the audit trail."""
+    name = request.headers.get("sprucewinch-operator", _UNNAMED_OPERATOR)
+    return (
+        "".join(c for c in name if c.isprintable())[:_MAX_OPERATOR_NAME_CHARS] or _UNNAMED_OPERATOR
+    )
 
 
 async def json_body(request: Request) -> dict[str, Any]:
-    """Read a call's body.
+    """Read a request's body.
 
     Raises:
-        ConfigurationError: When the body is too large or no JSON object.
+        ConfigurationError: When the body is too large or is not a JSON object.
     """
     received = bytearray()
     async for chunk in request.stream():
         received += chunk
-        if len(received) > _MAX_BODY:
+        if len(received) > _MAX_BODY_BYTES:
             raise ConfigurationError(
-                f"the call has more than {_MAX_BODY} bytes", "send a smaller configuration"
+                f"the request body has more than {_MAX_BODY_BYTES} bytes",
+                "send a smaller configuration",
             )
     try:
         decoded = msgspec.json.decode(bytes(received))
     except msgspec.MsgspecError as error:
-        raise ConfigurationError(f"the call is no JSON: {error}", "send a JSON object") from None
+        raise ConfigurationError(
+            f"the request body is not JSON: {error}", "send a JSON object"
+        ) from None
     if not isinstance(decoded, dict):
-        raise ConfigurationError("the call is no JSON object", "send a JSON object")
+        raise ConfigurationError("the request body is not a JSON object", "send a JSON object")
     return decoded
 
 
-def json_answer(value: Any, status: int = HTTPStatus.OK) -> Response:
-    """Return an answer with a JSON value."""
+def json_response(value: Any, status: int = HTTPStatus.OK) -> Response:
+    """Return a response with a JSON value."""
     return Response(msgspec.json.encode(value), status, media_type="application/json")
 
 
-def problem_answer(status: int, problem: str, remedy: str, kind: str = "Refused") -> Response:
-    """Return an answer that names a problem.
+def error_response(status: int, problem: str, remedy: str, kind: str = "Refused") -> Response:
+    """Return a response that describes an error.
 
     Args:
         status: HTTP status.
         problem: What is wrong.
         remedy: What to do about it.
-        kind: Name of the error's class, by which the command line raises it again.
+        kind: Name of the error's class, which the command line raises again.
     """
-    return json_answer({"error": kind, "problem": problem, "remedy": remedy}, status)
+    return json_response({"error": kind, "problem": problem, "remedy": remedy}, status)
--- a/sprucewinch/operators/_read_calls.py
+++ b/sprucewinch/operators/_read_handlers.py
@@ -1,7 +1,8 @@
-"""Calls of the operators' port that read: status, measures, audit, explanations, configuration.
+"""Read requests of the operators' port: status, metrics, audit, explanations, configuration.
 
-Owns nothing: each call answers from this VM's node, and archived audit records from the platform.
-None of them changes anything. Relies on `report` for what is worked out from the node.
+Each handler answers from this VM's node; only archived audit records come from the platform. The
+handlers hold no state of their own and change nothing. `report` computes the answers that need
+more than a field of the node.
 """
 
 from typing import Any
@@ -14,16 +15,16 @@
 from ..hall.node import Node
 from ..hall.store.documents import AUDIT_PREFIX
 from ..hall.store.store import Platform
-from ._messages import json_answer
+from ._messages import json_response
 from .report import compare_policies, explain, status
 
 
-class ReadCalls:
-    """Answers what operators ask.
+class ReadHandlers:
+    """Handles read requests of operators.
 
     Args:
-        node: This VM's view.
-        platform: The platform's service.
+        node: This VM's view of the fleet.
+        platform: Client of the platform's store.
         clock: Source of time.
     """
 
@@ -33,35 +34,35 @@
         self.clock = clock
 
     async def show_status(self, _request: Request) -> Response:
-        """Return every entry VM this one knows of, and what is draining."""
-        return json_answer(status(self.node, self.clock.monotonic()))
+        """Return every entry VM known to this one, and the drains."""
+        return json_response(status(self.node, self.clock.monotonic()))
 
     async def show_metrics(self, _request: Request) -> Response:
-        """Return this daemon's measures."""
-        return json_answer(self.node.metrics.report())
+        """Return this daemon's metrics."""
+        return json_response(self.node.metrics.report())
 
     async def show_audit(self, request: Request) -> Response:
-        """Return the audit trail, oldest first, archived parts included."""
+        """Return the audit trail, oldest first; with `all`, archived records too."""
         records: list[Any] = []
         if request.query_params.get("all"):
             for entry in await self.platform.watch(AUDIT_PREFIX, 0, 0.0):
                 records.extend(msgspec.json.decode(entry.value))
         if self.node.topology is not None:
             records.extend(msgspec.to_builtins(self.node.topology.document.audit))
-        return json_answer({"audit": records})
+        return json_response({"audit": records})
 
     async def show_explanation(self, request: Request) -> Response:
-        """Explain where a client block is steered to for a service, and why."""
+        """Return where a client block is sent for a service, and why."""
         block = request.query_params.get("block", "")
         service = request.query_params.get("service", "")
-        return json_answer(explain(self.node, block, service, self.clock.monotonic()))
+        return json_response(explain(self.node, block, service, self.clock.monotonic()))
 
     async def show_configuration(self, _request: Request) -> Response:
-        """Return the configuration in force here."""
+        """Return the configuration in force at this VM."""
         if self.node.topology is None:
-            return json_answer({"revision": 0, "configuration": None, "drained": []})
+            return json_response({"revision": 0, "configuration": None, "drained": []})
         document = self.node.topology.document
-        return json_answer(
+        return json_response(
             {
                 "revision": document.revision,
                 "configuration": msgspec.to_builtins(document.configuration),
@@ -81,10 +82,10 @@
             {"policy": name, "origin": "loaded" if name in loaded else "shipped", "services": used}
             for name, used in sorted(users.items())
         ]
-        return json_answer({"policies": rows})
+        return json_response({"policies": rows})
 
     async def compare(self, request: Request) -> Response:
-        """Run policies on the present measures without putting them in force."""
+        """Return the shares that policies would give now, without putting them in force."""
         names = [n for n in request.query_params.get("policies", "").split(",") if n]
         service = request.query_params.get("service", "")
-        return json_answer(compare_policies(self.node, service, names, self.clock.monotonic()))
+        return json_response(compare_policies(self.node, service, names, self.clock.monotonic()))
--- a/sprucewinch/operators/port.py
+++ b/sprucewinch/operators/port.py
@@ -1,8 +1,9 @@
-"""The operators' port: routes, permission, and the answer to each kind of error.
+"""The HTTP API of the operators' port: routes, authorization and error responses.
 
-Owns the paths under `/v1/` and the HTTP status of each error; the command line is its client. Every
-call must carry the VM's `operators_token`. Relies on `_read_calls` and `_write_calls` for what the
-calls do; an error of theirs becomes an answer that names its class, problem and remedy.
+The module owns the paths under `/v1/` and the HTTP status of each error class; the command line is
+its client. Every request must carry the VM's `operators_token`. `_read_handlers` and
+`_write_handlers` implement the requests; an error that they raise becomes a response that names the
+error's class, problem and remedy.
 """
 
 import hmac
@@ -28,12 +29,12 @@
 )
 from ..hall.node import Node
 from ..hall.store.store import Platform
-from ._messages import problem_answer
-from ._read_calls import ReadCalls
-from ._write_calls import Applied, WriteCalls
+from ._messages import error_response
+from ._read_handlers import ReadHandlers
+from ._write_handlers import OnCommitted, WriteHandlers
 from .writer import ChangeWriter
 
-_STATUS: dict[type[SprucewinchError], int] = {
+_HTTP_STATUS_BY_ERROR: dict[type[SprucewinchError], int] = {
     ConfigurationError: HTTPStatus.BAD_REQUEST,
     PolicyError: HTTPStatus.BAD_REQUEST,
     ConflictError: HTTPStatus.CONFLICT,
@@ -41,75 +42,83 @@
     WriteUnknownError: HTTPStatus.BAD_GATEWAY,
     PlatformError: HTTPStatus.SERVICE_UNAVAILABLE,
 }
-"""HTTP status by kind of error; any other kind is a fault of this program."""
+"""HTTP status by class of error; any other class is a fault of the daemon."""
 
 Handler = Callable[[Request], Awaitable[Response]]
-"""Answers one call."""
+"""Handles one HTTP request."""
 
 
 class OperatorsApp:
-    """Serves operators; every call must carry the configured token.
+    """The application of the operators' port; every request must carry the configured token.
 
     Args:
         settings: The daemon's settings.
-        node: This VM's view.
-        platform: The platform's service.
+        node: This VM's view of the fleet.
+        platform: Client of the platform's store.
         clock: Source of time.
-        applied: Called with each document that this VM wrote.
+        on_committed: Called with each document that this VM has written.
     """
 
     def __init__(
-        self, settings: Settings, node: Node, platform: Platform, clock: Clock, applied: Applied
+        self,
+        settings: Settings,
+        node: Node,
+        platform: Platform,
+        clock: Clock,
+        on_committed: OnCommitted,
     ) -> None:
         self.token = settings.operators_token.encode()
-        self.reads = ReadCalls(node, platform, clock)
-        self.writes = WriteCalls(node, ChangeWriter(platform, clock), applied)
+        self.read_handlers = ReadHandlers(node, platform, clock)
+        self.write_handlers = WriteHandlers(node, ChangeWriter(platform, clock), on_committed)
 
     def routes(self) -> Starlette:
         """Return the ASGI application."""
-        reads, writes = self.reads, self.writes
+        read_handlers, write_handlers = self.read_handlers, self.write_handlers
         paths: list[tuple[str, str, Handler]] = [
-            ("/v1/status", "GET", reads.show_status),
-            ("/v1/metrics", "GET", reads.show_metrics),
-            ("/v1/audit", "GET", reads.show_audit),
-            ("/v1/explain", "GET", reads.show_explanation),
-            ("/v1/configuration", "GET", reads.show_configuration),
-            ("/v1/configuration", "POST", writes.apply_configuration),
-            ("/v1/restore", "POST", writes.restore),
-            ("/v1/policies", "GET", reads.list_policies),
-            ("/v1/policies/{name}", "PUT", writes.load_policy),
-            ("/v1/policies/{name}", "DELETE", writes.retire_policy),
-            ("/v1/compare", "GET", reads.compare),
-            ("/v1/services/{name}/policy", "PUT", writes.use_policy),
-            ("/v1/drains/{kind}/{name:path}", "PUT", writes.drain),
-            ("/v1/drains/{kind}/{name:path}", "DELETE", writes.undrain),
+            ("/v1/status", "GET", read_handlers.show_status),
+            ("/v1/metrics", "GET", read_handlers.show_metrics),
+            ("/v1/audit", "GET", read_handlers.show_audit),
+            ("/v1/explain", "GET", read_handlers.show_explanation),
+            ("/v1/configuration", "GET", read_handlers.show_configuration),
+            ("/v1/configuration", "POST", write_handlers.apply_configuration),
+            ("/v1/restore", "POST", write_handlers.restore),
+            ("/v1/policies", "GET", read_handlers.list_policies),
+            ("/v1/policies/{name}", "PUT", write_handlers.load_policy),
+            ("/v1/policies/{name}", "DELETE", write_handlers.retire_policy),
+            ("/v1/compare", "GET", read_handlers.compare),
+            ("/v1/services/{name}/policy", "PUT", write_handlers.use_policy),
+            ("/v1/drains/{kind}/{name:path}", "PUT", write_handlers.drain),
+            ("/v1/drains/{kind}/{name:path}", "DELETE", write_handlers.undrain),
+        ]
+        routes = [
+            Route(path, self._with_error_responses(handler), methods=[method])
+            for path, method, handler in paths
         ]
-        routes = [Route(path, self._guarded(call), methods=[verb]) for path, verb, call in paths]
         return Starlette(routes=routes)
 
-    def _guarded(self, handler: Handler) -> Handler:
-        """Return a handler that checks the token and turns errors into answers."""
+    def _with_error_responses(self, handler: Handler) -> Handler:
+        """Return a handler that checks the token and turns errors into responses."""
 
-        async def guarded(request: Request) -> Response:
-            if not self._permitted(request):
-                return problem_answer(
-                    HTTPStatus.UNAUTHORIZED, "no valid token", "set the operators_token of this VM"
+        async def handle(request: Request) -> Response:
+            if not self._is_authorized(request):
+                return error_response(
+                    HTTPStatus.UNAUTHORIZED, "no valid token", "send the operators_token of this VM"
                 )
             try:
                 return await handler(request)
             except SprucewinchError as error:
-                status = _STATUS.get(type(error), HTTPStatus.INTERNAL_SERVER_ERROR)
-                return problem_answer(status, error.problem, error.remedy, type(error).__name__)
-            except Exception as error:  # noqa: BLE001  a handler's fault is logged and answered
+                status = _HTTP_STATUS_BY_ERROR.get(type(error), HTTPStatus.INTERNAL_SERVER_ERROR)
+                return error_response(status, error.problem, error.remedy, type(error).__name__)
+            except Exception as error:  # noqa: BLE001  any fault of a handler is logged and answered
                 log.trouble(f"event=operators-fault path={request.url.path} error={error!r}")
-                return problem_answer(
+                return error_response(
                     HTTPStatus.INTERNAL_SERVER_ERROR,
                     f"fault: {type(error).__name__}",
-                    "report it with the log",
+                    "report it with the daemon's log",
                 )
 
-        return guarded
+        return handle
 
-    def _permitted(self, request: Request) -> bool:
-        given = request.headers.get("authorization", "").removeprefix("Bearer ").encode()
-        return hmac.compare_digest(given, self.token)
+    def _is_authorized(self, request: Request) -> bool:
+        token = request.headers.get("authorization", "").removeprefix("Bearer ").encode()
+        return hmac.compare_digest(token, self.token)
