--- a/sprucewinch/cli.py
+++ b/sprucewinch/cli.py
@@ -21,7 +21,7 @@
 from .operators._tables import Printer
 from .operators.client import OperatorClient, read_state
 from .operators.report import sizes
-from .operators.story import read_story
+from .operators.request_trace import read_request_trace
 from .steering.policy import check_program
 
 
@@ -242,7 +242,7 @@
             request_id: Its id, or the start of it.
             logs: Files with the lines of the VMs that may have received it.
         """
-        found = read_story(logs, request_id)
+        found = read_request_trace(logs, request_id)
         values = {"request": found.request_id, "meaning": found.meaning, "rule": found.rule}
         self._printer.record_with_lines(values, found.lines)
 
--- a/sprucewinch/operators/deciding_rule.py
+++ b/sprucewinch/operators/deciding_rule.py
@@ -1,17 +1,18 @@
-"""Names the rule of the routed path that decided a request's end, from its log line alone.
+"""Finds the rule of the routed path that decided a request's outcome, from its log line alone.
 
-Question: which module of `sprucewinch/gateway` does an engineer on call read to see why a request
-ended as it did? Input: the fields of an event `request`. Rule: the outcome names the module; where
-one outcome has several rules, whether the request was sent and whether a server is named decides.
+The answer is the module of `sprucewinch/gateway` that an engineer on call reads to see why a
+request ended as it did. The input is the fields of an event `request`. The outcome determines the
+module; where several rules lead to the same outcome, the choice depends on whether the request was
+sent and whether a server is named.
 
-Owns the table. Relies on the names of outcomes and fields, which `tests.test_formats_lines` holds,
-and on module paths, which `tests.test_story` checks. Imports nothing of the gateway: logs may come
-from VMs of another version.
+The module owns this table. It relies on the names of outcomes and fields, which
+`tests.test_formats_lines` checks, and on module paths, which `tests.test_story` checks. It imports
+nothing of the gateway, since logs may come from VMs of another version.
 """
 
 from typing import Any
 
-_BY_OUTCOME = {
+_RULE_BY_OUTCOME = {
     "answered": "requests/verdict.py",
     "no-configuration": "requests/routes_in_force.py",
     "no-route": "requests/routes.py",
@@ -29,38 +30,40 @@
     "failed": "requests/outcome/retry_decision.py",
     "left": "requests/app.py",
 }
-"""The deciding module of each outcome that has one."""
+"""The deciding module of each outcome that only one module decides."""
 
-_WHY = 2
-"""Place of the cause in one of the `sends`."""
+_REASON_INDEX = 2
+"""Index of the reason in an entry of `sends`."""
 
 _NOT_OFFERED = "not-offered"
-"""Cause of a send whose server left before it got a byte: it is always sent again, so that the
-selection after it decides."""
+"""Reason of an attempt whose server left before it received a byte. Such a request is always sent
+again, so that the next selection of a server decides."""
 
 RETRY_DECISION = "requests/outcome/retry_decision.py"
 ROOM = "requests/choice/room.py"
 BODY_ADMISSION = "requests/callers/body_admission.py"
 USABILITY = "servers/usability.py"
 
-RULES = frozenset((*_BY_OUTCOME.values(), RETRY_DECISION, ROOM, BODY_ADMISSION, USABILITY))
-"""All modules that are named."""
+RULE_MODULES = frozenset(
+    (*_RULE_BY_OUTCOME.values(), RETRY_DECISION, ROOM, BODY_ADMISSION, USABILITY)
+)
+"""All modules that `deciding_rule` may return."""
 
 
 def deciding_rule(fields: dict[str, Any]) -> str:
-    """Return the module that decided a request's end, below `sprucewinch/gateway`.
+    """Return the module that decided a request's outcome.
 
     Args:
-        fields: Fields of its event `request`.
+        fields: Fields of the request's event `request`.
 
     Returns:
-        The module's path; empty for an outcome that is not known here.
+        The module's path below `sprucewinch/gateway`; empty for an outcome that is not known here.
     """
     outcome = str(fields.get("outcome", ""))
     if outcome not in ("no-room", "no-server"):
-        return _BY_OUTCOME.get(outcome, "")
+        return _RULE_BY_OUTCOME.get(outcome, "")
     sends = fields.get("sends")
-    if sends and sends[-1][_WHY] != _NOT_OFFERED:
+    if sends and sends[-1][_REASON_INDEX] != _NOT_OFFERED:
         return RETRY_DECISION
     if outcome == "no-server":
         return USABILITY
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -1,4 +1,4 @@
-"""The story of a request, told from log lines alone."""
+"""The trace of a request, reconstructed from log lines alone."""
 
 import contextlib
 import io
@@ -13,8 +13,12 @@
 from sprucewinch.cli import Sprucewinch
 from sprucewinch.errors import LogError
 from sprucewinch.gateway.requests.client_request import RefusalReason
-from sprucewinch.operators.deciding_rule import RETRY_DECISION, RULES, deciding_rule
-from sprucewinch.operators.story import parse, read_story, reconstruct
+from sprucewinch.operators.deciding_rule import RETRY_DECISION, RULE_MODULES, deciding_rule
+from sprucewinch.operators.request_trace import (
+    parse_log_lines,
+    read_request_trace,
+    reconstruct_trace,
+)
 
 GATEWAY = Path(__file__).resolve().parent.parent / "sprucewinch" / "gateway"
 
@@ -66,23 +70,23 @@
 ]
 
 
-class Stories(unittest.TestCase):
-    def test_a_failed_request_with_what_happened_to_its_server_before(self) -> None:
-        story = reconstruct(parse(LOG), "abc1")
-        self.assertIn("may have run", story.meaning)
+class RequestTraces(unittest.TestCase):
+    def test_trace_of_a_failed_request_has_earlier_events_of_its_server(self) -> None:
+        trace = reconstruct_trace(parse_log_lines(LOG), "abc1")
+        self.assertIn("may have run", trace.meaning)
         self.assertEqual(
-            [text.partition(": ")[2].split()[0] for text in story.lines[:-1]],
+            [text.partition(": ")[2].split()[0] for text in trace.lines[:-1]],
             ["configuration", "store", "fact", "server-rests"],
         )
-        self.assertIn("4.000 s before: configuration version=4", story.lines[0])
-        self.assertIn("s1 may have run it (the connection ended, 800.1 ms)", story.lines[-1])
+        self.assertIn("4.000 s before: configuration version=4", trace.lines[0])
+        self.assertIn("s1 may have run it (the connection ended, 800.1 ms)", trace.lines[-1])
 
-    def test_a_refused_request_with_what_kept_it_back(self) -> None:
-        story = reconstruct(parse(LOG), "abc2")
-        self.assertIn("not run", story.meaning)
-        self.assertIn("s2 had 2 of this VM's requests (2.2 allowed)", story.lines[-1])
+    def test_trace_of_a_refused_request_names_the_server_without_room(self) -> None:
+        trace = reconstruct_trace(parse_log_lines(LOG), "abc2")
+        self.assertIn("not run", trace.meaning)
+        self.assertIn("s2 had 2 of this VM's requests (2.2 allowed)", trace.lines[-1])
 
-    def test_the_rule_that_decided_is_named(self) -> None:
+    def test_deciding_rule(self) -> None:
         room = {"server_id": "s2"}
         cases = (
             ("no-room", [], room, "requests/choice/room.py"),
@@ -100,40 +104,44 @@
             fields = {"outcome": outcome, "sends": sends, "blocked": blocked}
             with self.subTest(outcome=outcome, sends=sends):
                 self.assertEqual(deciding_rule(fields), rule)
-        self.assertEqual(reconstruct(parse(LOG), "abc1").rule, RETRY_DECISION)
+        self.assertEqual(reconstruct_trace(parse_log_lines(LOG), "abc1").rule, RETRY_DECISION)
 
     def test_every_outcome_has_a_rule_and_every_rule_is_a_module(self) -> None:
         outcomes = [reason.value for reason in RefusalReason]
         for outcome in (*outcomes, "answered", "left"):
             self.assertTrue(deciding_rule({"outcome": outcome}), outcome)
             line = json.dumps({"time": 1.0, "event": "request", "id": "q", "outcome": outcome})
-            self.assertNotEqual(reconstruct(parse([line]), "q").meaning, outcome)
-        for rule in RULES:
+            self.assertNotEqual(reconstruct_trace(parse_log_lines([line]), "q").meaning, outcome)
+        for rule in RULE_MODULES:
             self.assertTrue((GATEWAY / rule).is_file(), rule)
 
-    def test_lines_of_other_vms_and_servers_do_not_belong_to_it(self) -> None:
-        text = "\n".join(reconstruct(parse(LOG), "abc1").lines)
+    def test_lines_of_other_vms_and_servers_are_left_out(self) -> None:
+        text = "\n".join(reconstruct_trace(parse_log_lines(LOG), "abc1").lines)
         self.assertNotIn("s7", text)
         self.assertNotIn("abc2", text)
         self.assertNotIn("stopping", text)
 
-    def test_an_id_that_is_not_there_or_not_whole_is_told_of(self) -> None:
+    def test_an_unknown_or_ambiguous_id_is_an_error(self) -> None:
         for request_id, words in (("zzz", "no line"), ("abc", "2 requests"), ("", "no line")):
             with self.subTest(request_id=request_id), self.assertRaises(LogError) as caught:
-                reconstruct(parse(LOG), request_id)
+                reconstruct_trace(parse_log_lines(LOG), request_id)
             self.assertIn(words, str(caught.exception))
 
-    def test_the_start_of_an_id_is_enough_when_it_is_the_only_one(self) -> None:
-        self.assertEqual(reconstruct(parse(LOG), "oth").request_id, "other")
+    def test_an_unambiguous_prefix_of_an_id_is_accepted(self) -> None:
+        self.assertEqual(reconstruct_trace(parse_log_lines(LOG), "oth").request_id, "other")
 
     @given(st.permutations(LOG))
     def test_the_order_of_the_lines_does_not_matter(self, lines: list[str]) -> None:
-        self.assertEqual(reconstruct(parse(lines), "abc1"), reconstruct(parse(LOG), "abc1"))
+        self.assertEqual(
+            reconstruct_trace(parse_log_lines(lines), "abc1"),
+            reconstruct_trace(parse_log_lines(LOG), "abc1"),
+        )
 
     @given(st.lists(st.text(), max_size=6))
-    def test_whatever_stands_between_is_passed_over(self, noise: list[str]) -> None:
+    def test_other_lines_are_skipped(self, noise: list[str]) -> None:
         self.assertEqual(
-            reconstruct(parse([*noise, *LOG]), "abc2"), reconstruct(parse(LOG), "abc2")
+            reconstruct_trace(parse_log_lines([*noise, *LOG]), "abc2"),
+            reconstruct_trace(parse_log_lines(LOG), "abc2"),
         )
 
 
@@ -152,7 +160,7 @@
             self.assertIn("the connection ended", out.getvalue())
         self.assertEqual(json.loads(out.getvalue())["request"], "abc1")
 
-    def test_a_file_that_is_not_there_is_named(self) -> None:
+    def test_a_missing_file_is_an_error(self) -> None:
         with self.assertRaises(LogError) as caught:
-            read_story([str(self.path) + ".not"], "abc1")
+            read_request_trace([str(self.path) + ".not"], "abc1")
         self.assertIn("give the path", str(caught.exception))
