--- a/sprucewinch/cli.py
+++ b/sprucewinch/cli.py
@@ -2,7 +2,7 @@
 
 Owns the names of commands and arguments, and the exit status of errors. Each method below is a
 command: `fire` makes the arguments from the signature and the help from the docstring. Relies on
-`operators.client` for calls to a VM and on `operators._tables` for printing; `config validate`,
+`operators.client` for calls to a VM and on `operators._printer` for printing; `config validate`,
 `policy check` and `story` need no VM.
 """
 
@@ -17,8 +17,8 @@
 
 from .config.loading import load_configuration
 from .errors import ConfigurationError, ConflictError, PolicyError, SprucewinchError
-from .operators._base_revision import read_base
-from .operators._tables import Printer
+from .operators._base_revision import read_base_revision
+from .operators._printer import Printer
 from .operators.client import OperatorClient, read_state
 from .operators.report import sizes
 from .operators.request_trace import read_request_trace
@@ -66,7 +66,7 @@
         """
         file = Path(path)
         load_configuration(file)
-        seen = read_base(file) if base is None else base
+        seen = read_base_revision(file) if base is None else base
         tables = _tables(file)
         body = {"configuration": tables, "base": seen, "source": path}
         self._print.record(self._client.call("POST", "/v1/configuration", body))
--- a/sprucewinch/operators/client.py
+++ b/sprucewinch/operators/client.py
@@ -1,8 +1,9 @@
-"""Calls to the operators' port of a daemon, for the command line.
+"""Client of a daemon's operators' port, for the command line.
 
-Owns the connection's timeout and headers, and turns each answer's error back into the class that
-the daemon named. A change whose answer is lost becomes `WriteUnknownError`: it may have been made.
-Also reads the `/state` of a VM of the routed request path. Relies on aiohttp.
+The module owns the timeout and headers of requests, and raises each error response again as the
+class that the daemon named. When the response to a change is lost, it raises `WriteUnknownError`,
+since the change may have been made. It also reads `/state` of a VM of the routed request path. It
+relies on aiohttp.
 """
 
 import asyncio
@@ -25,12 +26,12 @@
 )
 from ..net.address import is_address
 
-_TIMEOUT_S = 15.0
-"""Longest call, in seconds; a change takes several calls to the platform."""
+_CALL_TIMEOUT_S = 15.0
+"""Limit for a whole request; a change makes several requests to the platform."""
 
-_ERRORS: dict[str, type[SprucewinchError]] = {
-    kind.__name__: kind
-    for kind in (
+_ERRORS_BY_NAME: dict[str, type[SprucewinchError]] = {
+    error_class.__name__: error_class
+    for error_class in (
         ConfigurationError,
         ConflictError,
         PlatformError,
@@ -39,19 +40,19 @@
         WriteUnknownError,
     )
 }
-"""Errors that a daemon may name, by the name in its answer; any other is a `DaemonError`."""
+"""Error classes by the name in an error response; any other name becomes a `DaemonError`."""
 
 
 class OperatorClient:
-    """Calls one entry VM's operators' port.
+    """Client of one entry VM's operators' port.
 
     Args:
-        address: `IP:PORT`.
+        address: `IP:PORT` of the operators' port.
         token: The VM's `operators_token`.
-        operator: Name for the audit trail; the user's by default.
+        operator: Name for the audit trail; the login name by default.
 
     Raises:
-        DaemonError: When the address is no `IP:PORT`, or the token is missing.
+        DaemonError: When the address is not `IP:PORT`, or the token is missing.
     """
 
     def __init__(self, address: str, token: str, *, operator: Optional[str] = None) -> None:
@@ -61,31 +62,34 @@
                 "set --vm or SPRUCEWINCH_VM to IP:PORT of an operators' port",
             )
         if not token:
-            raise DaemonError("no token", "set SPRUCEWINCH_TOKEN to the VM's operators_token")
+            raise DaemonError(
+                "no operators' token is set", "set SPRUCEWINCH_TOKEN to the VM's operators_token"
+            )
         self.address = address
         self.token = token
         self.operator = operator or getpass.getuser()
 
     def call(self, method: str, path: str, body: Any = None) -> Any:
-        """Make a call.
+        """Send a request and wait for its response.
 
         Args:
             method: HTTP method.
             path: Path and query.
-            body: JSON value.
+            body: Value to send as JSON; None for no body.
 
         Returns:
-            The answer's JSON value.
+            The JSON value of the response.
 
         Raises:
             SprucewinchError: Of the class that the daemon named.
-            DaemonError: When the daemon cannot be reached; nothing was changed.
-            WriteUnknownError: When a change's answer is lost.
+            DaemonError: When the daemon cannot be reached, so that nothing was changed, or did not
+                answer a request that only reads.
+            WriteUnknownError: When the response to a change was lost.
         """
         return asyncio.run(self._call(method, path, body))
 
     def get(self, path: str) -> Any:
-        """Make a call that reads; see `call`."""
+        """Send a GET request; see `call`."""
         return self.call("GET", path)
 
     async def _call(self, method: str, path: str, body: Any) -> Any:
@@ -93,7 +97,7 @@
             "authorization": f"Bearer {self.token}",
             "sprucewinch-operator": self.operator,
         }
-        timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=_CALL_TIMEOUT_S)
         url = f"http://{self.address}{path}"
         data = None if body is None else msgspec.json.encode(body)
         try:
@@ -101,29 +105,29 @@
                 aiohttp.ClientSession(timeout=timeout, headers=headers) as session,
                 session.request(method, url, data=data) as response,
             ):
-                status, answer = response.status, msgspec.json.decode(await response.read())
+                status, decoded = response.status, msgspec.json.decode(await response.read())
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise self._lost(method, error) from None
+            raise self._no_answer_error(method, error) from None
         except msgspec.MsgspecError:
             raise DaemonError(
-                f"{self.address} did not answer as an operators' port does",
-                "check that --vm names the operators_address",
+                f"the response of {self.address} is not JSON",
+                "check that --vm is the VM's operators_address",
             ) from None
         if status == HTTPStatus.OK:
-            return answer
-        kind = _ERRORS.get(answer.get("error", ""), DaemonError)
-        raise kind(str(answer.get("problem")), str(answer.get("remedy")))
+            return decoded
+        error_class = _ERRORS_BY_NAME.get(decoded.get("error", ""), DaemonError)
+        raise error_class(str(decoded.get("problem")), str(decoded.get("remedy")))
 
-    def _lost(self, method: str, error: Exception) -> SprucewinchError:
-        refused = isinstance(error, aiohttp.ClientConnectorError)
-        if method == "GET" or refused:
+    def _no_answer_error(self, method: str, error: Exception) -> SprucewinchError:
+        connection_failed = isinstance(error, aiohttp.ClientConnectorError)
+        if method == "GET" or connection_failed:
             return DaemonError(
                 f"{self.address} does not answer ({type(error).__name__})",
-                "check that the daemon runs, or name another VM with --vm",
+                "check that the daemon runs, or give another VM with --vm",
             )
         return WriteUnknownError(
-            f"{self.address} went away during the call; the change may have been made",
-            "look with: sprucewinch audit",
+            f"the response of {self.address} was lost; the change may or may not have been made",
+            "check with: sprucewinch audit",
         )
 
 
@@ -134,15 +138,15 @@
         address: `IP:PORT` of its metrics listener.
 
     Raises:
-        DaemonError: When the address is none, or gives no state.
+        DaemonError: When the address is not `IP:PORT`, or does not answer with a state.
     """
     if not is_address(address):
-        raise DaemonError(f"{address!r} is no address", "give IP:PORT of a metrics listener")
+        raise DaemonError(f"{address!r} is no address", "give IP:PORT of a VM's metrics listener")
     return asyncio.run(_read_state(address))
 
 
 async def _read_state(address: str) -> Any:
-    timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
+    timeout = aiohttp.ClientTimeout(total=_CALL_TIMEOUT_S)
     try:
         async with (
             aiohttp.ClientSession(timeout=timeout) as session,
@@ -151,5 +155,6 @@
             return msgspec.json.decode(await response.read())
     except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError) as error:
         raise DaemonError(
-            f"{address}: no state: {type(error).__name__}", "check that the VM runs"
+            f"cannot read the state of {address} ({type(error).__name__})",
+            "check that the VM runs and that this is its metrics listener",
         ) from None
