--- a/sprucewinch/cli.py
+++ b/sprucewinch/cli.py
@@ -1,9 +1,9 @@
 """The command line `sprucewinch` for operators.
 
-Owns the names of commands and arguments, and the exit status of errors. Each method below is a
-command: `fire` makes the arguments from the signature and the help from the docstring. Relies on
-`operators.client` for calls to a VM and on `operators._printer` for printing; `config validate`,
-`policy check` and `story` need no VM.
+The module owns the names of commands and arguments, and the exit status of errors. Each public
+method is a command: `fire` derives the arguments from the signature and the help text from the
+docstring. `operators.client` sends requests to a VM and `operators._printer` prints the responses;
+`config validate`, `policy check` and `story` need no VM.
 """
 
 import os
@@ -20,15 +20,15 @@
 from .operators._base_revision import read_base_revision
 from .operators._printer import Printer
 from .operators.client import OperatorClient, read_state
-from .operators.report import sizes
+from .operators.report import element_counts
 from .operators.request_trace import read_request_trace
 from .steering.policy import check_program
 
 
 class _Group:
-    """Commands that share the connection and the way of printing.
+    """Base of command groups, which share the root's client and printer.
 
-    Attribute names have underscores here, since `fire` offers every public one as a command.
+    Attribute names start with an underscore, since `fire` offers every public one as a command.
     """
 
     def __init__(self, root: "Sprucewinch") -> None:
@@ -48,12 +48,14 @@
 
     @SetParseFn(str)
     def validate(self, path: str) -> None:
-        """Check a configuration file without applying it."""
+        """Validate a configuration file without applying it."""
         configuration = load_configuration(Path(path))
-        self._print.record({"valid": True, "name": configuration.name, **sizes(configuration)})
+        self._print.record(
+            {"valid": True, "name": configuration.name, **element_counts(configuration)}
+        )
 
     def show(self) -> None:
-        """Print the configuration in force as TOML, with the revision to edit it from."""
+        """Print the configuration in force as TOML, with its revision as a comment."""
         self._print.configuration(self._client.get("/v1/configuration"))
 
     @SetParseFns(path=str)
@@ -61,18 +63,18 @@
         """Apply a configuration file.
 
         Args:
-            path: A TOML file; one made by `config show` names the revision it was made from.
-            base: Revision that the file was edited from, when the file names none.
+            path: A TOML file; one printed by `config show` has its base revision in a comment.
+            base: Revision that the file was edited from; by default the one in the file.
         """
-        file = Path(path)
-        load_configuration(file)
-        seen = read_base_revision(file) if base is None else base
-        tables = _tables(file)
-        body = {"configuration": tables, "base": seen, "source": path}
+        file_path = Path(path)
+        load_configuration(file_path)
+        base_revision = read_base_revision(file_path) if base is None else base
+        configuration_tables = _read_toml_tables(file_path)
+        body = {"configuration": configuration_tables, "base": base_revision, "source": path}
         self._print.record(self._client.call("POST", "/v1/configuration", body))
 
     def restore(self) -> None:
-        """Write the configuration in force over an older one that the platform shows."""
+        """Write the configuration in force over an older one on the platform."""
         self._print.record(self._client.call("POST", "/v1/restore"))
 
 
@@ -82,19 +84,19 @@
     @SetParseFn(str)
     def check(self, path: str) -> None:
         """Check a policy program without loading it."""
-        check_program(Path(path).stem, _text(path), ("region-1", "region-2", "region-3"))
+        check_program(Path(path).stem, _read_program(path), ("region-1", "region-2", "region-3"))
         self._print.record({"valid": True, "policy": Path(path).stem})
 
     @SetParseFn(str)
     def load(self, name: str, path: str) -> None:
-        """Load a policy program, or replace the one of this name."""
+        """Load a policy program, or replace the loaded one of this name."""
         self._print.record(
-            self._client.call("PUT", f"/v1/policies/{quote(name)}", {"source": _text(path)})
+            self._client.call("PUT", f"/v1/policies/{quote(name)}", {"source": _read_program(path)})
         )
 
     @SetParseFn(str)
     def replace(self, name: str, path: str) -> None:
-        """Replace a loaded policy program; an error when there is none of this name."""
+        """Replace a loaded policy program; fail when none of this name is loaded."""
         rows = self._client.get("/v1/policies")["policies"]
         if name not in {row["policy"] for row in rows if row["origin"] == "loaded"}:
             raise ConflictError(
@@ -104,7 +106,7 @@
 
     @SetParseFn(str)
     def retire(self, name: str) -> None:
-        """Remove a policy program."""
+        """Remove a loaded policy program."""
         self._print.record(self._client.call("DELETE", f"/v1/policies/{quote(name)}"))
 
     def list(self) -> None:
@@ -113,13 +115,13 @@
 
     @SetParseFn(str)
     def use(self, service: str, policy: str) -> None:
-        """Give a service another policy."""
+        """Assign a policy to a service."""
         path = f"/v1/services/{quote(service)}/policy"
         self._print.record(self._client.call("PUT", path, {"policy": policy}))
 
     @SetParseFn(str)
     def compare(self, service: str, *policies: str) -> None:
-        """Show what policies would want and be granted on the present measures."""
+        """Show the shares that policies want and would be granted now."""
         query = urlencode({"service": service, "policies": ",".join(policies)})
         self._print.rows(self._client.get(f"/v1/compare?{query}")["rows"], "compared")
 
@@ -128,13 +130,13 @@
 class Sprucewinch:
     """Operate a fleet of entry VMs.
 
-    Exit status: 0 done; 1 fault; 2 the input is wrong; 3 another change came first; 4 the daemon
+    Exit status: 0 success; 1 fault; 2 invalid input; 3 conflict with another change; 4 the daemon
     or the platform does not answer; 5 a change may or may not have been made.
 
     Args:
         vm: `IP:PORT` of any entry VM's operators' port; `SPRUCEWINCH_VM` by default.
         token: The operators' token; `SPRUCEWINCH_TOKEN` by default.
-        operator: Name for the audit trail; the user's by default.
+        operator: Name for the audit trail; the login name by default.
         json: Print JSON instead of tables.
     """
 
@@ -156,7 +158,7 @@
         return OperatorClient(self._vm, self._token, operator=self._operator)
 
     def status(self) -> None:
-        """Show every entry VM, who lags, and what holds up drains."""
+        """Show every entry VM, whether its configuration lags, and what holds up drains."""
         answer = self._client().get("/v1/status")
         self._printer.sections(answer, {"vms": "entry VMs", "drains": "drains"})
 
@@ -166,36 +168,36 @@
 
         Args:
             kind: `server`, `hall` or `region`.
-            name: Its address or name.
+            name: Address of the server, or name of the hall or region.
         """
         self._printer.record(self._client().call("PUT", f"/v1/drains/{kind}/{quote(name)}"))
 
     @SetParseFn(str)
     def undrain(self, kind: str, name: str) -> None:
-        """End a drain."""
+        """End the drain of a backend server, data hall or region."""
         self._printer.record(self._client().call("DELETE", f"/v1/drains/{kind}/{quote(name)}"))
 
     def measures(self, all_vms: bool = True) -> None:
-        """Show latency, headroom, drain time and refusals by service, hall and policy."""
+        """Show latency, headroom, drain times and refusals by service, hall and policy."""
         from .hall.metrics import merge_reports
 
         client = self._client()
         reports = [client.get("/v1/metrics")]
         if all_vms:
-            reports += self._reports_of_others(client)
+            reports += self._metrics_of_other_vms(client)
         merged = merge_reports(reports)
         titles = {name: name.replace("_", " ") for name in merged if name != "counters"}
         self._printer.sections(merged, titles)
 
-    def _reports_of_others(self, client: OperatorClient) -> list[dict[str, Any]]:
+    def _metrics_of_other_vms(self, client: OperatorClient) -> list[dict[str, Any]]:
         reports = []
         status = client.get("/v1/status")
         for row in status["vms"]:
             if row["vm"] == status["asked"] or row["state"] == "gone":
                 continue
-            other = OperatorClient(row["operators_address"], client.token)
+            other_client = OperatorClient(row["operators_address"], client.token)
             try:
-                reports.append(other.get("/v1/metrics"))
+                reports.append(other_client.get("/v1/metrics"))
             except SprucewinchError as error:
                 print(f"{row['vm']}: {error.problem}; left out", file=sys.stderr)
         return reports
@@ -209,7 +211,7 @@
         """Show the audit trail.
 
         Args:
-            operation: Show only this operation.
+            operation: Show only the record of this operation.
             all: Include archived records.
         """
         records = self._client().get(f"/v1/audit{'?all=1' if all else ''}")["audit"]
@@ -236,34 +238,36 @@
 
     @SetParseFn(str)
     def story(self, request_id: str, *logs: str) -> None:
-        """Show what happened to a request of the routed request path, from logs alone.
+        """Show the trace of a request of the routed request path, from logs alone.
 
         Args:
-            request_id: Its id, or the start of it.
-            logs: Files with the lines of the VMs that may have received it.
+            request_id: Id of the request, or an unambiguous prefix of it.
+            logs: Log files of the VMs that may have received it.
         """
-        found = read_request_trace(logs, request_id)
-        values = {"request": found.request_id, "meaning": found.meaning, "rule": found.rule}
-        self._printer.record_with_lines(values, found.lines)
+        trace = read_request_trace(logs, request_id)
+        values = {"request": trace.request_id, "meaning": trace.meaning, "rule": trace.rule}
+        self._printer.record_with_lines(values, trace.lines)
 
     @SetParseFn(str)
     def explain(self, block: str, service: str) -> None:
-        """Explain where a client block is sent for a service, and why."""
+        """Show where a client block is sent for a service, and why."""
         query = urlencode({"block": block, "service": service})
         answer = self._client().get(f"/v1/explain?{query}")
         self._printer.sections(answer, {"regions": "regions"})
 
 
-def _text(path: str) -> str:
+def _read_program(path: str) -> str:
     try:
         return Path(path).read_text(encoding="utf-8")
     except OSError as error:
-        raise PolicyError(f"{path}: {error.strerror}", "give the path of a program") from None
+        raise PolicyError(
+            f"{path}: {error.strerror}", "give the path of a policy program"
+        ) from None
     except UnicodeDecodeError:
         raise PolicyError(f"{path}: not UTF-8 text", "save the program as UTF-8") from None
 
 
-def _tables(path: Path) -> dict[str, Any]:
+def _read_toml_tables(path: Path) -> dict[str, Any]:
     from .config.toml_decode import read_toml
 
     return read_toml(path, ConfigurationError)
--- a/sprucewinch/operators/report.py
+++ b/sprucewinch/operators/report.py
@@ -1,8 +1,8 @@
-"""Reports for operators: the fleet's status, explanations of steering, policies side by side.
+"""Reports for operators: status of the fleet, explanations of steering, comparison of policies.
 
-Owns the form of these reports, field by field; the command line prints them as they are. Works
-everything out from a `Node` and a time, changes nothing and does no I/O. Relies on
-`hall.planning` for plans and measures and on `steering` for what would be granted.
+The module owns the fields of these reports; the command line prints them unchanged. Each report is
+computed from a `Node` and a time, without changes or I/O. `hall.planning` provides plans and
+measurements, and `steering` the shares that a policy would be granted.
 """
 
 from typing import Any, Optional
@@ -23,38 +23,47 @@
 from ..steering.policy import PolicyFault
 
 _SHARE_DIGITS = 4
-"""Decimals of a printed share: a hundredth of a per cent."""
+"""Decimals of a reported share, which is a hundredth of a per cent."""
 
 _HEADROOM_DIGITS = 3
-"""Decimals of a printed headroom: a tenth of a per cent."""
+"""Decimals of a reported headroom, which is a tenth of a per cent."""
 
 
 def status(node: Node, now: float) -> dict[str, Any]:
-    """Return every entry VM known to a node, who lags, and what is draining.
+    """Return the entry VMs that a node knows and the drains in progress.
+
+    A VM lags when its configuration is older than the newest that any VM has. A drain is held up by
+    the VMs that still have requests for what is drained.
 
     Args:
-        node: This VM's view.
+        node: This VM's view of the fleet.
         now: Monotonic time, in seconds.
     """
     records = node.membership.records.values()
     members = [node.own, *(record.member for record in records)]
-    newest = max(member.config_revision for member in members)
-    rows = [_vm_row(node, member, newest, now) for member in sorted(members, key=lambda m: m.vm)]
-    held: dict[str, dict[str, int]] = {}
+    newest_revision = max(member.config_revision for member in members)
+    rows = [
+        _vm_row(node, member, newest_revision, now)
+        for member in sorted(members, key=lambda m: m.vm)
+    ]
+    requests_by_drain: dict[str, dict[str, int]] = {}
     for member in members:
-        for thing, requests in member.held.items():
-            held.setdefault(thing, {})[member.vm] = requests
+        for drain_key, requests in member.held.items():
+            requests_by_drain.setdefault(drain_key, {})[member.vm] = requests
     drained = list(node.topology.document.drained) if node.topology else []
-    things = sorted({*drained, *held})
+    drain_keys = sorted({*drained, *requests_by_drain})
     return {
         "asked": node.own.vm,
-        "newest_revision": newest,
+        "newest_revision": newest_revision,
         "vms": rows,
-        "drains": [_drain_row(node, thing, held.get(thing, {})) for thing in things],
+        "drains": [
+            _drain_row(node, drain_key, requests_by_drain.get(drain_key, {}))
+            for drain_key in drain_keys
+        ],
     }
 
 
-def _vm_row(node: Node, member: Member, newest: int, now: float) -> dict[str, Any]:
+def _vm_row(node: Node, member: Member, newest_revision: int, now: float) -> dict[str, Any]:
     age = node.membership.age_s(member.vm, now)
     return {
         "vm": member.vm,
@@ -62,7 +71,7 @@
         "region": member.region,
         "state": State.Name(member.state).lower(),
         "revision": member.config_revision,
-        "lags": member.config_revision < newest,
+        "lags": member.config_revision < newest_revision,
         "slots": int(sum(load.capacity for load in member.loads)),
         "in_flight": member.in_flight,
         "heard_s": round(age or 0.0, 1),
@@ -70,42 +79,48 @@
     }
 
 
-def _drain_row(node: Node, thing: str, held: dict[str, int]) -> dict[str, Any]:
-    busy = {vm: requests for vm, requests in sorted(held.items()) if requests}
-    row: dict[str, Any] = {"thing": thing, "in_flight": sum(busy.values()), "held_up_by": busy}
-    kind, _, name = thing.partition(":")
+def _drain_row(node: Node, drain_key: str, requests_by_vm: dict[str, int]) -> dict[str, Any]:
+    busy_vms = {vm: requests for vm, requests in sorted(requests_by_vm.items()) if requests}
+    row: dict[str, Any] = {
+        "thing": drain_key,
+        "in_flight": sum(busy_vms.values()),
+        "held_up_by": busy_vms,
+    }
+    kind, _, name = drain_key.partition(":")
     if kind == "region" and node.topology is not None:
-        row["shares_left"] = _largest_shares(node, name)
+        row["shares_left"] = _largest_shares_by_service(node, name)
     return row
 
 
-def _largest_shares(node: Node, region: str) -> dict[str, float]:
-    """Return the largest share that any client region still gives a region, by service."""
-    left: dict[str, float] = {}
+def _largest_shares_by_service(node: Node, region: str) -> dict[str, float]:
+    """Return the largest share that any client region still sends to a region, by service."""
+    largest_shares: dict[str, float] = {}
     for key, limiter in node.steering.limiters.items():
         share = limiter.current.share(region)
-        left[key.service] = round(max(left.get(key.service, 0.0), share), _SHARE_DIGITS)
-    return left
+        largest_shares[key.service] = round(
+            max(largest_shares.get(key.service, 0.0), share), _SHARE_DIGITS
+        )
+    return largest_shares
 
 
 def explain(node: Node, block: str, service: str, now: float) -> dict[str, Any]:
-    """Return where callers of a block are sent for a service, with every input of that choice.
+    """Return where clients of a block are sent for a service, with every input of that choice.
 
     Args:
-        node: This VM's view.
+        node: This VM's view of the fleet.
         block: Client block or address.
-        service: Service.
+        service: Name of the service.
         now: Monotonic time, in seconds.
 
     Raises:
-        ConfigurationError: When no configuration is in force here.
+        ConfigurationError: When no configuration is in force at this VM.
     """
     if node.lookups is None or node.topology is None:
         raise _no_configuration()
     place = node.lookups.place(block, service)
     if isinstance(place, Refusal):
         return {"block": block, "service": service, "refused": place.reason.value}
-    measured = View(node.topology, node.membership, place.client_region, now).snapshot(service)
+    snapshot = View(node.topology, node.membership, place.client_region, now).snapshot(service)
     return {
         "block": block,
         "service": service,
@@ -116,16 +131,18 @@
         "policy": node.topology.services[service].policy,
         "revision": node.revision,
         **_plan_fields(node.steering.plans.get(place.client_region), service),
-        "regions": _region_rows(node.steering.shares(place.client_region, service), measured),
+        "regions": _region_rows(node.steering.shares(place.client_region, service), snapshot),
     }
 
 
 def _no_configuration() -> ConfigurationError:
-    return ConfigurationError("no configuration is in force here", "apply one, or ask another VM")
+    return ConfigurationError(
+        "no configuration is in force at this VM", "apply one, or call another VM"
+    )
 
 
 def _entry_vm(node: Node, block: str, service: str) -> Optional[str]:
-    """Return the entry VM that a look-up names first; None when it is refused or names none."""
+    """Return the first entry VM of a lookup; None when the lookup is refused or has none."""
     answer = node.lookup(block, service)
     first = first_entry_vm(answer) if isinstance(answer, bytes) else None
     return first.vm if first else None
@@ -142,28 +159,28 @@
     }
 
 
-def _region_rows(shares: Shares, measured: Snapshot) -> list[dict[str, Any]]:
+def _region_rows(shares: Shares, snapshot: Snapshot) -> list[dict[str, Any]]:
     return [
         {
             "region": region,
             "share": round(shares.share(region), _SHARE_DIGITS),
-            "headroom": round(measures.headroom, _HEADROOM_DIGITS),
-            "latency_ms": measures.latency_ms,
-            "distance_ms": measured.distance_ms[region],
-            "age_s": measures.age_s,
-            "drained": measures.drained,
+            "headroom": round(region_snapshot.headroom, _HEADROOM_DIGITS),
+            "latency_ms": region_snapshot.latency_ms,
+            "distance_ms": snapshot.distance_ms[region],
+            "age_s": region_snapshot.age_s,
+            "drained": region_snapshot.drained,
         }
-        for region, measures in measured.regions.items()
+        for region, region_snapshot in snapshot.regions.items()
     ]
 
 
 def compare_policies(node: Node, service: str, names: list[str], now: float) -> dict[str, Any]:
-    """Return what policies would want, and be granted, on the present measures.
+    """Return the shares that policies want, and would be granted, on the current measurements.
 
     Args:
-        node: This VM's view.
-        service: Service.
-        names: Policies; all when empty.
+        node: This VM's view of the fleet.
+        service: Name of the service.
+        names: Names of the policies; all policies when empty.
         now: Monotonic time, in seconds.
 
     Raises:
@@ -172,46 +189,46 @@
     topology = node.topology
     if topology is None or service not in topology.services:
         known = ", ".join(topology.services) if topology else "none"
-        raise ConfigurationError(f"no service {service!r}", f"write one of: {known}")
+        raise ConfigurationError(f"no service {service!r}", f"name one of: {known}")
     unknown = [name for name in names if name not in node.policies]
     if unknown:
         raise ConfigurationError(
-            f"no policy {unknown[0]!r}", f"write one of: {', '.join(sorted(node.policies))}"
+            f"no policy {unknown[0]!r}", f"name one of: {', '.join(sorted(node.policies))}"
         )
     rows = [
-        _comparison(node, topology, service, name, region, now)
+        _comparison_row(node, topology, service, name, region, now)
         for name in names or sorted(node.policies)
         for region in topology.order
     ]
     return {"service": service, "rows": rows}
 
 
-def _comparison(
+def _comparison_row(
     node: Node, topology: Topology, service: str, name: str, client_region: str, now: float
 ) -> dict[str, Any]:
-    measured = View(topology, node.membership, client_region, now).snapshot(service)
-    current: Shares = node.steering.shares(client_region, service)
-    wanted = node.policies[name].weights(measured)
+    snapshot = View(topology, node.membership, client_region, now).snapshot(service)
+    current_shares: Shares = node.steering.shares(client_region, service)
+    wanted_weights = node.policies[name].weights(snapshot)
     row: dict[str, Any] = {"policy": name, "client_region": client_region}
-    if isinstance(wanted, PolicyFault):
-        return {**row, "fault": wanted.problem}
-    granted = grant(wanted, current, measured, guard_limits(topology))
-    total = sum(wanted.values())
+    if isinstance(wanted_weights, PolicyFault):
+        return {**row, "fault": wanted_weights.problem}
+    granted = grant(wanted_weights, current_shares, snapshot, guard_limits(topology))
+    total = sum(wanted_weights.values())
     return {
         **row,
-        "now": _rounded(current.as_dict()),
-        "wanted": _rounded({r: wanted.get(r, 0) / total for r in topology.order}),
-        "granted": _rounded(granted.shares.as_dict()),
+        "now": _round_weights(current_shares.as_dict()),
+        "wanted": _round_weights({r: wanted_weights.get(r, 0) / total for r in topology.order}),
+        "granted": _round_weights(granted.shares.as_dict()),
         "limits": list(granted.notes),
     }
 
 
-def _rounded(weights: dict[str, float]) -> dict[str, float]:
+def _round_weights(weights: dict[str, float]) -> dict[str, float]:
     return {region: round(weight, _SHARE_DIGITS) for region, weight in weights.items()}
 
 
-def sizes(configuration: Configuration) -> dict[str, int]:
-    """Return the number of regions, halls, services, servers and links of a configuration."""
+def element_counts(configuration: Configuration) -> dict[str, int]:
+    """Return how many regions, halls, services, servers and links a configuration has."""
     return {
         "regions": len(configuration.region),
         "halls": len(configuration.hall),
