--- a/sprucewinch/gateway/decision_log.py
+++ b/sprucewinch/gateway/decision_log.py
@@ -81,7 +81,7 @@
         plain = reply.answer is not None and len(request.attempts) == 1
         self._write_request(request, outcome, reply.status, route, seconds, plain=plain)
 
-    def left(self, request: ClientRequest, seconds: float) -> None:
+    def caller_left(self, request: ClientRequest, seconds: float) -> None:
         """Write a line about a request whose caller disconnected before the answer."""
         self.counters["requests_left"] += 1
         self._write_request(request, "left", 0, "", seconds, plain=False)
--- a/sprucewinch/gateway/lifecycle/shutdown.py
+++ b/sprucewinch/gateway/lifecycle/shutdown.py
@@ -129,7 +129,7 @@
     async def _answer_cancelled(self, deadline: float) -> None:
         """Cancel the requests that are still in flight, and wait for their final answers."""
         if self.app.in_flight:
-            self.app.give_up_all()
+            self.app.abort_all()
             await self._wait_until(lambda: self.app.in_flight == 0, deadline)
 
     async def _wait_until(self, condition: Callable[[], bool], deadline: float) -> None:
--- a/sprucewinch/gateway/lifecycle/upkeep.py
+++ b/sprucewinch/gateway/lifecycle/upkeep.py
@@ -59,7 +59,7 @@
 
     def _tick(self, now: float) -> None:
         if self.state.view.has_configuration:
-            self.servers.registry.settle()
+            self.servers.registry.count_new_as_cold()
         self.servers.registry.drop_lapsed(now)
         self.servers.registry.take_up_standing(now)
         self.regions.shares.tick(now)
--- a/sprucewinch/gateway/requests/app.py
+++ b/sprucewinch/gateway/requests/app.py
@@ -104,7 +104,7 @@
         """Close each connection after its next answer from now on."""
         self.stopping = True
 
-    def give_up_all(self) -> None:
+    def abort_all(self) -> None:
         """Answer every request that is still in flight now, as the process ends."""
         self.giving_up = True
         for task in self._serving:
@@ -134,7 +134,7 @@
         except CallerLeftError:
             # Before the whole request is read, nothing has run and there is no request to log.
             if exchange.request is not None:
-                self.events.left(exchange.request, self.monotonic() - exchange.arrived_at)
+                self.events.caller_left(exchange.request, self.monotonic() - exchange.arrived_at)
 
     async def _reply(self, exchange: Exchange, task: asyncio.Task) -> Reply:
         """Return the final answer, from the pipeline or because the process ends."""
@@ -152,7 +152,7 @@
             exchange.request = request
             return self.pipeline.stop_reply(request)
         finally:
-            self.pipeline.settle(request)
+            self.pipeline.return_unused_quota(request)
 
     async def _refusal_by_head(self, request: ClientRequest) -> Optional[Reply]:
         """Return the answer to a request that is refused by its head; None when it is admitted."""
--- a/sprucewinch/gateway/requests/choice/room.py
+++ b/sprucewinch/gateway/requests/choice/room.py
@@ -26,7 +26,7 @@
 
 from ...resources import Route
 from ...servers.backend_server import BackendServer
-from ...servers.capacity.room_queue import Place
+from ...servers.capacity.room_queue import QueuePosition
 from ...servers.capacity.service_times import ServiceTimes
 from ..client_request import BlockedReason, ClientRequest
 
@@ -41,7 +41,7 @@
 """Fraction of a server's concurrency limit that a workspace above its fair share leaves to other
 workspaces: one slot of three."""
 
-LOOK_AGAIN_S = 0.02
+ROOM_RECHECK_INTERVAL_S = 0.02
 """Longest time between two checks for room. A server's load report may also free room, and it
 wakes no waiting request."""
 
@@ -58,7 +58,7 @@
         times: Gives the load limit of a server for a route's timeout.
         now: Monotonic time, in seconds.
     """
-    if server.stands_before(place_in_queue(request, route)):
+    if server.has_waiter_ahead_of(queue_position(request, route)):
         return BlockedReason.OTHER_WAITS
     if server.in_flight >= int(server.concurrency_limit) - _reserved_slots(server, request):
         return BlockedReason.CONCURRENCY_LIMIT
@@ -77,15 +77,17 @@
     return int(server.concurrency_limit * RESERVED_FRACTION) if request.steps_over_share else 0
 
 
-def place_in_queue(request: ClientRequest, route: Route) -> Place:
-    """Return a request's place among those that wait for room.
+def queue_position(request: ClientRequest, route: Route) -> QueuePosition:
+    """Return a request's position among those that wait for room.
 
     Requests are ordered by the workspace's priority, then by the route's; within the same
     priorities, requests of workspaces that are not above their fair share go first.
     """
     workspace = request.caller.workspace
     workspace_rank = workspace.priority if workspace else 0
-    return Place((workspace_rank, route.priority, request.steps_over_share), request.deadline)
+    return QueuePosition(
+        (workspace_rank, route.priority, request.steps_over_share), request.deadline
+    )
 
 
 def room_wait_s(request: ClientRequest, route: Route, now: float) -> float:
--- a/sprucewinch/gateway/requests/choice/server_choice.py
+++ b/sprucewinch/gateway/requests/choice/server_choice.py
@@ -14,7 +14,7 @@
 from ...resources import Route
 from ...statements.server_quotas import ServerQuotas
 from ..client_request import ClientRequest, RefusalReason, Selection
-from .room import LOOK_AGAIN_S, place_in_queue, room_wait_s
+from .room import ROOM_RECHECK_INTERVAL_S, queue_position, room_wait_s
 from .server_order import Ranking, ServerRanker
 from .server_selection import ServerSelector
 
@@ -113,5 +113,5 @@
         left_s = room_wait_s(request, route, now)
         if server is None or left_s <= 0:
             return False
-        place = place_in_queue(request, route)
-        return await server.wait_for_room(min(left_s, LOOK_AGAIN_S), place)
+        position = queue_position(request, route)
+        return await server.wait_for_room(min(left_s, ROOM_RECHECK_INTERVAL_S), position)
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -99,7 +99,8 @@
         """Return the answer to a request that is refused by its head; None when it is admitted.
 
         An admitted request stores its workspace, whose name is sent to the backend server, and the
-        quota that it took; `settle` returns that quota if no server has run the request.
+        quota that it took; `return_unused_quota` returns that quota if no server has run the
+        request.
 
         Args:
             request: The request, without its body.
@@ -123,7 +124,7 @@
         request.headers += ((self.sender.names.workspace, caller.workspace.name),)
         return None
 
-    def settle(self, request: ClientRequest) -> None:
+    def return_unused_quota(self, request: ClientRequest) -> None:
         """Return the quota that a request took from its workspace, if no server has run it."""
         if not request.at_server and not request.possible_runs():
             self.admission.give_back(request.caller)
@@ -185,7 +186,7 @@
             service = self.splits.service(route, request.key or request.id)
             self.budgets.of(service).record_request(now)
             fair_order = self.fair_orders.setdefault(service, FairOrder())
-            request.steps_over_share = fair_order.arrived(request.caller.workspace, now)
+            request.steps_over_share = fair_order.record_request(request.caller.workspace, now)
         elif service not in {part.service for part in route.parts}:
             service = self.splits.service(route, request.key)
         return service
--- a/sprucewinch/gateway/requests/request_log.py
+++ b/sprucewinch/gateway/requests/request_log.py
@@ -22,7 +22,7 @@
         """
 
     @abc.abstractmethod
-    def left(self, request: ClientRequest, seconds: float) -> None:
+    def caller_left(self, request: ClientRequest, seconds: float) -> None:
         """Record that a caller closed its connection before its answer.
 
         Args:
--- a/sprucewinch/gateway/servers/backend_registry.py
+++ b/sprucewinch/gateway/servers/backend_registry.py
@@ -77,7 +77,7 @@
         """Replace the fleet's bounds."""
         self.cold_limit.set_bounds(bounds)
 
-    def settle(self) -> None:
+    def count_new_as_cold(self) -> None:
         """Count servers that appear from now on as cold; those listed at the start are not new."""
         self.cold_starts.count_new_as_cold()
 
--- a/sprucewinch/gateway/servers/backend_server.py
+++ b/sprucewinch/gateway/servers/backend_server.py
@@ -12,7 +12,7 @@
 from ..statements.process_statements import ProcessStatements
 from .backoff import Backoff, is_silent
 from .capacity.load import ConcurrencyLimit, LoadEstimate
-from .capacity.room_queue import Place, RoomQueue
+from .capacity.room_queue import QueuePosition, RoomQueue
 from .capacity.service_times import OVERLOAD_QUEUE_RATIO, is_overloaded
 from .cold_limit import ColdSends
 
@@ -141,22 +141,22 @@
         """Send it no requests until a monotonic time, in seconds."""
         self.rest.extend(until)
 
-    async def wait_for_room(self, longest_s: float, place: Place) -> bool:
+    async def wait_for_room(self, max_wait_s: float, position: QueuePosition) -> bool:
         """Wait until a request here ends; the most urgent goes first, then the earliest deadline.
 
         Args:
-            longest_s: Longest wait, in seconds.
-            place: The request's place among those that wait.
+            max_wait_s: Longest wait, in seconds.
+            position: The request's position among those that wait.
 
         Returns:
             True if the request may check for room again, as it also may after the longest wait.
         """
-        end = await self.room.wait(longest_s, place, self.backend.capacity)
+        end = await self.room.wait(max_wait_s, position, self.backend.capacity)
         return end.may_check_again
 
-    def stands_before(self, place: Place) -> bool:
-        """Return whether a request that waits for room here is ahead of a place."""
-        return self.room.stands_before(place)
+    def has_waiter_ahead_of(self, position: QueuePosition) -> bool:
+        """Return whether a request that waits for room here is ahead of a position."""
+        return self.room.has_waiter_ahead_of(position)
 
     def cold_allowed(self, now: float, allowance: int) -> bool:
         """Return whether one more request may be sent while it is cold."""
--- a/sprucewinch/gateway/servers/capacity/room_queue.py
+++ b/sprucewinch/gateway/servers/capacity/room_queue.py
@@ -7,10 +7,10 @@
 that was refused before is ahead of those that came after it.
 
 A request that finds the queue full displaces the last one if that is behind it, and is not queued
-otherwise. A request that has waited for `requests.choice.room.LOOK_AGAIN_S` waits again with the
-same order, and no request overtakes one that is ahead of it (`stands_before`). Each request that
-ends at the server wakes one waiting request: if all were woken, the last could take the room before
-the others check.
+otherwise. A request that has waited for `requests.choice.room.ROOM_RECHECK_INTERVAL_S` waits again
+with the same order, and no request overtakes one that is ahead of it (`has_waiter_ahead_of`). Each
+request that ends at the server wakes one waiting request: if all were woken, the last could take
+the room before the others check.
 
 The result is a `WaitEnd`, which says why a wait ended; it shows in `blocked` of the event `request`
 of a refused request. Owns the waiting requests; relies on asyncio. Tests:
@@ -37,7 +37,7 @@
         return self in (WaitEnd.WOKEN, WaitEnd.TIMED_OUT)
 
 
-class Place(NamedTuple):
+class QueuePosition(NamedTuple):
     """What waiting requests are sorted by.
 
     Args:
@@ -53,16 +53,16 @@
     """A request that waits for room.
 
     Args:
-        place: Its place in the order.
+        position: Its position in the order.
         result: Done when the wait ends, with the cause.
     """
 
-    place: Place
+    position: QueuePosition
     result: "asyncio.Future[WaitEnd]"
 
-    def order(self) -> Place:
+    def order(self) -> QueuePosition:
         """Return the sort key."""
-        return self.place
+        return self.position
 
 
 class RoomQueue:
@@ -73,20 +73,20 @@
     def __init__(self) -> None:
         self.waiters: list[Waiter] = []
 
-    async def wait(self, longest_s: float, place: Place, max_waiting: int) -> WaitEnd:
+    async def wait(self, max_wait_s: float, position: QueuePosition, max_waiting: int) -> WaitEnd:
         """Wait until a request at the server is over.
 
         Args:
-            longest_s: Longest wait, in seconds.
-            place: The request's place in the order.
+            max_wait_s: Longest wait, in seconds.
+            position: The request's position in the order.
             max_waiting: Maximum number of requests that wait at once.
         """
-        if len(self.waiters) >= max_waiting and not self._displace(place):
+        if len(self.waiters) >= max_waiting and not self._displace(position):
             return WaitEnd.QUEUE_FULL
-        waiter = Waiter(place, asyncio.get_running_loop().create_future())
+        waiter = Waiter(position, asyncio.get_running_loop().create_future())
         bisect.insort(self.waiters, waiter, key=Waiter.order)
         try:
-            async with asyncio.timeout(longest_s):
+            async with asyncio.timeout(max_wait_s):
                 end = await waiter.result
         except TimeoutError:
             end = WaitEnd.TIMED_OUT
@@ -103,14 +103,14 @@
                 result.set_result(WaitEnd.WOKEN)
                 return
 
-    def stands_before(self, place: Place) -> bool:
-        """Return whether a waiting request is ahead of a place: more urgent, or with less time."""
-        return bool(self.waiters) and self.waiters[0].place < place
+    def has_waiter_ahead_of(self, position: QueuePosition) -> bool:
+        """Return whether a waiting request is more urgent than a position, or has less time."""
+        return bool(self.waiters) and self.waiters[0].position < position
 
-    def _displace(self, place: Place) -> bool:
-        """End the wait of the last request if it is behind a place; returns whether it was."""
+    def _displace(self, position: QueuePosition) -> bool:
+        """End the wait of the last request if it is behind a position; returns whether it was."""
         last = self.waiters[-1]
-        if last.place <= place:
+        if last.position <= position:
             return False
         self.waiters.pop()
         if not last.result.done():
--- a/sprucewinch/gateway/workspaces/fair_order.py
+++ b/sprucewinch/gateway/workspaces/fair_order.py
@@ -70,7 +70,7 @@
         self._all = Usage(0.0)
         self._since_sweep = 0
 
-    def arrived(self, workspace: Optional[Workspace], now: float) -> int:
+    def record_request(self, workspace: Optional[Workspace], now: float) -> int:
         """Count a request, and return by how many steps its workspace is ahead of its share.
 
         Args:
--- a/tests/formats_gateway.py
+++ b/tests/formats_gateway.py
@@ -130,9 +130,9 @@
         self.gateway.stopping.set()
         await self.gateway.shutdown.run(self.gateway.settings.bounds.grace_s)
 
-    def give_up_all(self) -> None:
+    def abort_all(self) -> None:
         """Give up what is in flight, as at the end of a stop."""
-        self.gateway.requests.app.give_up_all()
+        self.gateway.requests.app.abort_all()
 
     def reload(self, found: Any = None) -> None:
         """Reload as on SIGHUP, when the settings file is unchanged, changed or unusable."""
--- a/tests/test_formats_gateway.py
+++ b/tests/test_formats_gateway.py
@@ -179,7 +179,7 @@
             await pass_time(0.1)
             closing = ("", "\nconnection: close")
             await vm.stop()
-            vm.give_up_all()
+            vm.abort_all()
             self.refusal(await held, 503, "stopping", (f"retry-after: {LATER}\n", closing[1]))
             self.refusal(await vm.ask("/x", headers=CALLER), 404, "no-route", closing)
 
--- a/tests/test_formats_lines.py
+++ b/tests/test_formats_lines.py
@@ -285,6 +285,6 @@
     await vm.ask("/book/1", method="POST", body=b"x", headers=CALLER)
     held = asyncio.create_task(vm.ask("/book/1", method="POST", stalls=True))
     await pass_time(0.1)
-    vm.give_up_all()
+    vm.abort_all()
     await held
     return vm.metrics()
--- a/tests/test_gateway_cold_limit.py
+++ b/tests/test_gateway_cold_limit.py
@@ -18,7 +18,7 @@
     worlds = [World(vms=registered, name=f"vm{n}") for n in range(count)]
     for world in worlds:
         world.configure(route())
-        world.registry.settle()
+        world.registry.count_new_as_cold()
         world.say("servers/new", BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6), 100.0)
     return worlds
 
--- a/tests/test_gateway_fair_order.py
+++ b/tests/test_gateway_fair_order.py
@@ -25,7 +25,7 @@
     def test_a_workspace_within_its_share_is_not_ahead(self) -> None:
         order = FairOrder()
         for step in range(60):
-            steps = [order.arrived(workspace(name), step / 10) for name in "abc"]
+            steps = [order.record_request(workspace(name), step / 10) for name in "abc"]
             self.assertEqual(steps[-1], 0)
 
     def test_a_workspace_that_sends_more_is_ahead_by_its_excess(self) -> None:
@@ -34,9 +34,9 @@
         for step in range(400):
             now = step / 100
             if step % 10 == 0:
-                quiet = [order.arrived(workspace(f"w{n}"), now) for n in range(9)]
+                quiet = [order.record_request(workspace(f"w{n}"), now) for n in range(9)]
                 self.assertEqual(sum(quiet), 0)
-            ahead = order.arrived(workspace("hot"), now)
+            ahead = order.record_request(workspace("hot"), now)
         self.assertGreaterEqual(ahead, 3)
 
     def test_a_larger_weight_allows_more(self) -> None:
@@ -44,22 +44,22 @@
         for step in range(400):
             now = step / 100
             if step % 10 == 0:
-                order.arrived(workspace("small", 4.0), now)
-            self.assertEqual(order.arrived(workspace("large", 40.0), now), 0)
+                order.record_request(workspace("small", 4.0), now)
+            self.assertEqual(order.record_request(workspace("large", 40.0), now), 0)
 
     def test_an_idle_workspace_is_removed(self) -> None:
         order = FairOrder()
         for step in range(200):
-            order.arrived(workspace("was hot"), step / 100)
-            order.arrived(workspace(f"w{step % 9}"), step / 100)
+            order.record_request(workspace("was hot"), step / 100)
+            order.record_request(workspace(f"w{step % 9}"), step / 100)
         for step in range(300):
-            order.arrived(workspace("other"), 30.0 + step / 100)
+            order.record_request(workspace("other"), 30.0 + step / 100)
         self.assertEqual(list(order.by_name), ["other"])
-        self.assertEqual(order.arrived(workspace("was hot"), 34.0), 0)
+        self.assertEqual(order.record_request(workspace("was hot"), 34.0), 0)
 
     def test_requests_without_a_workspace_are_not_ahead(self) -> None:
         order = FairOrder()
-        self.assertEqual([order.arrived(None, 0.0) for _ in range(3)], [0, 0, 0])
+        self.assertEqual([order.record_request(None, 0.0) for _ in range(3)], [0, 0, 0])
 
     @given(st.lists(st.tuples(st.sampled_from("aabc"), st.floats(0, 0.5)), max_size=200))
     def test_the_result_agrees_with_counts_of_a_plain_list(
@@ -70,7 +70,7 @@
         for name, pause in sent:
             now += pause
             past.append((name, now))
-            ahead = order.arrived(workspace(name), now)
+            ahead = order.record_request(workspace(name), now)
             counts: dict[str, float] = {}
             for other, at in past:
                 counts[other] = counts.get(other, 0.0) + math.exp(at - now)
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -147,7 +147,7 @@
 
     def test_the_same_process_returns_with_its_data(self) -> None:
         vm = Vm()
-        vm.registry.settle()
+        vm.registry.count_new_as_cold()
         vm.write(_KEY, _with(born=5))
         server = vm.registry.servers["s0"]
         vm.write(_KEY, b"{", 1.0)
@@ -268,7 +268,7 @@
     def test_no_data_of_the_former_process_is_kept(self) -> None:
         vm = Vm()
         vm.view.listeners.append(lambda _change: None)
-        vm.registry.settle()
+        vm.registry.count_new_as_cold()
         vm.write(_KEY, _with(born=5))
         old = vm.registry.servers["s0"]
         for number in range(20):
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -177,7 +177,7 @@
             reply = await path.pipeline.run(request)
             self.assertEqual((reply.status, reply.refusal), (503, RefusalReason.NO_REGION))
             self.assertEqual(loop.time(), began)
-            path.pipeline.settle(request)
+            path.pipeline.return_unused_quota(request)
             self.assertEqual(path.quotas.given_back, ["broker"])
 
         run_virtual(main)
@@ -215,14 +215,14 @@
                 server.slots = 0
             reply = await path.pipeline.run(request)
             self.assertEqual(reply.status, 503)
-            path.pipeline.settle(request)
+            path.pipeline.return_unused_quota(request)
             self.assertEqual(path.quotas.given_back, ["shipper"])
             for server in path.servers.values():
                 server.slots = 9
             await pass_time(1.0)
             request, _ = await self.admitted(path, KEY)
             self.assertEqual((await path.pipeline.run(request)).status, 200)
-            path.pipeline.settle(request)
+            path.pipeline.return_unused_quota(request)
             self.assertEqual(path.quotas.given_back, ["shipper"])
 
         run_virtual(main)
--- a/tests/test_gateway_outages.py
+++ b/tests/test_gateway_outages.py
@@ -33,7 +33,7 @@
         end = self.loop.time() + seconds
         while self.loop.time() < end:
             await pass_time(0.1)
-            self.registry.settle()
+            self.registry.count_new_as_cold()
             self.registry.drop_lapsed(self.loop.time())
 
     async def outage(self, seconds: float) -> None:
--- a/tests/test_gateway_outliers.py
+++ b/tests/test_gateway_outliers.py
@@ -85,7 +85,7 @@
             path = _path(loop)
             path.world.configure(route(timeout_s=0.8), version=2)
             await _serve(path, 2.0)
-            path.world.registry.settle()
+            path.world.registry.count_new_as_cold()
             cold = path.add("cold", "10.0.1.1:80")
             cold.work_s = 0.96
             await _serve(path, 3.0, 1000)
@@ -98,7 +98,7 @@
     def test_cold_servers_that_answer_too_late_get_only_a_few_requests(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             path = _path(loop)
-            path.world.registry.settle()
+            path.world.registry.count_new_as_cold()
             cold = path.add("cold", "10.0.1.1:80")
             registry = path.world.registry
             server = registry.servers["cold"]
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -14,7 +14,7 @@
     admit_body,
 )
 from sprucewinch.gateway.requests.callers.request_reader import RequestReader
-from sprucewinch.gateway.requests.choice.room import no_room_reason, place_in_queue, room_wait_s
+from sprucewinch.gateway.requests.choice.room import no_room_reason, queue_position, room_wait_s
 from sprucewinch.gateway.requests.client_request import (
     TIMED_OUT,
     Attempt,
@@ -296,7 +296,7 @@
             path = Path(loop, servers=1)
             server, registry = path.world.registry.servers["s0"], path.world.registry
             first, urgent = path.request("q0"), path.request("q1")
-            waits = loop.create_task(server.wait_for_room(0.1, place_in_queue(urgent, route())))
+            waits = loop.create_task(server.wait_for_room(0.1, queue_position(urgent, route())))
             await pass_time(0.01)
             self._assert_no_room(path, first, route(priority=1), BlockedReason.OTHER_WAITS)
             self._assert_no_room(path, path.request("q2"), route(), BlockedReason.OTHER_WAITS)
--- a/tests/test_gateway_usability.py
+++ b/tests/test_gateway_usability.py
@@ -8,7 +8,7 @@
 
 from sprucewinch.gateway.resources import BackendEntry
 from sprucewinch.gateway.servers.backend_server import BackendServer
-from sprucewinch.gateway.servers.capacity.room_queue import Place, RoomQueue, WaitEnd
+from sprucewinch.gateway.servers.capacity.room_queue import QueuePosition, RoomQueue, WaitEnd
 from sprucewinch.gateway.servers.usability import (
     UnusableReason,
     not_offered_reason,
@@ -68,7 +68,7 @@
     def test_a_wait_ends_after_its_longest_time(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             queue = RoomQueue()
-            end = await queue.wait(0.1, Place(1, 0.0), 1)
+            end = await queue.wait(0.1, QueuePosition(1, 0.0), 1)
             self.assertIs(end, WaitEnd.TIMED_OUT)
             self.assertTrue(end.may_check_again)
             self.assertEqual(queue.waiters, [])
@@ -78,12 +78,17 @@
     def test_the_most_urgent_wakes_first_and_displaces_the_last(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             queue = RoomQueue()
-            places = [Place(2, 1.0), Place(2, 2.0), Place(0, 3.0), Place(2, 4.0)]
-            waits = [loop.create_task(queue.wait(1.0, place, 2)) for place in places]
+            positions = [
+                QueuePosition(2, 1.0),
+                QueuePosition(2, 2.0),
+                QueuePosition(0, 3.0),
+                QueuePosition(2, 4.0),
+            ]
+            waits = [loop.create_task(queue.wait(1.0, position, 2)) for position in positions]
             await pass_time(0.01)
-            self.assertTrue(queue.stands_before(Place(1, 0.0)))
-            self.assertFalse(queue.stands_before(Place(0, 2.5)))
-            self.assertTrue(queue.stands_before(Place(0, 3.5)))
+            self.assertTrue(queue.has_waiter_ahead_of(QueuePosition(1, 0.0)))
+            self.assertFalse(queue.has_waiter_ahead_of(QueuePosition(0, 2.5)))
+            self.assertTrue(queue.has_waiter_ahead_of(QueuePosition(0, 3.5)))
             queue.wake_next()
             queue.wake_next()
             ends = await asyncio.gather(*waits)
@@ -99,7 +104,7 @@
             order: list[float] = []
 
             async def wait(deadline: float) -> None:
-                await queue.wait(1.0, Place(1, deadline), 3)
+                await queue.wait(1.0, QueuePosition(1, deadline), 3)
                 order.append(deadline)
 
             waits = [loop.create_task(wait(deadline)) for deadline in (2.0, 3.0, 1.0)]
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -143,7 +143,7 @@
         """Drop lapsed entries as the daemon does."""
         while True:
             if self.store_view.has_configuration:
-                self.registry.settle()
+                self.registry.count_new_as_cold()
             self.registry.drop_lapsed(self.fleet.loop.time())
             await asyncio.sleep(0.2)
 
