--- a/sprucewinch/gateway/lifecycle/upkeep.py
+++ b/sprucewinch/gateway/lifecycle/upkeep.py
@@ -61,7 +61,7 @@
         if self.state.view.has_configuration:
             self.servers.registry.count_new_as_cold()
         self.servers.registry.drop_lapsed(now)
-        self.servers.registry.take_up_standing(now)
+        self.servers.registry.accept_outdated_entries(now)
         self.regions.shares.tick(now)
         self.workspaces.exchange.parts.tick(now)
         self.workspaces.quotas.sweep()
@@ -69,9 +69,9 @@
     def _sweep(self) -> None:
         """Close old connections, forget removed servers and reload changed settings."""
         self.servers.pool.sweep()
-        self.servers.outliers.drop_gone()
+        self.servers.outliers.drop_removed()
         registry = self.servers.registry
-        registry.forget_told(self.monotonic())
+        registry.forget_old_statements(self.monotonic())
         forget_unstated(self.workspaces.quotas, registry.statement_table)
         self._limit_connections()
         self.reload_if_changed()
--- a/sprucewinch/gateway/regions/shares.py
+++ b/sprucewinch/gateway/regions/shares.py
@@ -156,7 +156,7 @@
 
     def _snapshot(self, service: str, now: float) -> Snapshot:
         capacity = dict.fromkeys(self.region_order, 0.0)
-        for server in self.registry.usable(service):
+        for server in self.registry.offered(service):
             region = self.regions.get(server.backend.hall)
             if region is not None:
                 capacity[region] += server.backend.capacity
--- a/sprucewinch/gateway/requests/attempt_feedback.py
+++ b/sprucewinch/gateway/requests/attempt_feedback.py
@@ -84,7 +84,7 @@
         if attempt.why in (NOT_OFFERED, QUARANTINED):
             # No byte was sent, so the attempt shows nothing about the server, and it does not count
             # as a request sent to a cold one.
-            server.cold_sends.take_back(started)
+            server.cold_sends.remove(started)
             return
         if attempt.why == RESTARTED:
             # The attempt belongs to a process that has ended; its successor starts without history.
--- a/sprucewinch/gateway/requests/choice/server_choice.py
+++ b/sprucewinch/gateway/requests/choice/server_choice.py
@@ -83,7 +83,7 @@
             # The fingerprint as the key keeps this request away from the other suspects of a crash,
             # and sends equal requests to the same server.
             key = self.quarantine.names.fingerprint_of(request).hex()
-        ranking = self.ranker.place(service, key, route.regions, now)
+        ranking = self.ranker.rank(service, key, route.regions, now)
         selection = self.selector.choose(request, ranking, service, now, route)
         if selection is RefusalReason.NO_SERVER and await self._wait_until_accepted(
             request, route, now
--- a/sprucewinch/gateway/requests/choice/server_order.py
+++ b/sprucewinch/gateway/requests/choice/server_order.py
@@ -37,12 +37,12 @@
     Args:
         region: Region that the object's hash falls into.
         servers: Servers of that region, then those of the others.
-        near: Number of servers in that region, which come first in `servers`.
+        local_count: Number of servers in that region, which come first in `servers`.
     """
 
     region: str
     servers: tuple[BackendServer, ...]
-    near: int
+    local_count: int
 
 
 class ServerRanker:
@@ -63,7 +63,7 @@
         self._rankings: dict[tuple[str, str, str], Ranking] = {}
         self._generation = -1
 
-    def place(self, service: str, key: str, allowed: tuple[str, ...], now: float) -> Ranking:
+    def rank(self, service: str, key: str, allowed: tuple[str, ...], now: float) -> Ranking:
         """Return the servers for an object, in order of preference.
 
         Args:
@@ -83,10 +83,12 @@
         at = (service, key, f"{region}|{'|'.join(allowed)}")
         ranking = self._rankings.get(at)
         if ranking is None:
-            ranking = self._rankings[at] = self._rank(service, block, region, allowed)
+            ranking = self._rankings[at] = self._build_ranking(service, block, region, allowed)
         return ranking
 
-    def _rank(self, service: str, block: bytes, region: str, allowed: tuple[str, ...]) -> Ranking:
+    def _build_ranking(
+        self, service: str, block: bytes, region: str, allowed: tuple[str, ...]
+    ) -> Ranking:
         def order(server: BackendServer) -> tuple[bool, float]:
             away = self.regions.get(server.backend.hall) != region
             uniform = (xxhash.xxh32_intdigest(block, server.seed) + 1) / _HASH_SPACE
@@ -94,9 +96,9 @@
 
         servers = [
             server
-            for server in self.registry.usable(service)
+            for server in self.registry.offered(service)
             if not allowed or self.regions.get(server.backend.hall) in allowed
         ]
         servers.sort(key=order)
-        near = sum(self.regions.get(s.backend.hall) == region for s in servers)
-        return Ranking(region, tuple(servers), near)
+        local_count = sum(self.regions.get(s.backend.hall) == region for s in servers)
+        return Ranking(region, tuple(servers), local_count)
--- a/sprucewinch/gateway/requests/choice/server_selection.py
+++ b/sprucewinch/gateway/requests/choice/server_selection.py
@@ -116,8 +116,10 @@
         for server in untried:
             if self._is_usable(request, server, now):
                 return server
-        resting = [s for s in untried if not s.cold(now) and refused_until(request, s, now) is None]
-        return resting[0] if resting else None
+        fallbacks = [
+            s for s in untried if not s.cold(now) and declines_until(request, s, now) is None
+        ]
+        return fallbacks[0] if fallbacks else None
 
     def _earliest_acceptance(
         self, request: ClientRequest, ranking: Ranking, now: float
@@ -129,7 +131,7 @@
         """
         tried_servers = request.tried_servers()
         untried = (s for s in ranking.servers if s.backend.id not in tried_servers)
-        ends = (refused_until(request, server, now) for server in untried)
+        ends = (declines_until(request, server, now) for server in untried)
         return min((end for end in ends if end is not None), default=None)
 
     def _spillover(
@@ -147,7 +149,7 @@
             return None
         if no_room is not None:
             return Selection(target, service, SelectionReason.HELPS_FULL)
-        same_region = target in ranking.servers[: ranking.near]
+        same_region = target in ranking.servers[: ranking.local_count]
         if same_region and self._is_sooner_at(target, busy, request, now):
             return Selection(target, service, SelectionReason.SHARES_BUSY)
         return None
@@ -176,17 +178,19 @@
         ):
             return None
         utilization = (
-            MAX_SPILLOVER_UTILIZATION if at < ranking.near else MAX_REMOTE_SPILLOVER_UTILIZATION
+            MAX_SPILLOVER_UTILIZATION
+            if at < ranking.local_count
+            else MAX_REMOTE_SPILLOVER_UTILIZATION
         )
         return server if server.load(now) < server.backend.capacity * utilization else None
 
     def _is_usable(self, request: ClientRequest, server: BackendServer, now: float) -> bool:
-        if refused_until(request, server, now) is not None:
+        if declines_until(request, server, now) is not None:
             return False
         return unusable_reason(server, now, self.ejected, self.cold_allowance) is None
 
 
-def refused_until(request: ClientRequest, server: BackendServer, now: float) -> Optional[float]:
+def declines_until(request: ClientRequest, server: BackendServer, now: float) -> Optional[float]:
     """Return until when a server has stated that it accepts nothing; None when it may accept.
 
     A request that several rate-limited servers have denied a grant asks no more of them.
@@ -199,7 +203,7 @@
     Returns:
         Monotonic time, in seconds.
     """
-    until = server.stated.refused_until(now)
+    until = server.stated.declines_until(now)
     if (
         until is None
         and request.denied_grants >= MAX_DENIED_GRANTS
--- a/sprucewinch/gateway/requests/connection_age.py
+++ b/sprucewinch/gateway/requests/connection_reuse.py
@@ -23,7 +23,7 @@
 than with a new connection for each such request (docs/CONSTANTS.md)."""
 
 
-def most_rest_s(request: ClientRequest, route: Route) -> float:
+def max_idle_s(request: ClientRequest, route: Route) -> float:
     """Return how long a pooled connection may have been idle to carry a request, in seconds.
 
     Args:
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -28,7 +28,7 @@
 from ..workspaces.key_table import KeyProblem
 from .choice.server_choice import ServerChoice
 from .client_request import CRASHED, Attempt, ClientRequest, RefusalReason, Reply, Selection
-from .connection_age import most_rest_s
+from .connection_reuse import max_idle_s
 from .outcome import final_answer
 from .outcome.hold_time import hold_time
 from .outcome.retry_decision import RetryDecision, after_crash, decide_retry, without_budget
@@ -142,7 +142,7 @@
                 return self._quarantine_reply(request, route, held)
             service = self._service(request, route, service, now)
             until = hold_time(request, route).until
-            if not has_time(until, now, self.registry.times.least_s(service)):
+            if not has_time(until, now, self.registry.times.low_quantile_s(service)):
                 return self._not_served(request, route, RefusalReason.NO_TIME)
             selection = await self.choice.choose(request, route, service, now)
             if selection is None:
@@ -195,8 +195,8 @@
         self, request: ClientRequest, route: Route, selection: Selection, until: float
     ) -> Attempt:
         """Send a request, on a new connection where a stale one could use up one of its runs."""
-        rest_s = most_rest_s(request, route)
-        attempt = await self.sender.send(request, selection, until, most_rest_s=rest_s)
+        idle_s = max_idle_s(request, route)
+        attempt = await self.sender.send(request, selection, until, max_idle_s=idle_s)
         request.attempts.append(attempt)
         return attempt
 
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -96,7 +96,7 @@
         selection: Selection,
         until: float,
         *,
-        most_rest_s: float = float("inf"),
+        max_idle_s: float = float("inf"),
     ) -> Attempt:
         """Send a request to the selected server, unless that leaves before the first byte is sent.
 
@@ -104,11 +104,11 @@
             request: The request.
             selection: The selected server.
             until: Monotonic time at which the attempt times out, in seconds.
-            most_rest_s: Longest idle time of a pooled connection that may carry it, in seconds.
+            max_idle_s: Longest idle time of a pooled connection that may carry it, in seconds.
         """
         server = selection.server
         started = self.monotonic()
-        attempt = await self._attempt(request, selection, started, until, most_rest_s)
+        attempt = await self._attempt(request, selection, started, until, max_idle_s)
         request.at_server = False
         attempt = attempt._replace(seconds=self.monotonic() - started)
         if not attempt.may_have_arrived:
@@ -122,14 +122,14 @@
         selection: Selection,
         started: float,
         until: float,
-        most_rest_s: float,
+        max_idle_s: float,
     ) -> Attempt:
         """Make one attempt with a time-out, counted as in flight at the server meanwhile."""
         server = selection.server
         self.registry.take(server, started)
         try:
             async with asyncio.timeout(until - started):
-                return await self._exchange(request, selection, until, most_rest_s)
+                return await self._exchange(request, selection, until, max_idle_s)
         except TimeoutError:
             self.pool.drop(server.backend.address)
             return Attempt(server.backend.id, Verdict.UNKNOWN, True, TIMED_OUT)
@@ -137,11 +137,11 @@
             self.registry.release(server, started)
 
     async def _exchange(
-        self, request: ClientRequest, selection: Selection, until: float, most_rest_s: float
+        self, request: ClientRequest, selection: Selection, until: float, max_idle_s: float
     ) -> Attempt:
         backend = selection.server.backend
         try:
-            connection = await self.pool.take(backend.address, most_rest_s=most_rest_s)
+            connection = await self.pool.take(backend.address, max_idle_s=max_idle_s)
         except ConnectFailedError:
             return Attempt(backend.id, Verdict.NOT_RUN, False, UNREACHABLE)
         # While the connection was established, the server may have left, its data hall may have
@@ -168,7 +168,10 @@
     def _may_send(self, selection: Selection) -> bool:
         """Return whether the server still accepts the request, right before the first byte."""
         stated, now = selection.server.stated, self.monotonic()
-        if not self.registry.offers(selection.server, selection.service) or stated.rest_until > now:
+        if (
+            not self.registry.offers(selection.server, selection.service)
+            or stated.pause_until > now
+        ):
             return False
         granted = selection.grant.quota is not None
         return granted or not stated.is_limited(now)
--- a/sprucewinch/gateway/servers/backend_registry.py
+++ b/sprucewinch/gateway/servers/backend_registry.py
@@ -81,7 +81,7 @@
         """Count servers that appear from now on as cold; those listed at the start are not new."""
         self.cold_starts.count_new_as_cold()
 
-    def usable(self, service: str) -> tuple[BackendServer, ...]:
+    def offered(self, service: str) -> tuple[BackendServer, ...]:
         """Return the offered servers of a service, including those that are skipped for now."""
         return self.by_service.get(service, ())
 
@@ -92,7 +92,7 @@
             server: The server.
             service: The service for which it was selected.
         """
-        return server in self.usable(service)
+        return server in self.offered(service)
 
     def vm_count(self) -> int:
         """Return how many VMs may share the fleet's limits; a high count is the safe side."""
@@ -131,7 +131,7 @@
         if overdue:
             self._regroup()
 
-    def take_up_standing(self, now: float) -> None:
+    def accept_outdated_entries(self, now: float) -> None:
         """Accept entries of lower incarnations that have lasted; see `incarnations`."""
         self.incarnations.forget_old(now)
         self._unreadable = {
@@ -144,7 +144,7 @@
         if accepted:
             self._regroup()
 
-    def forget_told(self, now: float) -> None:
+    def forget_old_statements(self, now: float) -> None:
         """Drop the statements of servers that have long had no entry; part of the regular sweep."""
         held = {ServerProcessId.of(server.backend) for server in self.servers.values()}
         self.statement_table.forget_old(held, now)
@@ -157,7 +157,7 @@
             self._count_hall_as_cold(change.before.hall, change.at)
         if isinstance(change.after, BackendEntry):
             self._update(change.after, change)
-        elif isinstance(change.before, BackendEntry) and change.spoilt:
+        elif isinstance(change.before, BackendEntry) and change.unreadable:
             self._withdraw(change.before.id, change.at)
         elif isinstance(change.before, BackendEntry) and change.after is None:
             self._remove(change.before, change.at)
--- a/sprucewinch/gateway/servers/backend_server.py
+++ b/sprucewinch/gateway/servers/backend_server.py
@@ -41,7 +41,7 @@
         "latency_s",
         "limit",
         "overload_reported_at",
-        "rest",
+        "backoff",
         "room",
         "seed",
         "started",
@@ -62,7 +62,7 @@
         self.cold_sends = ColdSends()
         self.estimate = LoadEstimate()
         self.limit = ConcurrencyLimit(backend.capacity)
-        self.rest = Backoff()
+        self.backoff = Backoff()
         self.room = RoomQueue()
 
     @property
@@ -71,9 +71,9 @@
         return self.backend.draining or self.stated.leaving_since is not None
 
     @property
-    def paused_until(self) -> float:
+    def backoff_until(self) -> float:
         """Return the monotonic time at which its back-off ends, in seconds."""
-        return self.rest.until
+        return self.backoff.until
 
     @property
     def concurrency_limit(self) -> float:
@@ -127,7 +127,7 @@
     def record_success(self, seconds: float, now: float) -> None:
         """Record an answer of its own and the time it took, in seconds."""
         self.answered_at = now
-        self.rest.record_success()
+        self.backoff.record_success()
         previous = self.latency_s
         self.latency_s = (
             seconds if previous is None else previous + _LATENCY_WEIGHT * (seconds - previous)
@@ -135,11 +135,11 @@
 
     def record_failure(self, now: float) -> None:
         """Record that it could not be reached or broke off, which extends its back-off."""
-        self.rest.record_failure(now)
+        self.backoff.record_failure(now)
 
     def pause(self, until: float) -> None:
         """Send it no requests until a monotonic time, in seconds."""
-        self.rest.extend(until)
+        self.backoff.extend(until)
 
     async def wait_for_room(self, max_wait_s: float, position: QueuePosition) -> bool:
         """Wait until a request here ends; the most urgent goes first, then the earliest deadline.
--- a/sprucewinch/gateway/servers/capacity/service_times.py
+++ b/sprucewinch/gateway/servers/capacity/service_times.py
@@ -3,9 +3,9 @@
 A server is overloaded when more requests wait for each of its slots than are still answered within
 the shortest latency target of its service; the ratio is kept between `OVERLOAD_QUEUE_RATIO` and
 `_MAX_OVERLOAD_QUEUE_RATIO`. A server takes requests up to one waiting for each slot, provided that
-it still answers them within `_TIMEOUT_PART` of the route's timeout. Both bounds depend on time and
-not on a fixed queue length: where work takes half the timeout, a queue that is harmless for short
-work ends in 504 responses.
+it still answers them within `_TIMEOUT_FRACTION` of the route's timeout. Both bounds depend on time
+and not on a fixed queue length: where work takes half the timeout, a queue that is harmless for
+short work ends in 504 responses.
 
 Inputs are the times of answers by service and by server, the latency targets and timeouts of
 routes, all in seconds, and the servers' slots. Owns the usual times; relies on the routes of the
@@ -27,23 +27,23 @@
 _QUEUE_PER_SLOT = 1.0
 """Maximum number of requests that wait at a server for each of its slots."""
 
-_TIMEOUT_PART = 0.8
-"""Part of a route's timeout within which a request should be answered, the time for those ahead of
-it included; the remainder is a margin for work that takes longer than usual."""
+_TIMEOUT_FRACTION = 0.8
+"""Fraction of a route's timeout within which a request should be answered, the time for those ahead
+of it included; the remainder is a margin for work that takes longer than usual."""
 
 _LATENCY_WEIGHT = 0.2
 """Weight of the last answer in the moving average of a service's time."""
 
 _MIN_SAMPLES = 20
-"""Answers of a service that are needed before its least time is used."""
+"""Answers of a service that are needed before its low quantile is used."""
 
-_LEAST_DECREASE_FACTOR = 0.95
-"""Factor on a service's least time after an answer that took less: it falls fast, as a least time
-that is too long refuses requests that could be served."""
+_LOW_QUANTILE_DECREASE_FACTOR = 0.95
+"""Factor on a service's low quantile after an answer that took less: it falls fast, as one that is
+too long refuses requests that could be served."""
 
-_LEAST_INCREASE_FACTOR = 1.001
-"""Factor on it after any other answer. With `_LEAST_DECREASE_FACTOR` the least time settles where
-one answer in 50 takes less."""
+_LOW_QUANTILE_INCREASE_FACTOR = 1.001
+"""Factor on it after any other answer. With `_LOW_QUANTILE_DECREASE_FACTOR` it settles where one
+answer in 50 takes less."""
 
 
 class ServiceTimes:
@@ -52,7 +52,7 @@
     def __init__(self) -> None:
         self.typical_s: dict[str, float] = {}
         self.latency_target_s: dict[str, float] = {}
-        self._least_s: dict[str, float] = {}
+        self._low_quantile_s: dict[str, float] = {}
         self._answers: dict[str, int] = {}
 
     def set_latency_targets(self, configuration: RouteConfiguration) -> None:
@@ -68,16 +68,16 @@
         """Record an answer and the time it took, in seconds, waiting included."""
         held = self.typical_s.get(service, seconds)
         self.typical_s[service] = held + _LATENCY_WEIGHT * (seconds - held)
-        least = self._least_s.get(service, seconds)
-        self._least_s[service] = least * (
-            _LEAST_INCREASE_FACTOR if seconds >= least else _LEAST_DECREASE_FACTOR
+        low_s = self._low_quantile_s.get(service, seconds)
+        self._low_quantile_s[service] = low_s * (
+            _LOW_QUANTILE_INCREASE_FACTOR if seconds >= low_s else _LOW_QUANTILE_DECREASE_FACTOR
         )
         self._answers[service] = self._answers.get(service, 0) + 1
 
-    def least_s(self, service: str) -> float:
+    def low_quantile_s(self, service: str) -> float:
         """Return the time that nearly all answers of a service exceed, in seconds; 0 if unknown."""
         known = self._answers.get(service, 0) >= _MIN_SAMPLES
-        return self._least_s[service] if known else 0.0
+        return self._low_quantile_s[service] if known else 0.0
 
     def overload_queue_ratio(self, service: str) -> float:
         """Return how many requests may wait for each slot before a server is overloaded."""
@@ -117,7 +117,7 @@
         max_load_per_slot = 1 + _QUEUE_PER_SLOT
         if timeout_s is None or not typical_s:
             return max_load_per_slot
-        return min(max_load_per_slot, max(1.0, _TIMEOUT_PART * timeout_s / typical_s))
+        return min(max_load_per_slot, max(1.0, _TIMEOUT_FRACTION * timeout_s / typical_s))
 
 
 def is_overloaded(waiting: int, slots: int, overload_queue_ratio: float) -> bool:
--- a/sprucewinch/gateway/servers/cold_limit.py
+++ b/sprucewinch/gateway/servers/cold_limit.py
@@ -5,13 +5,13 @@
 plus `COLD_MARGIN_S`.
 
 All VMs together may send a cold server at most the requests a second that the service's rule
-states, times the fleet's factor plus its slack (`cold_over`, `cold_slack`). `_BOUND_USED_PART` of
-that bound is divided among the registered VMs: most of it among the VMs of the server's region, the
-remainder among the others. Requests that do not divide evenly go to the first VMs in an order by
-hash. The bound is divided in advance because VMs that asked each other before each send would be
+states, times the fleet's factor plus its slack (`cold_over`, `cold_slack`). `_BOUND_USED_FRACTION`
+of that bound is divided among the registered VMs: most of it among the VMs of the server's region,
+the remainder among the others. Requests that do not divide evenly go to the first VMs in an order
+by hash. The bound is divided in advance because VMs that asked each other before each send would be
 too late, and a bound that is not divided is exceeded. If the configuration states no bound, or 0,
 each VM may send a cold server as many requests as the server has slots. While less than
-`_MIN_ANSWERED_PART` of the requests to a service's cold servers are answered in time, the fleet
+`_MIN_ANSWERED_FRACTION` of the requests to a service's cold servers are answered in time, the fleet
 sends each of them only `_COLD_TRIALS_PER_S`.
 
 Owns this VM's sends to cold servers within `_COLD_WINDOW_S` and the part of them that is answered
@@ -38,22 +38,23 @@
 """Window in which a VM counts its sends, in seconds: the second of the platform's bound, and a
 margin because the delays between send and arrival vary."""
 
-_BOUND_USED_PART = 0.8
-"""Part of the platform's bound that is used; a margin for VMs whose counts of the fleet differ."""
+_BOUND_USED_FRACTION = 0.8
+"""Fraction of the platform's bound that is used; a margin for VMs whose counts of the fleet
+differ."""
 
-_ANSWERED_PART_WEIGHT = 0.2
-"""Weight of the last request in the moving average of the part that is answered in time."""
+_ANSWERED_FRACTION_WEIGHT = 0.2
+"""Weight of the last request in the moving average of the fraction answered in time."""
 
-_MIN_ANSWERED_PART = 0.5
-"""Part of the requests to a service's cold servers that must be answered in time for the whole
+_MIN_ANSWERED_FRACTION = 0.5
+"""Fraction of the requests to a service's cold servers that must be answered in time for the whole
 bound to be used."""
 
 _COLD_TRIALS_PER_S = 2
 """Requests a second from all VMs together to a cold server while most answers come too late."""
 
-_REGION_PART = 0.75
-"""Part of the limit for the VMs of a cold server's region, as most requests for its objects arrive
-there; the remainder is for the VMs of other regions."""
+_REGION_FRACTION = 0.75
+"""Fraction of the limit for the VMs of a cold server's region, as most requests for its objects
+arrive there; the remainder is for the VMs of other regions."""
 
 _MAX_SEND_TIMES = 64
 """Maximum number of send times kept for each server."""
@@ -61,8 +62,8 @@
 _DEFAULT_WARMUP_S = 3.0
 """Warm-up of a service that the configuration does not list, in seconds."""
 
-_INITIAL_ANSWERED_PART = 1.0
-"""Part answered in time that is assumed before a service's cold servers got any request."""
+_INITIAL_ANSWERED_FRACTION = 1.0
+"""Fraction answered in time that is assumed before a service's cold servers got any request."""
 
 
 class ColdSends:
@@ -79,7 +80,7 @@
         if len(self.sent_at) > _MAX_SEND_TIMES:
             self.sent_at.popleft()
 
-    def take_back(self, at: float) -> None:
+    def remove(self, at: float) -> None:
         """Remove a request that was recorded at a monotonic time, in seconds, if still kept."""
         if at in self.sent_at:
             self.sent_at.remove(at)
@@ -113,7 +114,7 @@
         self.bounds = bounds
         self.name = name
         self.regions = regions
-        self.answered_part: dict[str, float] = {}
+        self.answered_fraction: dict[str, float] = {}
 
     def set_bounds(self, bounds: Bounds) -> None:
         """Replace the fleet's bounds."""
@@ -129,8 +130,11 @@
         if rule is None or rule.cold_per_s <= 0:
             return backend.capacity
         bound = rule.cold_per_s * self.bounds.cold_over + self.bounds.cold_slack
-        fleet = math.floor(_BOUND_USED_PART * bound)
-        if self.answered_part.get(backend.service, _INITIAL_ANSWERED_PART) < _MIN_ANSWERED_PART:
+        fleet = math.floor(_BOUND_USED_FRACTION * bound)
+        if (
+            self.answered_fraction.get(backend.service, _INITIAL_ANSWERED_FRACTION)
+            < _MIN_ANSWERED_FRACTION
+        ):
             fleet = min(fleet, _COLD_TRIALS_PER_S)
         return self._own_part(backend, fleet)
 
@@ -144,8 +148,10 @@
         If a cold server needs longer for a new object than the routes' timeouts, every request
         sent there times out; then only a few are sent, and the others go elsewhere.
         """
-        part = self.answered_part.get(service, _INITIAL_ANSWERED_PART)
-        self.answered_part[service] = part + _ANSWERED_PART_WEIGHT * (float(answered) - part)
+        fraction = self.answered_fraction.get(service, _INITIAL_ANSWERED_FRACTION)
+        self.answered_fraction[service] = fraction + _ANSWERED_FRACTION_WEIGHT * (
+            float(answered) - fraction
+        )
 
     def _own_part(self, backend: BackendEntry, fleet: int) -> int:
         """Return this VM's part of the fleet's requests to a server; all parts add up to them."""
@@ -179,7 +185,7 @@
     """Return how many of the fleet's requests to a server the VMs of its region may send."""
     if region_vms == 0:
         return 0
-    return math.ceil(_REGION_PART * fleet) if other_vms else fleet
+    return math.ceil(_REGION_FRACTION * fleet) if other_vms else fleet
 
 
 def _part_at_rank(requests: int, vms: int, rank: int) -> int:
--- a/sprucewinch/gateway/servers/outliers.py
+++ b/sprucewinch/gateway/servers/outliers.py
@@ -9,9 +9,10 @@
 A server is ejected when its samples within `_WINDOW_S` hold at least `_MIN_BAD_SAMPLES` bad ones
 and `_MIN_BAD_PER_GOOD` bad ones for each good one. Each ejection lasts twice as long as the one
 before, up to `_MAX_EJECTION_S`. After it, the VM that is first in the server's order tries the
-server alone for `_TRIAL_S`, in which one bad sample ejects it again. At most `_MAX_EJECTED_PART` of
-a service's servers and `_MAX_EJECTED_PART_OF_REGION` of those in one region are ejected at once:
-the others must bear their load, and no request may change region beyond the shift cap.
+server alone for `_TRIAL_S`, in which one bad sample ejects it again. At most
+`_MAX_EJECTED_FRACTION` of a service's servers and `_MAX_EJECTED_FRACTION_OF_REGION` of those in one
+region are ejected at once: the others must bear their load, and no request may change region beyond
+the shift cap.
 
 Servers are compared with their service and not with a fixed time, as services differ. The samples
 of all VMs count, as one VM alone sees too few.
@@ -70,10 +71,10 @@
 _EJECTION_RESET_S = 15.0
 """Time since the last ejection after which the next one counts as the first, in seconds."""
 
-_MAX_EJECTED_PART = 0.2
+_MAX_EJECTED_FRACTION = 0.2
 """Largest part of a service's servers that may be ejected at once."""
 
-_MAX_EJECTED_PART_OF_REGION = 0.34
+_MAX_EJECTED_FRACTION_OF_REGION = 0.34
 """The same within a region: a third, so that none is ejected in a region with one or two."""
 
 _TRIAL_S = 1.0
@@ -225,7 +226,7 @@
         self.registry = registry
         self.reports = reports or NoReports()
         self.events = events or NoEvents()
-        self.records: dict[str, ServerHistory] = {}
+        self.histories: dict[str, ServerHistory] = {}
         self.typical_work = TypicalWork()
         self.sent_objects = SentObjects()
         registry.on_restart.append(self._forget_process)
@@ -272,21 +273,21 @@
 
     def ejected(self, server: BackendServer, now: float) -> bool:
         """Return whether a server is ejected, or is being tried by another VM only."""
-        history = self.records.get(server.backend.id)
+        history = self.histories.get(server.backend.id)
         if history is None:
             return False
         if history.in_trial(now):
             return not self.registry.cold_limit.tries_first(server.backend)
         return now < history.ejected_until
 
-    def drop_gone(self) -> None:
+    def drop_removed(self) -> None:
         """Drop the histories of servers that are no longer in the registry."""
         servers = self.registry.servers
-        self.records = {name: r for name, r in self.records.items() if name in servers}
+        self.histories = {name: r for name, r in self.histories.items() if name in servers}
 
     def _forget_process(self, server: BackendServer) -> None:
         """Forget the samples and objects of a process that has ended."""
-        self.records.pop(server.backend.id, None)
+        self.histories.pop(server.backend.id, None)
         self.sent_objects.forget(server.backend.id)
 
     def _record_sample(self, server: BackendServer, bad: bool, now: float) -> None:
@@ -296,7 +297,7 @@
             self.reports.send_failure(failure_report(server.backend))
 
     def _add_sample(self, server: BackendServer, sample: Sample) -> ServerHistory:
-        history = self.records.setdefault(server.backend.id, ServerHistory())
+        history = self.histories.setdefault(server.backend.id, ServerHistory())
         if sample.at < history.ejected_until:
             return history
         history.add(sample)
@@ -314,11 +315,11 @@
     def _may_eject(self, server: BackendServer, now: float) -> bool:
         regions = self.registry.regions
         region = regions.get(server.backend.hall)
-        servers = self.registry.usable(server.backend.service)
+        servers = self.registry.offered(server.backend.service)
         in_region = [each for each in servers if regions.get(each.backend.hall) == region]
-        return self._may_eject_another(servers, _MAX_EJECTED_PART, now) and self._may_eject_another(
-            in_region, _MAX_EJECTED_PART_OF_REGION, now
-        )
+        return self._may_eject_another(
+            servers, _MAX_EJECTED_FRACTION, now
+        ) and self._may_eject_another(in_region, _MAX_EJECTED_FRACTION_OF_REGION, now)
 
     def _may_eject_another(self, servers: Sequence[BackendServer], part: float, now: float) -> bool:
         """Return whether one more server can be ejected without exceeding a part of all given."""
--- a/sprucewinch/gateway/servers/pool.py
+++ b/sprucewinch/gateway/servers/pool.py
@@ -26,12 +26,12 @@
 _MAX_IDLE_S = 7.5
 """Longest time for which a connection is kept idle, in seconds."""
 
-_KEEP_ALIVE_USED_PART = 0.75
-"""Part of the server's stated keep-alive time for which a connection is kept; the remainder is a
-margin, so that no request arrives while the server closes the connection."""
+_KEEP_ALIVE_USED_FRACTION = 0.75
+"""Fraction of the server's stated keep-alive time for which a connection is kept; the remainder is
+a margin, so that no request arrives while the server closes the connection."""
 
-_IDLE_CONNECTIONS_PART = 0.5
-"""Part of a server's connections that may be idle; the others are for requests."""
+_IDLE_CONNECTIONS_FRACTION = 0.5
+"""Fraction of a server's connections that may be idle; the others are for requests."""
 
 MAX_IDLE_CONNECTIONS = 24
 """Maximum number of idle connections to one server."""
@@ -52,12 +52,12 @@
         self.max_idle = MAX_IDLE_CONNECTIONS
         self._idle: dict[str, deque[Connection]] = {}
 
-    async def take(self, address: str, *, most_rest_s: float = _MAX_IDLE_S) -> Connection:
+    async def take(self, address: str, *, max_idle_s: float = _MAX_IDLE_S) -> Connection:
         """Return an idle connection, or a new one.
 
         Args:
             address: `IP:PORT`.
-            most_rest_s: Longest idle time of a kept connection that is used, in seconds; 0 always
+            max_idle_s: Longest idle time of a kept connection that is used, in seconds; 0 always
                 opens a new one.
 
         Raises:
@@ -66,7 +66,7 @@
         now = self.monotonic()
         idle = self._idle.get(address)
         while idle:
-            if now - idle[-1].idle_since >= most_rest_s:
+            if now - idle[-1].idle_since >= max_idle_s:
                 break
             connection = idle.pop()
             if connection.alive and connection.idle_until > now:
@@ -88,7 +88,7 @@
             return
         connection.idle_since = self.monotonic()
         connection.idle_until = connection.idle_since + min(
-            _MAX_IDLE_S, keep_s * _KEEP_ALIVE_USED_PART
+            _MAX_IDLE_S, keep_s * _KEEP_ALIVE_USED_FRACTION
         )
         idle = self._idle.setdefault(address, deque())
         idle.append(connection)
@@ -115,7 +115,7 @@
             connections: Connections that one server accepts from all VMs together.
             vm_count: How many VMs there are.
         """
-        part = int(connections * _IDLE_CONNECTIONS_PART / max(1, vm_count))
+        part = int(connections * _IDLE_CONNECTIONS_FRACTION / max(1, vm_count))
         self.max_idle = max(1, min(MAX_IDLE_CONNECTIONS, part))
 
     def sweep(self) -> None:
--- a/sprucewinch/gateway/servers/probe.py
+++ b/sprucewinch/gateway/servers/probe.py
@@ -118,7 +118,7 @@
     def _declines_requests(self, server: BackendServer) -> bool:
         """Return whether a server itself states that it is leaving, paused or limited."""
         now, stated = self.monotonic(), server.stated
-        return server.leaving or stated.rest_until > now or stated.is_limited(now)
+        return server.leaving or stated.pause_until > now or stated.is_limited(now)
 
     def _read(
         self, answer: Union[Answer, NoAnswer], server: BackendServer, started: float
--- a/sprucewinch/gateway/servers/usability.py
+++ b/sprucewinch/gateway/servers/usability.py
@@ -80,10 +80,10 @@
         cold_allowance: Returns how many requests this VM may send a cold server within the window
             of `cold_limit`.
     """
-    if server.stated.refused_until(now) is not None:
-        asked_pause = server.stated.rest_until > now
+    if server.stated.declines_until(now) is not None:
+        asked_pause = server.stated.pause_until > now
         return UnusableReason.ASKED_REST if asked_pause else UnusableReason.LIMITED
-    if server.rest.until > now:
+    if server.backoff.until > now:
         return UnusableReason.RESTING
     if server.started and server.silent(now):
         return UnusableReason.SILENT
--- a/sprucewinch/gateway/state/store_view.py
+++ b/sprucewinch/gateway/state/store_view.py
@@ -48,7 +48,7 @@
         after: The resource now; None for a removal.
         revision: Revision of the item, or of its removal.
         at: Monotonic time at which this VM received it, in seconds.
-        spoilt: True when the resource was removed because its item can no longer be decoded.
+        unreadable: True when the resource was removed because its item can no longer be decoded.
     """
 
     key: str
@@ -56,7 +56,7 @@
     after: Optional[Resource]
     revision: int
     at: float
-    spoilt: bool = False
+    unreadable: bool = False
 
 
 Listener = Callable[[Change], None]
@@ -164,7 +164,7 @@
             self.on_unreadable(key, str(error))
             if not isinstance(before, BackendEntry):
                 return []
-            return self._remove(Change(key, before, None, revision, now, spoilt=True))
+            return self._remove(Change(key, before, None, revision, now, unreadable=True))
         if after is None or after == before:
             return []
         return self._put(Change(key, before, after, revision, now))
--- a/sprucewinch/gateway/statements/process_statements.py
+++ b/sprucewinch/gateway/statements/process_statements.py
@@ -41,8 +41,8 @@
         limit: The rate limit that it states.
         leaving_since: Monotonic time at which this VM learnt that it is leaving, in seconds; None
             before. Only another process under the id ends this.
-        rest_until: Monotonic time at which the pause ends that it asked this VM for, in seconds. An
-            answer to an earlier request does not end the pause.
+        pause_until: Monotonic time at which the pause ends that it asked this VM for, in seconds.
+            An answer to an earlier request does not end the pause.
         no_token_until: Monotonic time until which its quota has nothing for this VM, in seconds.
         reported_at: Monotonic time of this VM's last report on it, in seconds.
         updated_at: Monotonic time of the last statement or report on it, in seconds.
@@ -53,14 +53,14 @@
         "limit",
         "no_token_until",
         "reported_at",
-        "rest_until",
+        "pause_until",
         "updated_at",
     )
 
     def __init__(self) -> None:
         self.limit = StatedLimit()
         self.leaving_since: Optional[float] = None
-        self.rest_until = float("-inf")
+        self.pause_until = float("-inf")
         self.no_token_until = float("-inf")
         self.reported_at = float("-inf")
         self.updated_at = float("-inf")
@@ -69,11 +69,11 @@
         """Return whether the process accepts only a limited rate of requests."""
         return self.limit.rate_per_s(now) is not None
 
-    def states_something(self, now: float) -> bool:
+    def has_statement(self, now: float) -> bool:
         """Return whether the process states that it is leaving, paused or limited."""
-        return self.leaving_since is not None or self.rest_until > now or self.is_limited(now)
+        return self.leaving_since is not None or self.pause_until > now or self.is_limited(now)
 
-    def refused_until(self, now: float) -> Optional[float]:
+    def declines_until(self, now: float) -> Optional[float]:
         """Return until when the server accepts no requests from this VM, as it states itself.
 
         Args:
@@ -82,22 +82,22 @@
         Returns:
             Monotonic time, in seconds; None if it accepts requests.
         """
-        until = self.rest_until
+        until = self.pause_until
         if self.is_limited(now):
             until = max(until, self.no_token_until)
         return until if until > now else None
 
-    def start_pause(self, rest_s: float, now: float) -> bool:
+    def start_pause(self, pause_s: float, now: float) -> bool:
         """Start the pause that the process asks for; returns True if it was not paused before.
 
         The latest end holds: a shorter pause that is asked for meanwhile does not cut it.
 
         Args:
-            rest_s: Length of the pause, in seconds.
+            pause_s: Length of the pause, in seconds.
             now: Monotonic time, in seconds.
         """
-        was_paused = self.rest_until > now
-        self.rest_until = max(self.rest_until, now + rest_s)
+        was_paused = self.pause_until > now
+        self.pause_until = max(self.pause_until, now + pause_s)
         return not was_paused
 
 
--- a/sprucewinch/gateway/statements/start_asks.py
+++ b/sprucewinch/gateway/statements/start_asks.py
@@ -82,7 +82,7 @@
         rows = [
             (process, stated)
             for process, stated in self.table.rows.items()
-            if stated.states_something(now)
+            if stated.has_statement(now)
         ]
         for process, stated in rows[-_MAX_REPORTS:]:
             self.datagrams.send(_report(process, stated, now), (sender,))
--- a/sprucewinch/gateway/statements/statement.py
+++ b/sprucewinch/gateway/statements/statement.py
@@ -7,8 +7,8 @@
 
 All rules that depend on a statement use this one value, so that they agree on whose statements
 count and on which values are valid. Inputs are a complete answer, the platform's header names, the
-id of the request, and the time of day in seconds. The only bound is `MAX_RETRY_AFTER_S`. Statements
-show in the events `server-limit`, `server-leaving` and `server-asks-rest`. Tests:
+id of the request, and the time of day in seconds. The only bound is `MAX_STATED_PAUSE_S`.
+Statements show in the events `server-limit`, `server-leaving` and `server-asks-rest`. Tests:
 tests/test_gateway_statements.py.
 """
 
@@ -20,7 +20,7 @@
 from ...net.connection import Answer
 from ..header_names import HeaderNames
 
-MAX_RETRY_AFTER_S = 300.0
+MAX_STATED_PAUSE_S = 300.0
 """Longest pause that a server may ask for at once, in seconds: one that asks for a day by mistake
 gets requests again before its operators have given up on it."""
 
@@ -63,14 +63,15 @@
         load: Its load; None if it states none.
         limit_per_s: Requests a second that it takes from all VMs together; None for no limit.
         leaving: True if it is leaving.
-        rest_s: Time for which it asks this VM for no requests, in seconds; None if it does not ask.
+        retry_after_s: Time for which it asks this VM for no requests, in seconds; None if it does
+            not ask.
     """
 
     by_server: bool = False
     load: Optional[LoadReport] = None
     limit_per_s: Optional[float] = None
     leaving: bool = False
-    rest_s: Optional[float] = None
+    retry_after_s: Optional[float] = None
 
 
 NOTHING_STATED = ServerStatement()
@@ -105,7 +106,7 @@
         load=_load(answer.header(names.load)),
         limit_per_s=_decimal(answer.header(names.limit)),
         leaving=(answer.header(names.leaving) or "").strip() == _LEAVING_VALUE,
-        rest_s=_retry_after_s(answer, wall),
+        retry_after_s=_retry_after_s(answer, wall),
     )
 
 
@@ -152,7 +153,7 @@
     seconds = _decimal(text)
     if seconds is None:
         seconds = _until_date_s(text, answer.header("date"), wall)
-    return min(seconds, MAX_RETRY_AFTER_S) if seconds else None
+    return min(seconds, MAX_STATED_PAUSE_S) if seconds else None
 
 
 def _until_date_s(text: str, server_date: Optional[str], wall: float) -> Optional[float]:
--- a/sprucewinch/gateway/statements/statements.py
+++ b/sprucewinch/gateway/statements/statements.py
@@ -26,8 +26,8 @@
 """Shortest time between two reports of the same statement, in seconds: far shorter than the time
 for which a report counts."""
 
-_JITTER_PART = 0.1
-"""Part of a pause that is its largest jitter."""
+_JITTER_FRACTION = 0.1
+"""Fraction of a pause that is its largest jitter."""
 
 _MAX_JITTER_S = 0.5
 """Largest jitter, in seconds."""
@@ -99,15 +99,15 @@
         self, backend: BackendEntry, stated: ProcessStatements, answer: ServerAnswer, now: float
     ) -> None:
         """Start the pause that a server has asked of this VM; it has not asked the others."""
-        rest_s = answer.statement.rest_s
-        if rest_s is None:
+        pause_s = answer.statement.retry_after_s
+        if pause_s is None:
             return
         self.events.count("server_rests_asked")
         stated.updated_at = now
-        jitter_s = self.rng.uniform(0.0, min(_MAX_JITTER_S, _JITTER_PART * rest_s))
-        if stated.start_pause(rest_s + jitter_s, now):
+        jitter_s = self.rng.uniform(0.0, min(_MAX_JITTER_S, _JITTER_FRACTION * pause_s))
+        if stated.start_pause(pause_s + jitter_s, now):
             self.events.state(
-                "server-asks-rest", server=backend.id, rest_s=rest_s, id=answer.request_id
+                "server-asks-rest", server=backend.id, rest_s=pause_s, id=answer.request_id
             )
 
     def on_report(self, report: StatementReport, now: float) -> None:
--- a/sprucewinch/gateway/vm_metrics.py
+++ b/sprucewinch/gateway/vm_metrics.py
@@ -41,5 +41,5 @@
     return {
         "servers_leaving": sum(stated.leaving_since is not None for stated in rows),
         "servers_limited": sum(stated.is_limited(now) for stated in rows),
-        "servers_resting": sum(stated.rest_until > now for stated in rows),
+        "servers_resting": sum(stated.pause_until > now for stated in rows),
     }
--- a/sprucewinch/gateway/vm_state.py
+++ b/sprucewinch/gateway/vm_state.py
@@ -220,7 +220,7 @@
 def _statements(servers: Servers, now: float) -> tuple[StatementState, ...]:
     rows = sorted(servers.registry.statement_table.rows.items())
     return tuple(
-        _statement(process, stated, now) for process, stated in rows if stated.states_something(now)
+        _statement(process, stated, now) for process, stated in rows if stated.has_statement(now)
     )
 
 
@@ -237,7 +237,7 @@
         limit_age_s=_seconds(now - limit.stated_at) if limited else 0.0,
         no_token_s=_seconds(stated.no_token_until - now) if limited else 0.0,
         leaving_s=None if leaving is None else _seconds(now - leaving),
-        rests_s=_seconds(stated.rest_until - now),
+        rests_s=_seconds(stated.pause_until - now),
     )
 
 
@@ -304,7 +304,7 @@
             load=round(server.load(now), _LOAD_DIGITS),
             cold=server.cold(now),
             draining=server.backend.draining,
-            paused=server.paused_until > now or server.silent(now),
+            paused=server.backoff_until > now or server.silent(now),
             latency_ms=round((server.latency_s or 0.0) * _MS_PER_S, 1),
         )
         for _, server in sorted(servers.registry.servers.items())
--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -277,7 +277,7 @@
 
     def first(self, key: str = "lane-1") -> ScriptedServer:
         """Return the first server in the ranking for an object."""
-        ranking = self.ranker.place("rates", key, (), self.loop.time())
+        ranking = self.ranker.rank("rates", key, (), self.loop.time())
         return self.servers[ranking.servers[0].backend.id]
 
     def stop(self, server: ScriptedServer) -> None:
--- a/tests/test_gateway_cold_limit.py
+++ b/tests/test_gateway_cold_limit.py
@@ -87,11 +87,11 @@
         sends = ColdSends()
         for at in (10.0, 10.1, 10.1):
             sends.record(at)
-        sends.take_back(10.1)
-        sends.take_back(9.0)
+        sends.remove(10.1)
+        sends.remove(9.0)
         self.assertEqual(list(sends.sent_at), [10.0, 10.1])
         self.assertFalse(sends.allowed(10.2, 2))
-        sends.take_back(10.0)
+        sends.remove(10.0)
         self.assertTrue(sends.allowed(10.2, 2))
 
 
@@ -119,13 +119,13 @@
     def test_an_evacuated_data_hall_gets_nothing_and_is_cold_afterwards(self) -> None:
         world = _fleet(1, 1)[0]
         world.say("evacuate/east-a", Evacuation("east-a"), 110.0)
-        self.assertEqual(world.registry.usable("rates"), ())
+        self.assertEqual(world.registry.offered("rates"), ())
         world.drop("evacuate/east-a", 120.0)
-        self.assertEqual(len(world.registry.usable("rates")), 1)
+        self.assertEqual(len(world.registry.offered("rates")), 1)
         self.assertTrue(world.registry.servers["new"].cold(122.9))
 
     def test_a_draining_server_gets_nothing(self) -> None:
         world = _fleet(1, 1)[0]
         leaving = BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6, draining=True)
         world.say("servers/new", leaving, 110.0)
-        self.assertEqual(world.registry.usable("rates"), ())
+        self.assertEqual(world.registry.offered("rates"), ())
--- a/tests/test_gateway_following.py
+++ b/tests/test_gateway_following.py
@@ -214,7 +214,7 @@
             fleet.store.remove("servers/s0")
             self._silence(loop, others, False)
             await pass_time(BOUND_S)
-            self.assertEqual(refused.registry.usable("rates"), ())
+            self.assertEqual(refused.registry.offered("rates"), ())
 
         run_virtual(main)
 
@@ -271,7 +271,7 @@
         return dropped
 
     def _without_server(self, fleet: VirtualFleet) -> set[str]:
-        return {vm.name for vm in fleet.vms if not vm.registry.usable("rates")}
+        return {vm.name for vm in fleet.vms if not vm.registry.offered("rates")}
 
     def test_each_vm_logs_that_the_store_is_lost_and_regained_at_each_of_two_outages(
         self,
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -117,10 +117,10 @@
 
     def offered(self) -> list[str]:
         """Return the ids of the servers that are offered to requests."""
-        return sorted(server.backend.id for server in self.registry.usable("rates"))
+        return sorted(server.backend.id for server in self.registry.offered("rates"))
 
 
-class SpoiltEntries(unittest.TestCase):
+class UnreadableEntries(unittest.TestCase):
     def test_an_unreadable_entry_offers_no_server_and_others_stay(self) -> None:
         for kind, value in _UNREADABLE.items():
             with self.subTest(kind):
@@ -239,9 +239,9 @@
         vm = Vm()
         vm.write(_KEY, _with(born=2**53))
         vm.write(_KEY, _with(born=5), 1.0)
-        vm.registry.take_up_standing(1.0 + _ACCEPT_OUTDATED_AFTER_S - 0.1)
+        vm.registry.accept_outdated_entries(1.0 + _ACCEPT_OUTDATED_AFTER_S - 0.1)
         before = vm.registry.servers["s0"].backend.incarnation
-        vm.registry.take_up_standing(1.0 + _ACCEPT_OUTDATED_AFTER_S)
+        vm.registry.accept_outdated_entries(1.0 + _ACCEPT_OUTDATED_AFTER_S)
         after = vm.registry.servers["s0"].backend.incarnation
         self.assertEqual((before, after), (2**53, 5))
 
@@ -250,14 +250,14 @@
         vm.write(_KEY, _with(born=6))
         vm.write(_KEY, _with(born=5), 1.0)
         vm.write(_KEY, b"{", 2.0)
-        vm.registry.take_up_standing(2.0 + _ACCEPT_OUTDATED_AFTER_S)
+        vm.registry.accept_outdated_entries(2.0 + _ACCEPT_OUTDATED_AFTER_S)
         self.assertEqual(vm.offered(), [])
 
     def test_incarnations_of_removed_entries_are_kept_for_a_bounded_time(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with(born=6))
         vm.remove(_KEY, 1.0)
-        vm.registry.take_up_standing(1.0 + _LONG_S)
+        vm.registry.accept_outdated_entries(1.0 + _LONG_S)
         vm.write(_KEY, _with(born=5), 2.0 + _LONG_S)
         self.assertEqual(vm.offered(), ["s0"])
 
@@ -280,7 +280,7 @@
         vm.write(_KEY, _with(born=6), 0.3)
         new = vm.registry.servers["s0"]
         fresh = BackendServer(new.backend)
-        for name in ("latency_s", "in_flight", "answered_at", "paused_until", "concurrency_limit"):
+        for name in ("latency_s", "in_flight", "answered_at", "backoff_until", "concurrency_limit"):
             with self.subTest(name):
                 self.assertEqual(getattr(new, name), getattr(fresh, name))
         self.assertEqual(new.load(0.3), 0.0)
@@ -295,7 +295,7 @@
         vm.registry.load_reports.on_overload_report(OverloadReport("s0", 6, 30, 5), 1.0)
         for number in range(10):
             vm.outliers.on_failure_report(FailureReport("s0", 5), 1.0 + number / 10)
-        self.assertEqual((server.load(1.0), vm.outliers.records), (0.0, {}))
+        self.assertEqual((server.load(1.0), vm.outliers.histories), (0.0, {}))
         vm.registry.load_reports.on_overload_report(OverloadReport("s0", 6, 30, 6), 1.0)
         self.assertGreater(server.load(1.0), 6.0)
 
--- a/tests/test_gateway_outages.py
+++ b/tests/test_gateway_outages.py
@@ -45,7 +45,7 @@
 
     def usable(self) -> list[str]:
         """Return the IDs of the servers that may get requests."""
-        return [server.backend.id for server in self.registry.usable("rates")]
+        return [server.backend.id for server in self.registry.offered("rates")]
 
 
 async def _followed(loop: VirtualLoop) -> _Followed:
--- a/tests/test_gateway_outliers.py
+++ b/tests/test_gateway_outliers.py
@@ -127,12 +127,12 @@
             path = Path(loop, servers=12, halls=("east-a", "west-a"))
             path.world.configure(route())
             now = loop.time()
-            ranking = path.ranker.place("rates", "lane-1", (), now)
-            for server in ranking.servers[: ranking.near]:
+            ranking = path.ranker.rank("rates", "lane-1", (), now)
+            for server in ranking.servers[: ranking.local_count]:
                 server.record_load(9, 9, now)
                 server.in_flight = 6
             for _ in range(4):
-                report = FailureReport(ranking.servers[ranking.near - 1].backend.id)
+                report = FailureReport(ranking.servers[ranking.local_count - 1].backend.id)
                 path.outliers.on_failure_report(report, now)
             reply = await path.pipeline.run(path.request("q"))
             self.assertEqual((reply.status, path.runs("q")), (503, 0))
@@ -231,8 +231,8 @@
         world, outliers = self._world()
         outliers.record_failure(world.registry.servers["s3"], 10.0)
         world.drop("servers/s3", 11.0)
-        outliers.drop_gone()
-        self.assertEqual(outliers.records, {})
+        outliers.drop_removed()
+        self.assertEqual(outliers.histories, {})
 
 
 class Fleet(unittest.TestCase):
@@ -247,7 +247,7 @@
             await pass_time(6.0)
             fleet.vms[0].reports.send_failure(FailureReport("s1"))
             await pass_time(0.1)
-            known = [len(m.outliers.records) for m in fleet.vms[1:]]
+            known = [len(m.outliers.histories) for m in fleet.vms[1:]]
             self.assertEqual(known, [1] * 5)
 
         run_virtual(main)
--- a/tests/test_gateway_pipeline.py
+++ b/tests/test_gateway_pipeline.py
@@ -226,7 +226,7 @@
         async def main(loop: VirtualLoop) -> tuple[int, int]:
             path = Path(loop, servers=3)
             path.world.configure(route(**changes))
-            ranking = path.ranker.place("rates", "lane-1", (), loop.time())
+            ranking = path.ranker.rank("rates", "lane-1", (), loop.time())
             for server in ranking.servers[:failing_servers]:
                 path.servers[server.backend.id].spoils = [Spoil.FAILED]
             reply = await path.pipeline.run(path.request("q"))
@@ -331,7 +331,7 @@
     Args:
         retries: Number of retries taken from the budget of its service.
         failures: Number of consecutive failures.
-        resting: True when it is backed off.
+        paused: True when it is backed off.
         ejected: True when it is ejected.
         samples: True when the outlier detector has a record of it.
         in_flight: Number of requests that count as in flight there.
@@ -342,7 +342,7 @@
 
     retries: int
     failures: int
-    resting: bool
+    paused: bool
     ejected: bool
     samples: bool
     in_flight: int
@@ -358,10 +358,10 @@
     now = path.loop.time()
     return _ServerState(
         path.pipeline.budgets.of("rates").retries.count(now),
-        server.rest.failures,
-        server.rest.until > now,
+        server.backoff.failures,
+        server.backoff.until > now,
         path.outliers.ejected(server, now),
-        server.backend.id in path.outliers.records,
+        server.backend.id in path.outliers.histories,
         server.in_flight,
         list(server.started),
         list(server.cold_sends.sent_at),
@@ -392,7 +392,7 @@
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=3)
             path.world.configure(route(repeatable=False, max_attempts=1))
-            left, full, last = path.ranker.place("rates", "lane-1", (), loop.time()).servers
+            left, full, last = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             path.servers[full.backend.id].slots = 0
             request = path.request("q")
             reply = await _run_while_leaving(path, request, [left])
@@ -408,7 +408,7 @@
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=5)
             path.world.configure(route(repeatable=False, max_attempts=1))
-            *leaving, last = path.ranker.place("rates", "lane-1", (), loop.time()).servers
+            *leaving, last = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             reply = await _run_while_leaving(path, path.request("q"), leaving)
             self.assertEqual((reply.status, path.runs("q")), (200, 1))
             self.assertEqual(len(path.servers[last.backend.id].runs), 1)
@@ -420,7 +420,7 @@
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=5)
             path.world.configure(route(repeatable=False, max_attempts=1))
-            leaving = path.ranker.place("rates", "lane-1", (), loop.time()).servers
+            leaving = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             request = path.request("q")
             reply = await _run_while_leaving(path, request, list(leaving))
             self.assertEqual((reply.refusal, reply.status), (RefusalReason.NO_SERVER, 503))
@@ -479,7 +479,7 @@
     """Run a request whose server leaves half-way through the connect time."""
     path = Path(loop, servers=4, halls=("east-a", "east-b"))
     path.world.configure(route(repeatable=False, max_attempts=1))
-    left = path.ranker.place("rates", "lane-1", (), loop.time()).servers[0]
+    left = path.ranker.rank("rates", "lane-1", (), loop.time()).servers[0]
     scripted = path.servers[left.backend.id]
     path.delay(scripted, _CONNECT_DELAY_S)
     request = path.request("q")
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -39,11 +39,11 @@
             first = await pool.take(ADDRESS)
             pool.give_back(ADDRESS, first)
             loop.instant.skipped_s += 2.0
-            second = await pool.take(ADDRESS, most_rest_s=2.0)
+            second = await pool.take(ADDRESS, max_idle_s=2.0)
             self.assertIsNot(second, first)
             self.assertTrue(first.alive)
-            self.assertIs(await pool.take(ADDRESS, most_rest_s=2.1), first)
-            self.assertIsNot(await pool.take(ADDRESS, most_rest_s=0.0), second)
+            self.assertIs(await pool.take(ADDRESS, max_idle_s=2.1), first)
+            self.assertIsNot(await pool.take(ADDRESS, max_idle_s=0.0), second)
 
         run_virtual(main)
 
--- a/tests/test_gateway_probe.py
+++ b/tests/test_gateway_probe.py
@@ -120,7 +120,7 @@
             now = loop.time()
             self.assertTrue(leaving.leaving)
             self.assertEqual(limited.stated.limit.rate_per_s(now), 3.0)
-            self.assertGreaterEqual(paused.stated.refused_until(now) or 0.0, now + 1.9)
+            self.assertGreaterEqual(paused.stated.declines_until(now) or 0.0, now + 1.9)
             reported = [report.server for report in path.world.reports.statements]
             self.assertEqual(reported, ["s0", "s1"])
 
@@ -136,6 +136,6 @@
             (server,) = self._servers(path)
             await prober_of(path).probe(server)
             self.assertEqual(script.probes, 1)
-            self.assertFalse(server.stated.states_something(loop.time()))
+            self.assertFalse(server.stated.has_statement(loop.time()))
 
         run_virtual(main)
--- a/tests/test_gateway_process_statements.py
+++ b/tests/test_gateway_process_statements.py
@@ -36,8 +36,8 @@
         stated = ProcessStatements()
         self.assertTrue(stated.start_pause(3.0, 100.0))
         self.assertFalse(stated.start_pause(0.5, 101.0))
-        self.assertEqual(stated.refused_until(102.9), 103.0)
-        self.assertIsNone(stated.refused_until(103.0))
+        self.assertEqual(stated.declines_until(102.9), 103.0)
+        self.assertIsNone(stated.declines_until(103.0))
 
     def test_a_leaving_server_is_recorded_once(self) -> None:
         calls = []
@@ -144,12 +144,12 @@
             path.world.say("servers/s0", entry, loop.time())
             registry.statement_table.note_leaving(registry.servers["s0"].stated, loop.time())
             path.world.say("servers/s0", entry._replace(cold_for_s=0.1), loop.time())
-            self.assertEqual(registry.usable("rates"), ())
+            self.assertEqual(registry.offered("rates"), ())
             path.world.drop("servers/s0", loop.time())
             path.world.say("servers/s0", entry, loop.time())
-            self.assertEqual(registry.usable("rates"), ())
+            self.assertEqual(registry.offered("rates"), ())
             path.world.say("servers/s0", entry._replace(incarnation=2), loop.time())
-            self.assertEqual(len(registry.usable("rates")), 1)
+            self.assertEqual(len(registry.offered("rates")), 1)
 
         run_virtual(main)
 
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -25,7 +25,7 @@
     SelectionReason,
     Verdict,
 )
-from sprucewinch.gateway.requests.connection_age import MAX_NON_REPEATABLE_IDLE_S, most_rest_s
+from sprucewinch.gateway.requests.connection_reuse import MAX_NON_REPEATABLE_IDLE_S, max_idle_s
 from sprucewinch.gateway.requests.outcome import final_answer
 from sprucewinch.gateway.requests.outcome.hold_time import (
     ANSWER_MARGIN_S,
@@ -255,7 +255,7 @@
 
         async def main(loop: VirtualLoop) -> tuple[int, Union[SelectionReason, BlockedReason]]:
             path = Path(loop, servers=len(loads), halls=halls)
-            ranking = path.ranker.place("rates", "lane-1", (), loop.time())
+            ranking = path.ranker.rank("rates", "lane-1", (), loop.time())
             for server, load in zip(ranking.servers, loads, strict=True):
                 server.estimate.record(load, server.in_flight, loop.time())
             ids = [server.backend.id for server in ranking.servers]
@@ -366,10 +366,10 @@
     def test_a_non_repeatable_request_needs_a_recently_used_connection(self) -> None:
         reset = _unanswered(Verdict.UNKNOWN, "reset")
         once = route(repeatable=False)
-        self.assertEqual(most_rest_s(_request(), route()), float("inf"))
-        self.assertEqual(most_rest_s(_request(), once), MAX_NON_REPEATABLE_IDLE_S)
-        self.assertEqual(most_rest_s(_request(reset), route()), 0.0)
-        self.assertEqual(most_rest_s(_request(reset), once), 0.0)
+        self.assertEqual(max_idle_s(_request(), route()), float("inf"))
+        self.assertEqual(max_idle_s(_request(), once), MAX_NON_REPEATABLE_IDLE_S)
+        self.assertEqual(max_idle_s(_request(reset), route()), 0.0)
+        self.assertEqual(max_idle_s(_request(reset), once), 0.0)
 
     def test_a_non_repeatable_request_opens_a_connection_after_idle_time(self) -> None:
         async def main(loop: VirtualLoop) -> None:
--- a/tests/test_gateway_server_selection.py
+++ b/tests/test_gateway_server_selection.py
@@ -64,7 +64,7 @@
         async def main(loop: VirtualLoop) -> list[int]:
             path = Path(loop, servers=3)
             path.world.configure(route())
-            order = path.ranker.place("rates", "lane-1", (), loop.time()).servers
+            order = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             for server in order:
                 path.servers[server.backend.id].work_s = 0.3
             for server in order[1:]:
@@ -90,7 +90,7 @@
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=3)
             path.world.configure(route())
-            order = path.ranker.place("rates", "lane-1", (), loop.time()).servers
+            order = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             order[0].record_load(8, 0, loop.time())
             self.assertEqual(await self._runs_after_one_more(path, order), [1, 0, 0])
             order[0].record_load(9, 0, loop.time())
@@ -106,7 +106,7 @@
         async def main(loop: VirtualLoop) -> None:
             path = Path(loop, servers=2, halls=("east-a", "west-a"))
             path.world.configure(route())
-            order = path.ranker.place("rates", "lane-1", (), loop.time()).servers
+            order = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             order[0].record_load(7, 0, loop.time())
             self.assertEqual(await self._runs_after_one_more(path, order), [1, 0])
             order[0].record_load(13, 0, loop.time())
@@ -173,7 +173,7 @@
         statement = read_statement(answer, NAMES, "q", now)
         attempt = Attempt("s0", Verdict.NOT_RUN, True, f"{SHED}-503", answer, statement=statement)
         path.sender.feedback._update_server(path.request("q"), server, attempt, now, now)
-        self.assertEqual(server.paused_until > loop.time(), load != "2,0,6")
+        self.assertEqual(server.backoff_until > loop.time(), load != "2,0,6")
         return server.limit.value
 
     def test_requests_beyond_the_servers_room_are_refused_early_as_not_run(self) -> None:
--- a/tests/test_gateway_service_times.py
+++ b/tests/test_gateway_service_times.py
@@ -24,13 +24,13 @@
     return times
 
 
-class LeastTime(unittest.TestCase):
+class LowQuantile(unittest.TestCase):
     def test_it_is_unknown_before_enough_answers(self) -> None:
         times = ServiceTimes()
-        self.assertEqual(times.least_s("rates"), 0.0)
+        self.assertEqual(times.low_quantile_s("rates"), 0.0)
         for _ in range(19):
             times.record_success("rates", 0.1)
-        self.assertEqual(times.least_s("rates"), 0.0)
+        self.assertEqual(times.low_quantile_s("rates"), 0.0)
 
     @given(st.integers(0, 2**32))
     def test_nearly_all_answers_take_longer_than_it(self, seed) -> None:
@@ -39,9 +39,9 @@
         taken = [rng.uniform(0.1, 0.4) for _ in range(2_000)]
         for seconds in taken:
             times.record_success("rates", seconds)
-        shorter = sum(seconds < times.least_s("rates") for seconds in taken)
+        shorter = sum(seconds < times.low_quantile_s("rates") for seconds in taken)
         self.assertLess(shorter, 0.1 * len(taken))
-        self.assertGreater(times.least_s("rates"), 0.08)
+        self.assertGreater(times.low_quantile_s("rates"), 0.08)
 
 
 class LoadPerSlot(unittest.TestCase):
--- a/tests/test_gateway_statements.py
+++ b/tests/test_gateway_statements.py
@@ -8,7 +8,7 @@
 
 from sprucewinch.gateway.header_names import HeaderNames
 from sprucewinch.gateway.statements.statement import (
-    MAX_RETRY_AFTER_S,
+    MAX_STATED_PAUSE_S,
     NOTHING_STATED,
     LoadReport,
     ServerStatement,
@@ -65,26 +65,26 @@
             self.assertFalse(stated(leaving=text).leaving)
 
     def test_only_a_503_asks_for_a_pause_in_seconds_or_until_a_date(self) -> None:
-        self.assertEqual(stated(503, retry_after="2.5").rest_s, 2.5)
-        self.assertIsNone(stated(200, retry_after="2.5").rest_s)
-        self.assertIsNone(stated(429, retry_after="2.5").rest_s)
+        self.assertEqual(stated(503, retry_after="2.5").retry_after_s, 2.5)
+        self.assertIsNone(stated(200, retry_after="2.5").retry_after_s)
+        self.assertIsNone(stated(429, retry_after="2.5").retry_after_s)
         for text in ("0", "many", "-1", "nan", "1e999", "soon"):
-            self.assertIsNone(stated(503, retry_after=text).rest_s)
+            self.assertIsNone(stated(503, retry_after=text).retry_after_s)
         date = {"retry_after": "Fri, 15 Jan 2027 08:00:10 GMT"}
-        self.assertAlmostEqual(stated(503, **date).rest_s or 0.0, 10.0)
+        self.assertAlmostEqual(stated(503, **date).retry_after_s or 0.0, 10.0)
         date["date"] = "Fri, 15 Jan 2027 08:00:06 GMT"
-        self.assertAlmostEqual(stated(503, **date).rest_s or 0.0, 4.0)
-        self.assertIsNone(stated(503, retry_after="Fri, 15 Jan 2021 08:00:10 GMT").rest_s)
+        self.assertAlmostEqual(stated(503, **date).retry_after_s or 0.0, 4.0)
+        self.assertIsNone(stated(503, retry_after="Fri, 15 Jan 2021 08:00:10 GMT").retry_after_s)
 
     def test_a_pause_is_cut_to_the_longest_allowed(self) -> None:
-        self.assertEqual(stated(503, retry_after="86400").rest_s, MAX_RETRY_AFTER_S)
+        self.assertEqual(stated(503, retry_after="86400").retry_after_s, MAX_STATED_PAUSE_S)
 
     @given(st.text(st.characters(min_codepoint=32, max_codepoint=255), max_size=40))
     def test_any_text_is_read_without_an_error(self, text: str) -> None:
         found = stated(503, limit=text, leaving=text, load=text, retry_after=text, date=text)
         self.assertTrue(found.by_server)
         self.assertGreaterEqual(found.limit_per_s or 0.0, 0.0)
-        self.assertLessEqual(found.rest_s or 0.0, MAX_RETRY_AFTER_S)
+        self.assertLessEqual(found.retry_after_s or 0.0, MAX_STATED_PAUSE_S)
 
     def test_the_keep_alive_time_of_a_connection(self) -> None:
         self.assertEqual(keep_alive_s(answer(**{"keep-alive": "max=5, timeout=7"})), 7.0)
--- a/tests/test_soak_backend_servers.py
+++ b/tests/test_soak_backend_servers.py
@@ -1,4 +1,4 @@
-"""What the soak does to its backend servers: evacuations, restarts under an id, spoilt entries."""
+"""Evacuations, restarts under an id and unreadable entries of the soak's backend servers."""
 
 import asyncio
 import base64
@@ -68,7 +68,7 @@
         self.assertEqual(list(servers.ever()), [again, server])
 
 
-class SpoiltEntries(unittest.TestCase):
+class UnreadableEntries(unittest.TestCase):
     def test_a_server_writes_its_spoilt_entry_anew_while_it_runs(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store = StoreStandIn(loop)
