--- a/sprucewinch/gateway/daemon.py
+++ b/sprucewinch/gateway/daemon.py
@@ -32,7 +32,7 @@
 _MS_PER_S = 1000
 """Milliseconds in a second; an incarnation is the wall-clock time of the start in milliseconds."""
 
-_TICK_S = 0.2
+_TICK_INTERVAL_S = 0.2
 """Time between two ticks, and between the failure of a loop and its next run, in seconds.
 
 It is a tenth of the shift cap's window, so that shares move in small steps.
@@ -104,7 +104,7 @@
             self.regions,
             reload_if_changed=self.reloader.reload_if_changed,
             monotonic=self.clock.monotonic,
-            tick_s=_TICK_S,
+            tick_s=_TICK_INTERVAL_S,
         )
 
     def _make_shutdown(self) -> Shutdown:
@@ -154,7 +154,7 @@
         self.context = self.context._replace(settings=settings)
         self.servers.registry.set_bounds(settings.bounds)
         self.requests.pipeline.set_bounds(settings.bounds)
-        self.fleet.directory.limit(settings.bounds.lookup_ttl_s)
+        self.fleet.directory.set_max_ttl(settings.bounds.lookup_ttl_s)
         self.state.store.move(settings.store_address)
 
     async def _listen(self) -> None:
@@ -190,7 +190,7 @@
             self.crashes.store.run,
             self._tick_loop,
         ):
-            supervised = forever(loop, self._loop_failed, pause_s=_TICK_S)
+            supervised = forever(loop, self._loop_failed, pause_s=_TICK_INTERVAL_S)
             self._tasks.append(asyncio.ensure_future(supervised))
 
     async def _tick_loop(self) -> None:
--- a/sprucewinch/gateway/following/deltas.py
+++ b/sprucewinch/gateway/following/deltas.py
@@ -32,7 +32,7 @@
 _DELTA_TIMEOUT = Patience(first_s=0.6, silence_s=0.6, most_s=10.0)
 """Timeouts of a call for a delta, in seconds. Those for the first byte and between bytes are short,
 so that a change is in force within 2 s although peers fail (`test_gateway_following`). The total
-allows for a whole delta from a VM of an older version, 1 MB at 1 Mbit/s."""
+allows for a snapshot from a VM of an older version, 1 MB at 1 Mbit/s."""
 
 _ITEM_TIMEOUT = Patience(first_s=2.0, silence_s=2.0, most_s=60.0)
 """Timeouts of a call for a large item, in seconds. They are longer than those of a delta, as all
--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -206,7 +206,7 @@
             return FollowReason.PEER_FAILED
         if now - self._notice_received_at > NOTICE_TIMEOUT_S:
             return FollowReason.NO_NOTICE
-        if self._is_stuck(now):
+        if self._is_overdue(now):
             return FollowReason.BEHIND
         return FollowReason.ELECTED if self.is_elected(now) else FollowReason.PEERS_CURRENT
 
@@ -240,7 +240,7 @@
         other_region_members = [member for member in members if member.region != self.region]
         return own_region_members + self.gossip.sample(other_region_members, _CROSS_REGION_FANOUT)
 
-    def _is_stuck(self, now: float) -> bool:
+    def _is_overdue(self, now: float) -> bool:
         """Return whether this VM is behind without progress for `_CATCH_UP_TIMEOUT_S`."""
         if self._behind_since is None:
             return False
--- a/sprucewinch/gateway/following/store_follower.py
+++ b/sprucewinch/gateway/following/store_follower.py
@@ -186,7 +186,7 @@
     def _record_failure(self, problem: str) -> None:
         self._failures += 1
         self._failed_at = self.timing.monotonic()
-        self.outages.lost(self._failed_at, relied_on_peers=self._relied_on_peers)
+        self.outages.record_failure(self._failed_at, relied_on_peers=self._relied_on_peers)
         self._relied_on_peers = False
         self._set_reachable(False, problem)
 
--- a/sprucewinch/gateway/internal_apps.py
+++ b/sprucewinch/gateway/internal_apps.py
@@ -15,7 +15,7 @@
 from .state.replica import Item
 from .state.store_view import StoreView
 
-_MAX_ENCODED = 4
+_MAX_CACHED_ITEMS = 4
 """Number of encoded items cached for peers. Large items are configurations and policies, and peers
 request only the newest of them."""
 
@@ -45,18 +45,18 @@
     """Cache of encoded items, as all VMs of a region request the same ones."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, tuple[int, bytes]] = {}
+        self._cache: dict[str, tuple[int, bytes]] = {}
 
     def encode(self, item: Item) -> bytes:
         """Return an item encoded for a peer."""
-        revision, data = self._kept.get(item.key, (0, b""))
+        revision, data = self._cache.get(item.key, (0, b""))
         if revision == item.revision:
             return data
         data = encode_item(item)
-        self._kept.pop(item.key, None)
-        self._kept[item.key] = (item.revision, data)
-        if len(self._kept) > _MAX_ENCODED:
-            del self._kept[next(iter(self._kept))]
+        self._cache.pop(item.key, None)
+        self._cache[item.key] = (item.revision, data)
+        if len(self._cache) > _MAX_CACHED_ITEMS:
+            del self._cache[next(iter(self._cache))]
         return data
 
 
@@ -90,10 +90,12 @@
 
     def _delta(self, after: str, most: Optional[str]) -> Optional[bytes]:
         revision = _whole_number(after)
-        most_bytes = None if most is None else _whole_number(most)
-        if revision is None or (most is not None and most_bytes is None):
+        max_value_bytes = None if most is None else _whole_number(most)
+        if revision is None or (most is not None and max_value_bytes is None):
             return None
-        return encode_delta(self.store_view.replica.since(revision, most_bytes=most_bytes))
+        return encode_delta(
+            self.store_view.replica.since(revision, max_value_bytes=max_value_bytes)
+        )
 
     def _item(self, key: str, revision: str) -> Optional[bytes]:
         """Return an item of the given revision or a newer one, encoded; None if there is none."""
--- a/sprucewinch/gateway/lifecycle/shutdown.py
+++ b/sprucewinch/gateway/lifecycle/shutdown.py
@@ -35,7 +35,7 @@
 """Time from the signal to stop until new connections are refused, in seconds.
 
 It serves callers that have the VM's address cached; the directory tells them to cache it for at
-most `membership.directory.LOOKUP_TTL_S` (1 s).
+most `membership.directory.MAX_LOOKUP_TTL_S` (1 s).
 """
 
 _STOP_MARGIN_S = 0.7
--- a/sprucewinch/gateway/membership/directory.py
+++ b/sprucewinch/gateway/membership/directory.py
@@ -5,7 +5,7 @@
 
 It contains all VMs of the callers' region that are in touch and accept callers, or those of all
 regions if that region has none: at most `MAX_ADDRESSES`, in the order of their addresses. Callers
-keep it for the shorter of the configured time and `LOOKUP_TTL_S`.
+keep it for the shorter of the configured time and `MAX_LOOKUP_TTL_S`.
 
 Look-ups are answered from memory, without a call, so that they work during an outage of the store.
 A VM in another region only adds latency, while an empty answer makes the caller fail.
@@ -21,7 +21,7 @@
 MAX_ADDRESSES = 64
 """Greatest number of addresses in one answer: the platform's limit."""
 
-LOOKUP_TTL_S = 1.0
+MAX_LOOKUP_TTL_S = 1.0
 """Longest time for which callers keep an answer, in seconds; it is short, so that they soon stop
 using a VM that stops."""
 
@@ -50,15 +50,15 @@
     def __init__(self, store_view: StoreView, gossip: Gossip, ttl_s: float) -> None:
         self.store_view = store_view
         self.gossip = gossip
-        self.limit(ttl_s)
+        self.set_max_ttl(ttl_s)
 
-    def limit(self, ttl_s: float) -> None:
+    def set_max_ttl(self, ttl_s: float) -> None:
         """Change the longest time for which callers may keep an answer.
 
         Args:
-            ttl_s: The time, in seconds; `LOOKUP_TTL_S` bounds it.
+            ttl_s: The time, in seconds; `MAX_LOOKUP_TTL_S` bounds it.
         """
-        self.ttl_s = min(ttl_s, LOOKUP_TTL_S)
+        self.ttl_s = min(ttl_s, MAX_LOOKUP_TTL_S)
 
     def find(self, region: str, now: float) -> DirectoryAnswer:
         """Return the entry VMs for callers of a region: those of the region, else all.
--- a/sprucewinch/gateway/membership/gossip.py
+++ b/sprucewinch/gateway/membership/gossip.py
@@ -6,9 +6,10 @@
 the newest counters of its region's VMs in touch to `_REGION_FANOUT` others of the region, and to
 `cross_region_fanout` VMs of other regions.
 
-A VM whose counter has not increased here for `SILENCE_S` is out of touch: callers are not sent to
-it and it is not elected. After `_ROW_RETENTION_S` its row is dropped. When this process itself was
-paused, the times of all rows are moved by the pause, as heartbeats may have arrived unread.
+A VM whose counter has not increased here for `HEARTBEAT_TIMEOUT_S` is out of touch: callers are not
+sent to it and it is not elected. After `_ROW_RETENTION_S` its row is dropped. When this process
+itself was paused, the times of all rows are moved by the pause, as heartbeats may have arrived
+unread.
 
 Gossip needs no call to the store, and no VM's load depends on one other VM. The rows of a region's
 VMs reach other regions only in messages from that region and are not forwarded there: callers get
@@ -32,7 +33,7 @@
 """Interval between two heartbeats of a VM, in seconds. With it, each of 89 VMs sends 19 KB/s
 (docs/CAPACITY.md)."""
 
-SILENCE_S = 2.5
+HEARTBEAT_TIMEOUT_S = 2.5
 """Time without a newer heartbeat after which a VM is out of touch, in seconds: five intervals. With
 it, no running VM is dropped at 12 and 90 VMs without packet loss (`test_gateway_gossip`)."""
 
@@ -42,8 +43,8 @@
 
 _CROSS_REGION_INTERVAL_S = 0.5
 """Mean time between two messages that a VM receives from each other region, in seconds. With random
-senders none arrives within `SILENCE_S` in 7 of 1,000 cases; then look-ups for that region return
-this region's VMs until the next message."""
+senders none arrives within `HEARTBEAT_TIMEOUT_S` in 7 of 1,000 cases; then look-ups for that region
+return this region's VMs until the next message."""
 
 _MAX_CROSS_REGION_FANOUT = 4
 """Greatest number of VMs of other regions that get one heartbeat, so that a region with few VMs
@@ -178,7 +179,7 @@
         if name == self.name:
             return self.accepting
         last = self.latest.get(name)
-        return last is not None and last.row.open and now - last.at < SILENCE_S
+        return last is not None and last.row.open and now - last.at < HEARTBEAT_TIMEOUT_S
 
     def can_follow_store(self, name: str, now: float) -> bool:
         """Return whether another VM accepts callers and is answered by the store."""
@@ -192,9 +193,9 @@
         return last.row.link_mbps if last else 0
 
     def in_touch(self, name: str, now: float) -> bool:
-        """Return whether another VM's counter has increased within `SILENCE_S`."""
+        """Return whether another VM's counter has increased within `HEARTBEAT_TIMEOUT_S`."""
         last = self.latest.get(name)
-        return last is not None and now - last.at < SILENCE_S
+        return last is not None and now - last.at < HEARTBEAT_TIMEOUT_S
 
     def partners(self, names: Iterable[str], fanout: int = _REGION_FANOUT) -> list[str]:
         """Return randomly chosen VMs that get the next heartbeat.
--- a/sprucewinch/gateway/quotas/owners.py
+++ b/sprucewinch/gateway/quotas/owners.py
@@ -8,9 +8,9 @@
 `MIN_PART_CAPACITY` requests, but at least one a region; a hash selects them, region by region.
 Within a hall the part belongs to the VM with the lowest hash among those in touch. Of the hall's
 part that VM grants the fraction of the hall's registered VMs that are in touch, so that a hall that
-is partitioned grants no more than before. For `SILENCE_S` after the start of this process every VM
-counts as in touch, because no heartbeat can arrive sooner. `_REFRESH_INTERVAL_S` is the time
-between two checks of the VMs in touch.
+is partitioned grants no more than before. For `HEARTBEAT_TIMEOUT_S` after the start of this process
+every VM counts as in touch, because no heartbeat can arrive sooner. `_REFRESH_INTERVAL_S` is the
+time between two checks of the VMs in touch.
 
 Because the parts belong to fixed halls, VMs that are partitioned from each other use different
 parts, and a hall that is cut off uses its own, without any VM having to detect it. The parts belong
@@ -29,7 +29,7 @@
 from typing import NamedTuple, Optional
 
 from ..._hash import hash64
-from ..membership.gossip import SILENCE_S
+from ..membership.gossip import HEARTBEAT_TIMEOUT_S
 from ..resources import Member
 from .quota import Quota
 
@@ -178,7 +178,7 @@
         }
 
     def _counts_in_touch(self, name: str, now: float) -> bool:
-        if name == self.name or now - self.started_at < SILENCE_S:
+        if name == self.name or now - self.started_at < HEARTBEAT_TIMEOUT_S:
             return True
         return self.in_touch(name, now)
 
--- a/sprucewinch/gateway/requests/split.py
+++ b/sprucewinch/gateway/requests/split.py
@@ -13,7 +13,7 @@
 """
 
 from ..._hash import hash64
-from ..resources import Part, Route
+from ..resources import Route, WeightedService
 
 MAX_SHARE_EXCESS = 0.03
 """Largest excess of a service's running share over its weight, as a fraction of all requests."""
@@ -34,7 +34,7 @@
 
     __slots__ = ("parts", "_counts", "_total", "_weights")
 
-    def __init__(self, parts: tuple[Part, ...]) -> None:
+    def __init__(self, parts: tuple[WeightedService, ...]) -> None:
         self.parts = parts
         total = sum(part.weight for part in parts)
         self._weights = {part.service: part.weight / total for part in parts}
--- a/sprucewinch/gateway/resources.py
+++ b/sprucewinch/gateway/resources.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple, Optional, Union
 
 
-class Part(NamedTuple):
+class WeightedService(NamedTuple):
     """A service that receives a part of a route's requests.
 
     Args:
@@ -40,7 +40,7 @@
     name: str
     host: str
     prefix: str
-    parts: tuple[Part, ...]
+    parts: tuple[WeightedService, ...]
     repeatable: bool
     timeout_s: Optional[float] = None
     latency_target_s: Optional[float] = None
--- a/sprucewinch/gateway/state/outages.py
+++ b/sprucewinch/gateway/state/outages.py
@@ -48,7 +48,7 @@
         self._lost_at: Optional[float] = None
         self._grace_until = float("-inf")
 
-    def lost(self, now: float, *, relied_on_peers: bool = False) -> None:
+    def record_failure(self, now: float, *, relied_on_peers: bool = False) -> None:
         """Start an outage after a failed call, unless one is in progress.
 
         Args:
--- a/sprucewinch/gateway/state/replica.py
+++ b/sprucewinch/gateway/state/replica.py
@@ -6,9 +6,9 @@
 A key never returns to an older revision, and a removed key stays removed until a newer write. A
 delta may defer large items, that is, only name them: the other changes are applied at once, but
 `at` stays below the revision of the first missing item, so that this VM requests it again and no
-peer treats this replica as complete. A whole delta also removes the keys that it does not list,
+peer treats this replica as complete. A snapshot also removes the keys that it does not list,
 unless they are newer than the delta. Removals are kept as tombstones for `MAX_TOMBSTONES` keys; a
-peer behind a dropped one gets a whole delta.
+peer behind a dropped one gets a snapshot.
 
 The order of arrival thus does not matter: a VM may follow the store and several peers at once, and
 a small change does not wait for a large one. It is tested by `test_gateway_replica`.
@@ -17,7 +17,7 @@
 from typing import NamedTuple, Optional
 
 MAX_TOMBSTONES = 4096
-"""Greatest number of tombstones; a peer that is behind a dropped one needs a whole delta."""
+"""Greatest number of tombstones; a peer that is behind a dropped one needs a snapshot."""
 
 
 class Item(NamedTuple):
@@ -64,17 +64,17 @@
     """The changes after some revision.
 
     Args:
-        items: Newer items; all items when `whole`.
+        items: Newer items; all items when `is_snapshot`.
         removals: Keys removed since.
         at: Revision of a replica that has applied the delta and holds the deferred items too.
-        whole: True when keys that are not listed were removed.
+        is_snapshot: True when keys that are not listed were removed.
         deferred: Newer items that the delta names but does not contain.
     """
 
     items: tuple[Item, ...]
     removals: tuple[Removal, ...]
     at: int
-    whole: bool = False
+    is_snapshot: bool = False
     deferred: tuple[DeferredItem, ...] = ()
 
 
@@ -83,7 +83,7 @@
 
     `at` is the revision up to which all changes were received. `tombstones` holds the revision of
     each recorded removal by key. `min_delta_revision` is the newest revision of a removal that may
-    have no tombstone: a delta after an older revision has to be whole.
+    have no tombstone: a delta after an older revision has to be a snapshot.
     """
 
     def __init__(self) -> None:
@@ -103,9 +103,9 @@
         """
         changed = {item.key for item in delta.items if self._put(item)}
         changed |= {r.key for r in delta.removals if self._remove(r.key, r.revision)}
-        if delta.whole:
+        if delta.is_snapshot:
             changed |= self._remove_missing(delta)
-            # Keys removed before a listing have no tombstone: without a whole delta a peer behind
+            # Keys removed before a listing have no tombstone: without a snapshot a peer behind
             # it would keep such a key for ever (`test_gateway_replica.Listings`).
             self.min_delta_revision = max(self.min_delta_revision, delta.at)
         missing = [item.revision - 1 for item in delta.deferred if self.lacks(item)]
@@ -116,21 +116,21 @@
         """Return whether a deferred item is newer than what is held."""
         return deferred.revision > self._known_revision(deferred.key)
 
-    def since(self, revision: int, *, most_bytes: Optional[int] = None) -> Delta:
-        """Return the changes after a revision, as a whole delta if tombstones were dropped since.
+    def since(self, revision: int, *, max_value_bytes: Optional[int] = None) -> Delta:
+        """Return the changes after a revision, as a snapshot if tombstones were dropped since.
 
         Args:
             revision: The revision.
-            most_bytes: Longest value that the delta contains, in bytes; items with longer ones are
-                deferred. None for no limit.
+            max_value_bytes: Longest value that the delta contains, in bytes; items with longer ones
+                are deferred. None for no limit.
         """
         if revision < self.min_delta_revision:
             return _defer_large_items(
-                Delta(tuple(self.items.values()), (), self.at, True), most_bytes
+                Delta(tuple(self.items.values()), (), self.at, True), max_value_bytes
             )
         items = tuple(item for item in self.items.values() if item.revision > revision)
         removals = tuple(Removal(k, r) for k, r in self.tombstones.items() if r > revision)
-        return _defer_large_items(Delta(items, removals, self.at), most_bytes)
+        return _defer_large_items(Delta(items, removals, self.at), max_value_bytes)
 
     def _known_revision(self, key: str) -> int:
         """Return the revision of a key's last known change, or 0 if there is none."""
@@ -168,11 +168,11 @@
         return {key for key in missing if self._remove(key, delta.at)}
 
 
-def _defer_large_items(delta: Delta, most_bytes: Optional[int]) -> Delta:
+def _defer_large_items(delta: Delta, max_value_bytes: Optional[int]) -> Delta:
     """Return the delta with items of longer values deferred."""
-    if most_bytes is None:
+    if max_value_bytes is None:
         return delta
-    small = tuple(item for item in delta.items if len(item.value) <= most_bytes)
-    large = tuple(item for item in delta.items if len(item.value) > most_bytes)
+    small = tuple(item for item in delta.items if len(item.value) <= max_value_bytes)
+    large = tuple(item for item in delta.items if len(item.value) > max_value_bytes)
     deferred = tuple(DeferredItem(item.key, item.revision, len(item.value)) for item in large)
     return delta._replace(items=small, deferred=deferred)
--- a/sprucewinch/gateway/state/store.py
+++ b/sprucewinch/gateway/state/store.py
@@ -37,7 +37,7 @@
 
     @abc.abstractmethod
     async def listing(self) -> Delta:
-        """Return all keys that the routed path reads, as a whole delta.
+        """Return all keys that the routed path reads, as a snapshot.
 
         Raises:
             StoreUnavailableError: If the store did not answer.
--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -22,11 +22,11 @@
 from sprucewinch.gateway.resources import (
     BackendEntry,
     Member,
-    Part,
     Resource,
     Route,
     RouteConfiguration,
     ServiceRule,
+    WeightedService,
 )
 from sprucewinch.gateway.servers.backend_registry import BackendRegistry
 from sprucewinch.gateway.servers.outliers import OutlierDetector
@@ -165,7 +165,7 @@
         name="r1",
         host="quotes.example",
         prefix="/rates/",
-        parts=(Part("rates", 1.0),),
+        parts=(WeightedService("rates", 1.0),),
         repeatable=True,
         timeout_s=0.8,
         latency_target_s=0.3,
--- a/tests/test_gateway_deltas.py
+++ b/tests/test_gateway_deltas.py
@@ -238,7 +238,7 @@
         for key, revision in requests:
             item = Item(f"k{key}", b"%d" % revision, revision)
             self.assertEqual(decode_item(kept.encode(item)), item)
-            self.assertLessEqual(len(kept._kept), internal_apps._MAX_ENCODED)
+            self.assertLessEqual(len(kept._cache), internal_apps._MAX_CACHED_ITEMS)
 
 
 class CutOff(Peer):
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from sprucewinch.gateway.membership.directory import LOOKUP_TTL_S, MAX_ADDRESSES, Directory
+from sprucewinch.gateway.membership.directory import MAX_ADDRESSES, MAX_LOOKUP_TTL_S, Directory
 from sprucewinch.gateway.membership.gossip import (
     HEARTBEAT_INTERVAL_S,
-    SILENCE_S,
+    HEARTBEAT_TIMEOUT_S,
     Gossip,
     Heartbeat,
     cross_region_fanout,
@@ -95,7 +95,7 @@
         fleet = Fleet(12)
         fleet.run(5.0)
         fleet.stopped.add("vm3")
-        fleet.run(SILENCE_S + 2.0)
+        fleet.run(HEARTBEAT_TIMEOUT_S + 2.0)
         for name in fleet.vms.keys() - fleet.stopped:
             self.assertNotIn("vm3", fleet.named(name))
 
@@ -132,14 +132,14 @@
         fleet.run(5.0)
         fleet.vms["vm3"] = Gossip("vm3", 2, random.Random(9))
         fleet.vms["vm3"].accepting = True
-        fleet.run(SILENCE_S + 1.0)
+        fleet.run(HEARTBEAT_TIMEOUT_S + 1.0)
         self.assertTrue(all("vm3" in fleet.named(name) for name in fleet.vms))
 
     def test_halves_of_a_partition_name_their_own_vms(self) -> None:
         fleet = Fleet(12)
         fleet.run(5.0)
         fleet.partition = {f"vm{n}" for n in range(6)}
-        fleet.run(SILENCE_S + 1.5)
+        fleet.run(HEARTBEAT_TIMEOUT_S + 1.5)
         self.assertEqual(fleet.named("vm0"), fleet.partition)
         fleet.partition = set()
         fleet.run(3.0)
@@ -172,13 +172,13 @@
 
     def test_no_region_sends_callers_to_a_killed_vm(self) -> None:
         self.fleet.stopped.add("vm3")
-        self.fleet.run(2 * SILENCE_S)
+        self.fleet.run(2 * HEARTBEAT_TIMEOUT_S)
         naming = [name for name in self.fleet.vms if "vm3" in self.fleet.named(name)]
         self.assertEqual(naming, ["vm3"])
 
     def test_a_region_that_is_cut_off_names_its_own_vms(self) -> None:
         self.fleet.partition = {name for name in self.fleet.vms if self.fleet.region(name) == 0}
-        self.fleet.run(SILENCE_S + 1.5)
+        self.fleet.run(HEARTBEAT_TIMEOUT_S + 1.5)
         self.assertEqual(self.fleet.named("vm0"), self.fleet.partition)
 
     def _known_in_own_region(self, asked: str) -> set[str]:
@@ -247,7 +247,7 @@
 
     def test_a_region_whose_vms_are_out_of_touch_gets_the_others(self) -> None:
         self.fleet.stopped = {f"vm{number}" for number in range(1, 12, 2)}
-        self.fleet.run(SILENCE_S + 2.0)
+        self.fleet.run(HEARTBEAT_TIMEOUT_S + 2.0)
         self.assertEqual(self._found("west"), self._addresses(range(0, 12, 2)))
 
     def test_vms_that_are_not_registered_are_not_returned(self) -> None:
@@ -261,6 +261,6 @@
         self.assertEqual(len(found), MAX_ADDRESSES)
 
     def test_answers_are_kept_for_the_shorter_time(self) -> None:
-        self.assertEqual(self.directory.find("east", self.fleet.now).ttl_s, LOOKUP_TTL_S)
-        self.directory.limit(0.5)
+        self.assertEqual(self.directory.find("east", self.fleet.now).ttl_s, MAX_LOOKUP_TTL_S)
+        self.directory.set_max_ttl(0.5)
         self.assertEqual(self.directory.find("east", self.fleet.now).ttl_s, 0.5)
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -141,7 +141,7 @@
     def test_it_withdraws_the_server_during_an_outage_of_the_store(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with())
-        vm.registry.lapsed_entries.outages.lost(1.0)
+        vm.registry.lapsed_entries.outages.record_failure(1.0)
         vm.write(_KEY, b"{", 20.0)
         self.assertEqual(vm.offered(), [])
 
--- a/tests/test_gateway_leaving_and_rest.py
+++ b/tests/test_gateway_leaving_and_rest.py
@@ -118,7 +118,7 @@
 
 def _list_without(vm: CrashVm, *server_ids: str) -> None:
     """Let a VM get a full listing from a peer without the entries of some servers."""
-    whole = vm.store_view.replica.since(0)._replace(whole=True)
+    whole = vm.store_view.replica.since(0)._replace(is_snapshot=True)
     gone = {f"servers/{server_id}" for server_id in server_ids}
     items = tuple(item for item in whole.items if item.key not in gone)
     vm.store_view.apply(whole._replace(items=items), vm.loop.time())
--- a/tests/test_gateway_outages.py
+++ b/tests/test_gateway_outages.py
@@ -115,14 +115,14 @@
 class Outages(unittest.TestCase):
     def test_only_long_outages_count_and_only_for_a_while(self) -> None:
         outages = StoreOutages(_HEARTBEAT_S)
-        outages.lost(10.0)
-        outages.lost(11.0)
+        outages.record_failure(10.0)
+        outages.record_failure(11.0)
         self.assertFalse(outages.entries_may_have_lapsed(11.4))
         self.assertTrue(outages.entries_may_have_lapsed(11.5))
         outages.record_answer(12.0)
         self.assertTrue(outages.entries_may_have_lapsed(12.0 + LAPSED_ENTRY_GRACE_S - 0.01))
         self.assertFalse(outages.entries_may_have_lapsed(12.0 + LAPSED_ENTRY_GRACE_S))
-        outages.lost(20.0)
+        outages.record_failure(20.0)
         outages.record_answer(20.5)
         self.assertFalse(outages.entries_may_have_lapsed(20.6))
 
@@ -131,14 +131,14 @@
     ) -> None:
         outages = StoreOutages(_HEARTBEAT_S)
         outages.record_peer_answer(10.0, 10.1)
-        outages.lost(14.2, relied_on_peers=True)
+        outages.record_failure(14.2, relied_on_peers=True)
         lost_at = 10.0 + MAX_ANSWER_AGE_S
         self.assertFalse(outages.entries_may_have_lapsed(lost_at + _HEARTBEAT_S - 0.01))
         self.assertTrue(outages.entries_may_have_lapsed(lost_at + _HEARTBEAT_S))
 
     def test_an_answer_from_before_an_outage_does_not_end_it(self) -> None:
         outages = StoreOutages(_HEARTBEAT_S)
-        outages.lost(10.0)
+        outages.record_failure(10.0)
         outages.record_peer_answer(9.9, 20.0)
         self.assertTrue(outages.entries_may_have_lapsed(20.0 + 2 * LAPSED_ENTRY_GRACE_S))
         outages.record_peer_answer(19.9, 20.0)
--- a/tests/test_gateway_peer_follower.py
+++ b/tests/test_gateway_peer_follower.py
@@ -100,7 +100,7 @@
                     await fetch_delta(address, 0)
 
     async def test_a_delta_arrives_whole(self) -> None:
-        delta = Delta((Item("op/config", b"{}", 7),), (), 9, whole=True)
+        delta = Delta((Item("op/config", b"{}", 7),), (), 9, is_snapshot=True)
         address = await Peer(200, encode_delta(delta)).start(self)
         self.assertEqual(await fetch_delta(address, 0), delta)
 
--- a/tests/test_gateway_pipeline.py
+++ b/tests/test_gateway_pipeline.py
@@ -321,7 +321,7 @@
 
 def _lose_entry(path: Path, server: BackendServer) -> None:
     """Drop a server's entry during a store outage, in which a running server may lose its entry."""
-    path.world.outages.lost(path.loop.time() - 2 * path.world.outages.heartbeat_s)
+    path.world.outages.record_failure(path.loop.time() - 2 * path.world.outages.heartbeat_s)
     _remove(path, server)
 
 
--- a/tests/test_gateway_quota.py
+++ b/tests/test_gateway_quota.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.membership.gossip import SILENCE_S
+from sprucewinch.gateway.membership.gossip import HEARTBEAT_TIMEOUT_S
 from sprucewinch.gateway.quotas.bucket import GRANT_RETURNABLE_S, GRANT_VALID_S, QuotaBucket
 from sprucewinch.gateway.quotas.leases import LeaseGrant, QuotaLease, asking_groups
 from sprucewinch.gateway.quotas.owners import MAX_PARTS, Owner, QuotaOwners
@@ -165,7 +165,7 @@
             started_at=10.0,
         )
         self.assertEqual(new.of("w", 40.0, 10.1), self.owners(members, "vm0").of("w", 40.0, 0.0))
-        alone = new.of("w", 40.0, 10.0 + SILENCE_S + 1)
+        alone = new.of("w", 40.0, 10.0 + HEARTBEAT_TIMEOUT_S + 1)
         self.assertEqual([owner.name for owner in alone], ["vm3"])
 
     @settings(max_examples=100)
--- a/tests/test_gateway_replica.py
+++ b/tests/test_gateway_replica.py
@@ -43,9 +43,9 @@
     return state
 
 
-def _delta(entries: list[Item | Removal], at: int, whole: bool = False) -> Delta:
+def _delta(entries: list[Item | Removal], at: int, is_snapshot: bool = False) -> Delta:
     items = tuple(e for e in entries if isinstance(e, Item))
-    return Delta(items, tuple(e for e in entries if isinstance(e, Removal)), at, whole)
+    return Delta(items, tuple(e for e in entries if isinstance(e, Removal)), at, is_snapshot)
 
 
 def _values(replica: Replica) -> dict[str, bytes]:
@@ -61,7 +61,7 @@
         listed, behind = Replica(), Replica()
         behind.apply(Delta((Item("servers/x", b"", 43),), (), 43))
         listed.apply(Delta((), (), 42))
-        listed.apply(Delta((), (), 46, whole=True))
+        listed.apply(Delta((), (), 46, is_snapshot=True))
         behind.apply(listed.since(behind.at))
         self.assertEqual(behind.items, {})
         self.assertEqual(behind.at, 46)
@@ -111,15 +111,15 @@
         replica.apply(_delta(log[:seen], seen))
         newest = {e.key: e for e in log if isinstance(e, Item)}
         held = [newest[key] for key in _state(log)]
-        replica.apply(_delta(held, len(log), whole=True))
+        replica.apply(_delta(held, len(log), is_snapshot=True))
         self.assertEqual(_values(replica), _state(log))
 
-    def test_a_delta_after_a_dropped_tombstone_is_whole(self) -> None:
+    def test_a_delta_after_a_dropped_tombstone_is_a_snapshot(self) -> None:
         replica = Replica()
         for revision in range(1, 6000):
             replica.apply(Delta((), (Removal(f"k{revision}", revision),), revision))
-        self.assertTrue(replica.since(1).whole)
-        self.assertFalse(replica.since(5990).whole)
+        self.assertTrue(replica.since(1).is_snapshot)
+        self.assertFalse(replica.since(5990).is_snapshot)
 
 
 _SIZED = st.lists(
@@ -166,9 +166,9 @@
     return replica
 
 
-def _sent(ahead: Replica, after: int, most_bytes: int) -> Delta:
+def _sent(ahead: Replica, after: int, max_value_bytes: int) -> Delta:
     """Return a delta as it arrives at another VM."""
-    return decode_delta(encode_delta(ahead.since(after, most_bytes=most_bytes)))
+    return decode_delta(encode_delta(ahead.since(after, max_value_bytes=max_value_bytes)))
 
 
 def _deferred_items(ahead: Replica, delta: Delta) -> list[Item]:
@@ -235,14 +235,14 @@
 class Deferral(unittest.TestCase):
     @given(_cut_histories(), st.integers(0, 9), st.randoms(use_true_random=False))
     def test_deferred_items_in_any_order_beside_newer_changes_end_in_the_newest_state(
-        self, history, most_bytes, rng
+        self, history, max_value_bytes, rng
     ) -> None:
         log, cuts = history
         seen, sent, _ = sorted(cuts)
         known = log[:sent]
         ahead = _replica_of(known)
         behind = CheckedReplica(self, log, seen)
-        delta = _sent(ahead, behind.replica.at, most_bytes)
+        delta = _sent(ahead, behind.replica.at, max_value_bytes)
         behind.apply(delta, known)
         later = [*_deferred_items(ahead, delta), *log[sent:]]
         rng.shuffle(later)
@@ -252,25 +252,25 @@
 
     @given(_SIZED, st.integers(0, 25), st.integers(0, 9))
     def test_at_reaches_that_of_the_peer_once_nothing_is_missing(
-        self, choices, seen, most_bytes
+        self, choices, seen, max_value_bytes
     ) -> None:
         log = _sized_log(choices)
         ahead = _replica_of(log)
         behind = CheckedReplica(self, log, min(seen, len(log)))
-        delta = _sent(ahead, behind.replica.at, most_bytes)
+        delta = _sent(ahead, behind.replica.at, max_value_bytes)
         behind.apply(delta, log)
         self.assertEqual(behind.replica.at == ahead.at, not delta.deferred)
         for item in _deferred_items(ahead, delta):
             behind.apply_entry(item)
-        behind.apply(_sent(ahead, behind.replica.at, most_bytes), log)
+        behind.apply(_sent(ahead, behind.replica.at, max_value_bytes), log)
         self.assertEqual(behind.replica.at, ahead.at)
 
     @given(_SIZED, st.integers(0, 9))
-    def test_only_longer_values_are_deferred(self, choices, most_bytes) -> None:
+    def test_only_longer_values_are_deferred(self, choices, max_value_bytes) -> None:
         ahead = _replica_of(_sized_log(choices))
-        delta = ahead.since(0, most_bytes=most_bytes)
-        self.assertTrue(all(len(item.value) <= most_bytes for item in delta.items))
-        self.assertTrue(all(item.size > most_bytes for item in delta.deferred))
+        delta = ahead.since(0, max_value_bytes=max_value_bytes)
+        self.assertTrue(all(len(item.value) <= max_value_bytes for item in delta.items))
+        self.assertTrue(all(item.size > max_value_bytes for item in delta.deferred))
         named = {(i.key, i.revision, len(i.value)) for i in ahead.items.values()}
         sent = {(i.key, i.revision, len(i.value)) for i in delta.items}
         self.assertEqual(sent | set(map(tuple, delta.deferred)), named)
@@ -278,9 +278,9 @@
 
     @given(_cut_histories(), st.integers(0, 9), st.randoms(use_true_random=False))
     def test_a_third_vm_behind_one_that_lacks_items_ends_in_the_newest_state(
-        self, history, most_bytes, rng
+        self, history, max_value_bytes, rng
     ) -> None:
-        self._relay(*history, most_bytes, rng)
+        self._relay(*history, max_value_bytes, rng)
 
     def test_a_third_vm_ends_in_the_newest_state_when_tombstones_were_dropped(self) -> None:
         """Few histories have this effect, so many are drawn, by seed."""
@@ -294,7 +294,7 @@
         self,
         log: list[Item | Removal],
         cuts: tuple[int, int, int],
-        most_bytes: int,
+        max_value_bytes: int,
         rng: random.Random,
     ) -> None:
         """Let a VM receive a part of another's items, and a third VM receive deltas of both."""
@@ -303,7 +303,7 @@
         ahead = _replica_of(known)
         partial = CheckedReplica(self, log, partial_seen)
         third = CheckedReplica(self, log, third_seen)
-        delta = _sent(ahead, partial.replica.at, most_bytes)
+        delta = _sent(ahead, partial.replica.at, max_value_bytes)
         partial.apply(delta, known)
         for item in _deferred_items(ahead, delta):
             if rng.random() < 0.5:
@@ -317,21 +317,21 @@
         gone, kept = Item("servers/a", b"a", 1), Item("servers/b", b"b", 2)
         behind = _replica_of([gone, kept])
         started = Replica()
-        started.apply(Delta((kept,), (), 3, whole=True))
+        started.apply(Delta((kept,), (), 3, is_snapshot=True))
         behind.apply(started.since(behind.at))
         self.assertEqual(_values(behind), {"servers/b": b"b"})
 
-    def test_a_whole_delta_defers_longer_values_too(self) -> None:
+    def test_a_snapshot_defers_longer_values_too(self) -> None:
         small, large = Item("servers/a", b"a", 1), Item("op/config", b"long", 2)
         with patch.object(replica_module, "MAX_TOMBSTONES", 0):
             ahead = _replica_of([small, large, Removal("servers/b", 3)])
         delta = _sent(ahead, 0, 3)
         self.assertEqual(delta, Delta((small,), (), 3, True, (DeferredItem("op/config", 2, 4),)))
 
-    def test_a_whole_delta_does_not_remove_deferred_items(self) -> None:
+    def test_a_snapshot_does_not_remove_deferred_items(self) -> None:
         held = Replica()
         held.apply(Delta((Item("op/config", b"old", 1),), (), 1))
         named = DeferredItem("op/config", 5, 99_999)
-        held.apply(Delta((), (), 6, whole=True, deferred=(named,)))
+        held.apply(Delta((), (), 6, is_snapshot=True, deferred=(named,)))
         self.assertEqual(_values(held), {"op/config": b"old"})
         self.assertEqual(held.at, 4)
--- a/tests/test_gateway_routes.py
+++ b/tests/test_gateway_routes.py
@@ -9,7 +9,7 @@
 
 from sprucewinch.gateway.requests.routes import RouteTable
 from sprucewinch.gateway.requests.split import Splits
-from sprucewinch.gateway.resources import Part, RouteConfiguration
+from sprucewinch.gateway.resources import RouteConfiguration, WeightedService
 
 from .gateway_fakes import route
 
@@ -38,7 +38,7 @@
     @given(st.floats(0.05, 0.95), st.integers(2, 80), st.integers(0, 2**32))
     def test_each_part_gets_its_weight_of_any_300_requests(self, weight, objects, seed) -> None:
         rng = random.Random(seed)
-        parts = (Part("one", weight), Part("two", 1 - weight))
+        parts = (WeightedService("one", weight), WeightedService("two", 1 - weight))
         split = route(parts=parts)
         splits = Splits()
         chosen = [splits.service(split, f"o{rng.randrange(objects)}") for _ in range(900)]
@@ -48,7 +48,7 @@
 
     def test_objects_mostly_stay_with_one_service(self) -> None:
         rng = random.Random(1)
-        split = route(parts=(Part("one", 90.0), Part("two", 10.0)))
+        split = route(parts=(WeightedService("one", 90.0), WeightedService("two", 10.0)))
         splits = Splits()
         seen: dict[str, Counter] = {}
         for _ in range(3000):
--- a/tests/test_gateway_service_times.py
+++ b/tests/test_gateway_service_times.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.resources import Part, RouteConfiguration
+from sprucewinch.gateway.resources import RouteConfiguration, WeightedService
 from sprucewinch.gateway.servers.capacity.service_times import OVERLOAD_QUEUE_RATIO, ServiceTimes
 
 from .gateway_fakes import route
@@ -17,7 +17,8 @@
 def _times(typical_s: float, *targets_s: float) -> ServiceTimes:
     times = ServiceTimes()
     routes = tuple(
-        route(name=f"r{a}", latency_target_s=a, parts=(Part("rates", 1.0),)) for a in targets_s
+        route(name=f"r{a}", latency_target_s=a, parts=(WeightedService("rates", 1.0),))
+        for a in targets_s
     )
     times.set_latency_targets(RouteConfiguration(1, routes, {}))
     times.record_success("rates", typical_s)
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -10,9 +10,9 @@
     BackendEntry,
     Evacuation,
     Member,
-    Part,
     PolicyChoice,
     PolicyProgram,
+    WeightedService,
 )
 from sprucewinch.gateway.settings import Bounds
 from sprucewinch.gateway.state.own_items import choice_item, member_item, program_item
@@ -153,7 +153,7 @@
         self.assertEqual(found.version, 7)
         first, second = found.routes
         self.assertEqual((first.host, first.prefix), ("one.example", "/a/"))
-        self.assertEqual(first.parts, (Part("s1", 90), Part("s2", 10)))
+        self.assertEqual(first.parts, (WeightedService("s1", 90), WeightedService("s2", 10)))
         self.assertEqual((first.timeout_s, first.latency_target_s), (0.8, 0.3))
         self.assertTrue(first.repeatable and first.affinity)
         self.assertEqual(first.regions, ("east",))
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -70,4 +70,4 @@
         gateway.events.state.assert_called_once_with(
             "fault", loop="Gateway._tick_loop", error="ValueError('x')"
         )
-        self.assertEqual(daemon._TICK_S, 0.2)
+        self.assertEqual(daemon._TICK_INTERVAL_S, 0.2)
--- a/tools/quota_model/fleet.py
+++ b/tools/quota_model/fleet.py
@@ -1,8 +1,8 @@
 """VMs that keep limits together, on virtual time: datagrams with delay and loss, cuts, starts.
 
-Owns who reaches whom and who counts as in touch: a VM drops another from its view `SILENCE_S` after
-the two last reached each other, as heartbeats would let it. Relies on the product's own parts for
-all decisions and messages.
+Owns who reaches whom and who counts as in touch: a VM drops another from its view
+`HEARTBEAT_TIMEOUT_S` after the two last reached each other, as heartbeats would let it. Relies on
+the product's own parts for all decisions and messages.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 import msgspec
 
 from sprucewinch.gateway.datagrams import Datagrams
-from sprucewinch.gateway.membership.gossip import SILENCE_S
+from sprucewinch.gateway.membership.gossip import HEARTBEAT_TIMEOUT_S
 from sprucewinch.gateway.quotas.exchange import QuotaExchange
 from sprucewinch.gateway.quotas.owners import QuotaOwners
 from sprucewinch.gateway.quotas.parts import QuotaParts
@@ -108,13 +108,13 @@
         return FleetQuotas(owners, exchange, timing, hall=self.member.hall, regions=fleet.regions)
 
     def in_touch(self, name: str, now: float) -> bool:
-        """Return whether another VM has been reached within `SILENCE_S`."""
+        """Return whether another VM has been reached within `HEARTBEAT_TIMEOUT_S`."""
         other = self.fleet.vms.get(name)
         if other is None:
             return False
         if self.fleet.reach(self, other):
             return True
-        return now - max(self.changed_at, other.changed_at) < SILENCE_S
+        return now - max(self.changed_at, other.changed_at) < HEARTBEAT_TIMEOUT_S
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
         """Send a datagram, as a transport does."""
--- a/tools/wrong_version_list.py
+++ b/tools/wrong_version_list.py
@@ -253,7 +253,7 @@
         "CONFIG",
         "a VM that cannot catch up trusts its peers",
         f"{_GATEWAY}/following/follow_role.py",
-        "if self._is_stuck(now):",
+        "if self._is_overdue(now):",
         "if False:",
         (
             "tests.test_gateway_following.InForce."
@@ -304,7 +304,7 @@
         "DRAIN (directory)",
         "silent VMs are named to callers",
         f"{_GATEWAY}/membership/gossip.py",
-        "return last is not None and last.row.open and now - last.at < SILENCE_S",
+        "return last is not None and last.row.open and now - last.at < HEARTBEAT_TIMEOUT_S",
         "return last is not None and last.row.open",
         ("tests.test_gateway_gossip",),
     ),
