--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -58,7 +58,7 @@
 RULE = ServiceRule("rates", health_path="/healthz", connections=100, warmup_s=3.0, cold_per_s=9.0)
 
 
-class FactsByKey(Decoder):
+class ResourceTableDecoder(Decoder):
     """Decodes an item by looking its value up in a table of resources."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         return self.table.get(item.value)
 
 
-class FreeQuotas(Quotas):
+class UnlimitedQuotas(Quotas):
     """Admits every request and records the calls; a test may replace `decision`."""
 
     def __init__(self) -> None:
@@ -115,7 +115,7 @@
         self.statements.append(report)
 
 
-class World:
+class StoreFixture:
     """A VM's copy of the store, which the test changes, with its registry of backend servers.
 
     Args:
@@ -124,7 +124,7 @@
     """
 
     def __init__(self, *, vms: int = 1, name: str = "vm0") -> None:
-        self.decoder = FactsByKey()
+        self.decoder = ResourceTableDecoder()
         self.store_view = StoreView(self.decoder)
         self.revision = 0
         self._numbers = itertools.count()
@@ -137,17 +137,17 @@
             hall = list(REGIONS)[number % len(REGIONS)]
             region = REGIONS[hall]
             member = Member(f"vm{number}", hall, region, "127.0.0.1:1", "127.0.0.1:2")
-            self.say(f"members/vm{number}", member)
+            self.put(f"members/vm{number}", member)
 
-    def say(self, key: str, fact: Resource, now: float = 0.0) -> None:
+    def put(self, key: str, resource: Resource, now: float = 0.0) -> None:
         """Add or replace a resource in the store."""
         self.revision += 1
         token = str(next(self._numbers)).encode()
-        self.decoder.table[token] = fact
+        self.decoder.table[token] = resource
         item = Item(key, token, self.revision)
         self.store_view.apply(Delta((item,), (), self.revision), now)
 
-    def drop(self, key: str, now: float = 0.0) -> None:
+    def remove(self, key: str, now: float = 0.0) -> None:
         """Remove a key from the store."""
         self.revision += 1
         removal = Removal(key, self.revision)
@@ -156,7 +156,7 @@
     def configure(self, *routes: Route, version: int = 1) -> None:
         """Put a configuration with these routes in force."""
         configuration = RouteConfiguration(version, routes, {"rates": RULE})
-        self.say("configuration", configuration)
+        self.put("configuration", configuration)
 
 
 def route(**changes: object) -> Route:
@@ -175,7 +175,7 @@
     return plain._replace(**changes)
 
 
-class Path:
+class PipelineFixture:
     """A pipeline with scripted backend servers.
 
     Args:
@@ -188,7 +188,7 @@
         self, loop: VirtualLoop, *, servers: int = 2, halls: tuple[str, ...] = ("east-a",)
     ) -> None:
         self.loop = loop
-        self.world = World()
+        self.world = StoreFixture()
         self.servers: dict[str, ScriptedServer] = {}
         self.addresses: dict[str, str] = {}
         for number in range(servers):
@@ -222,7 +222,7 @@
             monotonic=loop.time,
             wall=loop.time,
         )
-        self.quotas = FreeQuotas()
+        self.quotas = UnlimitedQuotas()
         self.admission = WorkspaceAdmission(
             self.world.store_view, self.quotas, BOUNDS, loop.time, NoEvents()
         )
@@ -255,7 +255,7 @@
         self.addresses[server_id] = address
         self.loop.listen(address, server.accept)
         backend = BackendEntry(server_id, "rates", address, hall, 6)
-        self.world.say(f"servers/{server_id}", backend, self.loop.time())
+        self.world.put(f"servers/{server_id}", backend, self.loop.time())
         return server
 
     def request(self, request_id: str, *, key: str = "lane-1", **changes: object) -> ClientRequest:
--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -129,7 +129,7 @@
         except aiohttp.ClientError:
             return False
 
-    async def named(self, vm: EntryVm) -> set[str]:
+    async def directory_addresses(self, vm: EntryVm) -> set[str]:
         """Return the addresses in the answer of a VM's directory."""
         url = (
             f"http://{vm.addresses['Directory']}/sprucewinch/resolve?Name=x&Region=east&Zone=east-a"
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -41,7 +41,7 @@
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import FactsByKey
+from .gateway_fakes import ResourceTableDecoder
 from .virtual_fleet import VirtualFleet
 
 
@@ -117,7 +117,7 @@
 
 def peer_app(*deltas: Delta) -> DeltaApp:
     """Return the listener for peers of a VM that knows some deltas."""
-    store_view = StoreView(FactsByKey())
+    store_view = StoreView(ResourceTableDecoder())
     for delta in deltas:
         store_view.apply(delta, 0.0)
     return DeltaApp(store_view)
--- a/tests/test_gateway_cold_limit.py
+++ b/tests/test_gateway_cold_limit.py
@@ -9,17 +9,17 @@
 from sprucewinch.gateway.resources import BackendEntry, Evacuation
 from sprucewinch.gateway.servers.cold_limit import ColdSends
 
-from .gateway_fakes import BOUNDS, RULE, World, route
+from .gateway_fakes import BOUNDS, RULE, StoreFixture, route
 
 _LIMIT = RULE.cold_per_s * BOUNDS.cold_over + BOUNDS.cold_slack
 
 
-def _fleet(count: int, registered: int) -> list[World]:
-    worlds = [World(vms=registered, name=f"vm{n}") for n in range(count)]
+def _fleet(count: int, registered: int) -> list[StoreFixture]:
+    worlds = [StoreFixture(vms=registered, name=f"vm{n}") for n in range(count)]
     for world in worlds:
         world.configure(route())
         world.registry.count_new_as_cold()
-        world.say("servers/new", BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6), 100.0)
+        world.put("servers/new", BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6), 100.0)
     return worlds
 
 
@@ -67,7 +67,7 @@
         worlds = _fleet(6, 6)
         for world in worlds:
             for name, member in list(world.store_view.members.items()):
-                world.say(f"members/{name}", member._replace(region="west"))
+                world.put(f"members/{name}", member._replace(region="west"))
         allowances = [
             w.registry.cold_limit.allowance(w.registry.servers["new"].backend) for w in worlds
         ]
@@ -102,30 +102,30 @@
         self.assertFalse(server.cold(104.0))
 
     def test_servers_listed_at_the_start_are_as_warm_as_their_entries_state(self) -> None:
-        world = World()
+        world = StoreFixture()
         world.configure(route())
-        world.say("servers/a", BackendEntry("a", "rates", "10.0.0.1:80", "east-a", 6), 100.0)
+        world.put("servers/a", BackendEntry("a", "rates", "10.0.0.1:80", "east-a", 6), 100.0)
         cold = BackendEntry("b", "rates", "10.0.0.2:80", "east-a", 6, cold_for_s=2.0)
-        world.say("servers/b", cold, 100.0)
+        world.put("servers/b", cold, 100.0)
         self.assertFalse(world.registry.servers["a"].cold(100.0))
         self.assertTrue(world.registry.servers["b"].cold(101.9))
 
     def test_a_server_whose_entry_turns_cold_again_is_cold(self) -> None:
         world = _fleet(1, 1)[0]
         cold_again = BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6, cold_for_s=3.0)
-        world.say("servers/new", cold_again, 200.0)
+        world.put("servers/new", cold_again, 200.0)
         self.assertTrue(world.registry.servers["new"].cold(202.9))
 
     def test_an_evacuated_data_hall_gets_nothing_and_is_cold_afterwards(self) -> None:
         world = _fleet(1, 1)[0]
-        world.say("evacuate/east-a", Evacuation("east-a"), 110.0)
+        world.put("evacuate/east-a", Evacuation("east-a"), 110.0)
         self.assertEqual(world.registry.offered("rates"), ())
-        world.drop("evacuate/east-a", 120.0)
+        world.remove("evacuate/east-a", 120.0)
         self.assertEqual(len(world.registry.offered("rates")), 1)
         self.assertTrue(world.registry.servers["new"].cold(122.9))
 
     def test_a_draining_server_gets_nothing(self) -> None:
         world = _fleet(1, 1)[0]
         leaving = BackendEntry("new", "rates", "10.0.0.9:80", "east-a", 6, draining=True)
-        world.say("servers/new", leaving, 110.0)
+        world.put("servers/new", leaving, 110.0)
         self.assertEqual(world.registry.offered("rates"), ())
--- a/tests/test_gateway_crash_check.py
+++ b/tests/test_gateway_crash_check.py
@@ -9,7 +9,7 @@
 from standins.scripted_server import Spoil
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import Path, route
+from .gateway_fakes import PipelineFixture, route
 
 
 def _fingerprint(**changes: object) -> bytes:
@@ -48,7 +48,7 @@
 class Crashes(unittest.TestCase):
     def test_a_refused_connection_proves_that_the_process_ended(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             server = path.first()
             loop.call_later(0.02, path.stop, server)
@@ -61,7 +61,7 @@
 
     def test_a_lost_answer_proves_nothing_and_the_new_connection_is_used(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             path.first().spoils = [Spoil.LOST]
             first, second = path.request("q1"), path.request("q2")
@@ -75,7 +75,7 @@
 
     def test_a_server_behind_a_network_cut_proves_nothing(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             server = path.first()
             loop.call_later(0.02, path.silence, server)
@@ -90,7 +90,7 @@
         """A server that has too many connections refuses new ones, and goes on serving."""
 
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             server = path.first()
             server.work_s = 0.3
@@ -108,10 +108,10 @@
 
     def test_a_server_that_leaves_has_not_crashed(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             server = path.first()
-            loop.call_later(0.01, path.world.say, "evacuate/east-a", Evacuation("east-a"))
+            loop.call_later(0.01, path.world.put, "evacuate/east-a", Evacuation("east-a"))
             loop.call_later(0.02, path.stop, server)
             request = path.request("q")
             await path.pipeline.run(request)
--- a/tests/test_gateway_crash_reports.py
+++ b/tests/test_gateway_crash_reports.py
@@ -28,7 +28,7 @@
 from sprucewinch.gateway.timing import Timing
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import World
+from .gateway_fakes import StoreFixture
 
 SIZES = (12, 195, 300)
 NEAR_S, FAR_S = 0.001, 0.035
@@ -95,7 +95,7 @@
 
     def __init__(self, loop: VirtualLoop, size: int, *, loss_ratio: float = 0.0) -> None:
         self.loop = loop
-        self.world = World(vms=0)
+        self.world = StoreFixture(vms=0)
         self.rng = random.Random(size)
         self.loss_ratio = loss_ratio
         self.received = 0
@@ -103,7 +103,7 @@
         self.by_address = {vm.address: vm for vm in self.vms}
         for vm in self.vms:
             member = Member(vm.name, "h", f"r{vm.region}", vm.address, vm.address)
-            self.world.say(f"members/{vm.name}", member)
+            self.world.put(f"members/{vm.name}", member)
 
     def deliver(self, sender: Vm, data: bytes, address: str) -> None:
         """Deliver a datagram to its VM over the link between the regions."""
--- a/tests/test_gateway_decision_log.py
+++ b/tests/test_gateway_decision_log.py
@@ -8,7 +8,7 @@
 from sprucewinch.gateway.telemetry.line_rate import LineRate
 from standins.virtual import VirtualLoop, run_virtual
 
-from .gateway_fakes import Path, route
+from .gateway_fakes import PipelineFixture, route
 
 
 class Lines:
@@ -27,7 +27,7 @@
 class Requests(unittest.TestCase):
     def test_a_line_gives_the_reason_of_a_refusal(self) -> None:
         async def main(loop: VirtualLoop) -> dict[str, Any]:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route())
             server = path.world.registry.servers["s0"]
             server.record_load(6, 18, loop.time())
@@ -45,7 +45,7 @@
 
     def test_a_line_gives_the_result_of_each_attempt(self) -> None:
         async def main(loop: VirtualLoop) -> dict[str, Any]:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route())
             path.stop(path.first())
             request = path.request("q")
--- a/tests/test_gateway_deltas.py
+++ b/tests/test_gateway_deltas.py
@@ -37,7 +37,7 @@
 from sprucewinch.gateway.state.replica import DeferredItem, Delta, Item, Removal
 from sprucewinch.gateway.state.store_view import StoreView
 
-from .gateway_fakes import FactsByKey
+from .gateway_fakes import ResourceTableDecoder
 from .test_gateway_peer_follower import Peer
 
 _ITEM = Item("op/config", b"routes " * 5000, 7)
@@ -146,7 +146,7 @@
     """The app of a VM that holds a large item at revision 7, a small item and a removal."""
 
     def setUp(self) -> None:
-        store_view = StoreView(FactsByKey())
+        store_view = StoreView(ResourceTableDecoder())
         small = Item("servers/a", b"a", 8)
         store_view.apply(Delta((_ITEM, small), (Removal("servers/b", 9),), 9), 0.0)
         self.app = DeltaApp(store_view)
--- a/tests/test_gateway_fair_order.py
+++ b/tests/test_gateway_fair_order.py
@@ -14,7 +14,7 @@
 from sprucewinch.gateway.workspaces.keys import key_digest
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import Path, route
+from .gateway_fakes import PipelineFixture, route
 
 
 def workspace(name: str, rate: float = 4.0) -> Workspace:
@@ -80,7 +80,7 @@
 
 async def served_in_time(loop: VirtualLoop, burst_factor: float) -> Counter[str]:
     """Return each workspace's requests served in time, at nine tenths of the servers' capacity."""
-    path = Path(loop, servers=4)
+    path = PipelineFixture(loop, servers=4)
     for server in path.servers.values():
         server.slots, server.work_s = 6, 0.1
     names = [f"w{n}" for n in range(10)]
@@ -89,7 +89,7 @@
     held = world.store_view.configuration
     assert held is not None
     workspaces = tuple(workspace(name, 34.0) for name in names)
-    world.say("configuration", held._replace(workspaces=workspaces, version=2))
+    world.put("configuration", held._replace(workspaces=workspaces, version=2))
     served: Counter[str] = Counter()
 
     async def send(name: str, number: int, key: str) -> None:
@@ -122,7 +122,7 @@
 
     def test_the_pipeline_has_one_order_for_each_service(self) -> None:
         async def main(loop: VirtualLoop) -> Pipeline:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route())
             await path.pipeline.run(path.request("q1"))
             return path.pipeline
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -27,7 +27,7 @@
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
 from . import adapter  # noqa: F401 - makes the next imports possible
-from .gateway_fakes import BOUNDS, REGIONS, Path, route
+from .gateway_fakes import BOUNDS, REGIONS, PipelineFixture, route
 
 from server_entries import MAX_ENTRY_BYTES, probed_incarnation  # isort: skip
 from store_items import StoreItems  # isort: skip
@@ -314,7 +314,7 @@
 
     def test_a_kept_connection_to_the_former_process_is_not_used(self) -> None:
         async def main(loop: VirtualLoop) -> int:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route())
             await path.pipeline.run(path.request("q0"))
             opened = path.pool.opened
@@ -327,7 +327,7 @@
 
 async def _restart(loop: VirtualLoop, *, repeatable: bool) -> tuple:
     """Restart a server under its id after an end that resets no connection."""
-    path = Path(loop)
+    path = PipelineFixture(loop)
     path.world.configure(route(repeatable=repeatable))
     first = path.first()
     first.spoils = [Spoil.SILENT]
@@ -339,13 +339,13 @@
     return reply, request, path, loop.time() - request.arrived_at
 
 
-def _start_again(path: Path, server_id: str) -> None:
+def _start_again(path: PipelineFixture, server_id: str) -> None:
     """Write the entry of a later process of a server, after one that stated an incarnation."""
     current = path.world.registry.servers[server_id].backend
     born = (current.incarnation or 0) + 1
     path.world.registry.incarnations.classify(current._replace(incarnation=0), path.loop.time())
     entry = current._replace(incarnation=born)
-    path.world.say(f"servers/{server_id}", entry, path.loop.time())
+    path.world.put(f"servers/{server_id}", entry, path.loop.time())
 
 
 class _Step(NamedTuple):
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -18,7 +18,7 @@
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
 from .formats_gateway import CONFIGURATION, VirtualGateway
-from .gateway_fakes import BOUNDS, NAMES, FreeQuotas, Path, World, route
+from .gateway_fakes import BOUNDS, NAMES, PipelineFixture, StoreFixture, UnlimitedQuotas, route
 
 KEY = "yrbbkf83fgfwrz56aw63"
 SHIPPER = Workspace("shipper", (key_digest(KEY), key_digest("second")), rate_per_s=5, burst=5)
@@ -38,19 +38,21 @@
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
-    def state(self, event: str, **inputs: Any) -> None:
-        self.lines.append((event, inputs))
+    def state(self, event: str, **fields: Any) -> None:
+        self.lines.append((event, fields))
 
     def count(self, counter: str) -> None:
         """Ignore a count."""
 
 
-def configured(world: World, *workspaces: Workspace, version: int = 1, **changes: object) -> None:
+def configured(
+    world: StoreFixture, *workspaces: Workspace, version: int = 1, **changes: object
+) -> None:
     """Configure workspaces and a route."""
     world.configure(route(**changes), version=version)
     held = world.store_view.configuration
     assert held is not None
-    world.say("configuration", held._replace(workspaces=workspaces, version=version + 1))
+    world.put("configuration", held._replace(workspaces=workspaces, version=version + 1))
 
 
 class CallerLookup(unittest.TestCase):
@@ -62,7 +64,7 @@
         trust_s: Optional[float] = None,
         public: bool = False,
     ) -> Any:
-        world = World()
+        world = StoreFixture()
         configured(world, SHIPPER, BROKER)
         assert world.store_view.configuration is not None
         table = KeyTable(world.store_view.configuration)
@@ -95,7 +97,7 @@
         self.assertEqual((found.workspace, found.problem), (None, None))
 
     def test_without_workspaces_no_key_is_needed(self) -> None:
-        world = World()
+        world = StoreFixture()
         world.configure(route())
         assert world.store_view.configuration is not None
         table = KeyTable(world.store_view.configuration)
@@ -108,9 +110,9 @@
 
     def test_guesses_are_logged_seldom(self) -> None:
         async def main(loop: VirtualLoop) -> list:
-            world, events = World(), KeptEvents()
+            world, events = StoreFixture(), KeptEvents()
             admission = WorkspaceAdmission(
-                world.store_view, FreeQuotas(), BOUNDS, loop.time, events
+                world.store_view, UnlimitedQuotas(), BOUNDS, loop.time, events
             )
             configured(world, SHIPPER)
             for _ in range(5000):
@@ -148,14 +150,14 @@
 class Requests(unittest.TestCase):
     """Admission as a step of the pipeline."""
 
-    async def admitted(self, path: Path, key: Optional[str], **changes: object) -> Any:
+    async def admitted(self, path: PipelineFixture, key: Optional[str], **changes: object) -> Any:
         digest = None if key is None else key_digest(key)
         request = path.request("q1", api_key=digest, **changes)
         return request, await path.pipeline.admit(request)
 
     def test_the_workspace_is_passed_on_and_its_regions_apply(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=4, halls=("east-a", "west-a"))
+            path = PipelineFixture(loop, servers=4, halls=("east-a", "west-a"))
             configured(path.world, SHIPPER, BROKER)
             request, refusal = await self.admitted(path, "third")
             self.assertIsNone(refusal)
@@ -169,7 +171,7 @@
 
     def test_no_region_left_is_refused_at_once(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2)
+            path = PipelineFixture(loop, servers=2)
             began = loop.time()
             configured(path.world, BROKER, regions=("east",))
             request, refusal = await self.admitted(path, "third")
@@ -184,7 +186,7 @@
 
     def test_a_workspace_that_is_removed_meanwhile(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2)
+            path = PipelineFixture(loop, servers=2)
             configured(path.world, SHIPPER, BROKER)
             request, refusal = await self.admitted(path, "third")
             configured(path.world, SHIPPER, version=5)
@@ -195,7 +197,7 @@
 
     def test_over_quota_is_429_with_retry_after(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2)
+            path = PipelineFixture(loop, servers=2)
             configured(path.world, SHIPPER)
             path.quotas.decision = QuotaDecision(QuotaEnd.OVER, 0.4)
             _, refusal = await self.admitted(path, KEY)
@@ -208,7 +210,7 @@
 
     def test_a_request_that_did_not_run_is_given_back(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2)
+            path = PipelineFixture(loop, servers=2)
             configured(path.world, SHIPPER)
             request, _ = await self.admitted(path, KEY)
             for server in path.servers.values():
@@ -229,7 +231,7 @@
 
     def test_a_retry_takes_nothing_more(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2)
+            path = PipelineFixture(loop, servers=2)
             configured(path.world, SHIPPER)
             path.first().slots = 0
             request, _ = await self.admitted(path, KEY)
@@ -281,7 +283,7 @@
         run_virtual(main)
 
     def test_a_caller_that_leaves_while_its_quota_is_asked_for(self) -> None:
-        class SlowQuotas(FreeQuotas):
+        class SlowQuotas(UnlimitedQuotas):
             async def take(self, workspace: Workspace) -> QuotaDecision:
                 await pass_time(0.1)
                 return await super().take(workspace)
@@ -306,7 +308,7 @@
     def test_a_caller_that_leaves_in_the_middle_of_its_body(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             vm = VirtualGateway(loop, servers=1)
-            quotas = vm.gateway.requests.pipeline.admission.quotas = FreeQuotas()
+            quotas = vm.gateway.requests.pipeline.admission.quotas = UnlimitedQuotas()
             vm.store.put("op/config", KEYED)
             vm.start()
             await pass_time(3.0)
--- a/tests/test_gateway_large_items_rule.py
+++ b/tests/test_gateway_large_items_rule.py
@@ -24,7 +24,7 @@
 from sprucewinch.gateway.timing import Timing
 from standins.virtual import MemoryTransport, VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import FactsByKey
+from .gateway_fakes import ResourceTableDecoder
 from .test_gateway_peer_follower import Events
 
 _ADDRESS = "10.0.0.1:70"
@@ -118,7 +118,7 @@
         timing = Timing(loop.time, rng)
         self.loop = loop
         self.events = Events()
-        self.view = StoreView(FactsByKey())
+        self.view = StoreView(ResourceTableDecoder())
         gossip = Gossip("vm0", 1, rng)
         self.role = FollowRole("vm0", "r", gossip, self.view, StoreOutages(1.5), regions=1)
         self.notices = ProgressNotices(self.role, Datagrams(loop.time), timing)
--- a/tests/test_gateway_outliers.py
+++ b/tests/test_gateway_outliers.py
@@ -12,7 +12,7 @@
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import Path, World, route
+from .gateway_fakes import PipelineFixture, StoreFixture, route
 from .test_platform_store import configuration
 from .virtual_fleet import VirtualFleet
 
@@ -21,7 +21,7 @@
 _OBJECTS = 40
 
 
-async def _serve(path: Path, seconds: float, start: int = 0) -> dict[str, int]:
+async def _serve(path: PipelineFixture, seconds: float, start: int = 0) -> dict[str, int]:
     """Send 60 requests a second about many objects; returns how many ran at each server."""
     before = {name: len(server.runs) for name, server in path.servers.items()}
     for number in range(int(seconds * 60)):
@@ -31,8 +31,8 @@
     return {name: len(server.runs) - before[name] for name, server in path.servers.items()}
 
 
-def _path(loop: VirtualLoop) -> Path:
-    path = Path(loop, servers=_SERVERS)
+def _path(loop: VirtualLoop) -> PipelineFixture:
+    path = PipelineFixture(loop, servers=_SERVERS)
     path.world.configure(route(timeout_s=2.0))
     for server in path.servers.values():
         server.work_s = _USUAL_S
@@ -124,7 +124,7 @@
 class ShortRegions(unittest.TestCase):
     def test_ejection_in_a_region_moves_no_request_beyond_the_shift_cap(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=12, halls=("east-a", "west-a"))
+            path = PipelineFixture(loop, servers=12, halls=("east-a", "west-a"))
             path.world.configure(route())
             now = loop.time()
             ranking = path.ranker.rank("rates", "lane-1", (), now)
@@ -141,12 +141,12 @@
 
 
 class FailingServers(unittest.TestCase):
-    def _world(self, servers: int = _SERVERS) -> tuple[World, OutlierDetector]:
-        world = World()
+    def _world(self, servers: int = _SERVERS) -> tuple[StoreFixture, OutlierDetector]:
+        world = StoreFixture()
         world.configure(route())
         for number in range(servers):
             backend = BackendEntry(f"s{number}", "rates", f"10.0.0.{number}:80", "east-a", 6)
-            world.say(f"servers/s{number}", backend)
+            world.put(f"servers/s{number}", backend)
         return world, OutlierDetector(world.registry)
 
     def test_a_server_is_ejected_by_failures_that_other_vms_report(self) -> None:
@@ -182,11 +182,11 @@
             self.assertLessEqual(out, 0.2 * servers)
 
     def test_a_region_with_few_servers_keeps_them(self) -> None:
-        world = World()
+        world = StoreFixture()
         world.configure(route())
         for number, hall in enumerate(("east-a", "east-b", *["west-a"] * 8)):
             backend = BackendEntry(f"s{number}", "rates", f"10.0.0.{number}:80", hall, 6)
-            world.say(f"servers/s{number}", backend)
+            world.put(f"servers/s{number}", backend)
         outliers = OutlierDetector(world.registry)
         for number in range(10):
             for _ in range(8):
@@ -211,11 +211,11 @@
     def test_one_vm_tries_an_ejected_server_before_the_others(self) -> None:
         tries = []
         for number in range(4):
-            world = World(vms=4, name=f"vm{number}")
+            world = StoreFixture(vms=4, name=f"vm{number}")
             world.configure(route())
             for each in range(_SERVERS):
                 backend = BackendEntry(f"s{each}", "rates", f"10.0.0.{each}:80", "east-a", 6)
-                world.say(f"servers/s{each}", backend)
+                world.put(f"servers/s{each}", backend)
             outliers = OutlierDetector(world.registry)
             for _ in range(4):
                 outliers.on_failure_report(FailureReport("s3"), 10.0)
@@ -230,7 +230,7 @@
     def test_the_history_of_a_server_is_dropped_with_it(self) -> None:
         world, outliers = self._world()
         outliers.record_failure(world.registry.servers["s3"], 10.0)
-        world.drop("servers/s3", 11.0)
+        world.remove("servers/s3", 11.0)
         outliers.drop_removed()
         self.assertEqual(outliers.histories, {})
 
--- a/tests/test_gateway_peer_follower.py
+++ b/tests/test_gateway_peer_follower.py
@@ -37,7 +37,7 @@
         await self.until(lambda: self._version(second, 9), "the version to arrive")
 
     async def _knows_all(self, vm) -> bool:
-        return len(await self.named(vm)) == 2
+        return len(await self.directory_addresses(vm)) == 2
 
     async def _lost_store(self, vm) -> bool:
         return any(line["event"] == "store" and not line["up"] for line in vm.lines)
@@ -76,8 +76,8 @@
         self.lines: list[tuple[str, dict[str, Any]]] = []
         self.counted: list[str] = []
 
-    def state(self, event: str, **inputs: Any) -> None:
-        self.lines.append((event, inputs))
+    def state(self, event: str, **fields: Any) -> None:
+        self.lines.append((event, fields))
 
     def count(self, counter: str) -> None:
         self.counted.append(counter)
@@ -117,9 +117,9 @@
             await follower.step()
         self.assertEqual(events.counted, ["deltas_failed"] * 4)
         self.assertEqual([event for event, _ in events.lines], ["delta-failed"] * 2)
-        inputs = events.lines[0][1]
-        self.assertEqual(inputs["peer"], address)
-        self.assertIn("status 503", inputs["problem"])
+        fields = events.lines[0][1]
+        self.assertEqual(fields["peer"], address)
+        self.assertIn("status 503", fields["problem"])
 
     def _follower(self, events: Events) -> PeerFollower:
         rng = random.Random(1)
--- a/tests/test_gateway_pipeline.py
+++ b/tests/test_gateway_pipeline.py
@@ -15,7 +15,7 @@
 from standins.scripted_server import Spoil
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import Path, route
+from .gateway_fakes import PipelineFixture, route
 
 _SPOILT = tuple(s for s in Spoil if s not in (Spoil.NONE, Spoil.TWICE, Spoil.TWICE_LATE))
 _PROMISES = (408, 421, 429, 503)
@@ -53,7 +53,7 @@
                 run_virtual(lambda loop, s=spoil: self._second_answers(loop, s))
 
     async def _second_answers(self, loop: VirtualLoop, spoil: Spoil) -> None:
-        path = Path(loop, servers=1)
+        path = PipelineFixture(loop, servers=1)
         path.world.configure(route())
         server = path.first()
         for number in range(6):
@@ -68,7 +68,7 @@
 
 
 async def _send_one(loop: VirtualLoop, spoil: Spoil, repeatable: bool) -> tuple[int, int]:
-    path = Path(loop)
+    path = PipelineFixture(loop)
     path.world.configure(route(repeatable=repeatable))
     path.first().spoils = [spoil]
     reply = await path.pipeline.run(path.request("q"))
@@ -78,7 +78,7 @@
 class Ends(unittest.TestCase):
     def test_a_full_server_is_skipped_and_the_refusal_promises_no_run(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route(repeatable=False))
             for server in path.servers.values():
                 server.slots = 0
@@ -90,7 +90,7 @@
 
     def test_a_server_that_cannot_be_reached_costs_no_run(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route(repeatable=False))
             path.stop(path.first())
             reply = await path.pipeline.run(path.request("q"))
@@ -100,7 +100,7 @@
 
     def test_a_server_that_drops_packets_costs_no_run_and_little_time(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route(repeatable=False))
             path.silence(path.first())
             started = loop.time()
@@ -112,7 +112,7 @@
 
     def test_an_address_taken_over_by_another_service_runs_no_request(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route(repeatable=False))
             taken = path.first()
             taken.server_id = "somebody-else"
@@ -124,7 +124,7 @@
 
     def test_a_request_is_answered_at_its_routes_timeout(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route(timeout_s=0.5))
             path.first().work_s = 9.0
             started = loop.time()
@@ -140,7 +140,7 @@
 
     def test_a_caller_that_leaves_cancels_the_run_at_once(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route())
             path.first().work_s = 0.7
             task = loop.create_task(path.pipeline.run(path.request("q")))
@@ -153,7 +153,7 @@
 
     def test_without_a_configuration_the_status_is_503_and_not_404(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             reply = await path.pipeline.run(path.request("q"))
             self.assertEqual(reply.status, 503)
             path.world.configure(route(prefix="/other/"))
@@ -164,7 +164,7 @@
 
     def test_a_retry_uses_the_current_configuration(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route(), version=1)
             path.first().spoils = [Spoil.LOST]
             task = loop.create_task(path.pipeline.run(path.request("q")))
@@ -180,7 +180,7 @@
 class Repeats(unittest.TestCase):
     def test_the_fleets_budget_limits_retries_when_every_answer_is_lost(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route())
             began: list[float] = []
             repeated: list[float] = []
@@ -202,7 +202,7 @@
 
     def test_no_request_runs_on_more_servers_than_its_route_allows(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=5)
+            path = PipelineFixture(loop, servers=5)
             path.world.configure(route(max_attempts=2))
             for server in path.servers.values():
                 server.spoils = [Spoil.LOST] * 9
@@ -224,7 +224,7 @@
         """
 
         async def main(loop: VirtualLoop) -> tuple[int, int]:
-            path = Path(loop, servers=3)
+            path = PipelineFixture(loop, servers=3)
             path.world.configure(route(**changes))
             ranking = path.ranker.rank("rates", "lane-1", (), loop.time())
             for server in ranking.servers[:failing_servers]:
@@ -248,7 +248,7 @@
 
     def test_the_failure_is_forwarded_when_the_retry_budget_is_used_up(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route())
             path.first().spoils = [Spoil.FAILED] * 200
             statuses = [
@@ -263,12 +263,12 @@
 class Placing(unittest.TestCase):
     def test_an_object_stays_with_its_server_when_another_one_leaves(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=6)
+            path = PipelineFixture(loop, servers=6)
             path.world.configure(route())
             keys = [f"lane-{n}" for n in range(60)]
             before = {key: path.first(key).server_id for key in keys}
             gone = before[keys[0]]
-            path.world.drop(f"servers/{gone}")
+            path.world.remove(f"servers/{gone}")
             for key in keys:
                 if before[key] != gone:
                     self.assertEqual(path.first(key).server_id, before[key])
@@ -277,7 +277,7 @@
 
     def test_a_route_with_regions_sends_to_no_other_region(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=6, halls=("east-a", "west-a"))
+            path = PipelineFixture(loop, servers=6, halls=("east-a", "west-a"))
             path.world.configure(route(regions=("west",)))
             for number in range(40):
                 await path.pipeline.run(path.request(f"q{number}", key=f"k{number}"))
@@ -292,34 +292,34 @@
 """Time after which a late connection is established: below the connect time-out."""
 
 
-def _drain(path: Path, server: BackendServer) -> None:
+def _drain(path: PipelineFixture, server: BackendServer) -> None:
     entry = server.backend._replace(draining=True)
-    path.world.say(f"servers/{entry.id}", entry, path.loop.time())
+    path.world.put(f"servers/{entry.id}", entry, path.loop.time())
 
 
-def _remove(path: Path, server: BackendServer) -> None:
-    path.world.drop(f"servers/{server.backend.id}", path.loop.time())
+def _remove(path: PipelineFixture, server: BackendServer) -> None:
+    path.world.remove(f"servers/{server.backend.id}", path.loop.time())
 
 
-def _evacuate(path: Path, server: BackendServer) -> None:
+def _evacuate(path: PipelineFixture, server: BackendServer) -> None:
     hall = server.backend.hall
-    path.world.say(f"evacuations/{hall}", Evacuation(hall), path.loop.time())
+    path.world.put(f"evacuations/{hall}", Evacuation(hall), path.loop.time())
 
 
-def _change_nothing(_path: Path, _server: BackendServer) -> None:
+def _change_nothing(_path: PipelineFixture, _server: BackendServer) -> None:
     pass
 
 
-def _back_off(path: Path, server: BackendServer) -> None:
+def _back_off(path: PipelineFixture, server: BackendServer) -> None:
     server.record_failure(path.loop.time())
 
 
-def _turn_cold(path: Path, server: BackendServer) -> None:
+def _turn_cold(path: PipelineFixture, server: BackendServer) -> None:
     entry = server.backend._replace(cold_for_s=3.0)
-    path.world.say(f"servers/{entry.id}", entry, path.loop.time())
+    path.world.put(f"servers/{entry.id}", entry, path.loop.time())
 
 
-def _lose_entry(path: Path, server: BackendServer) -> None:
+def _lose_entry(path: PipelineFixture, server: BackendServer) -> None:
     """Drop a server's entry during a store outage, in which a running server may lose its entry."""
     path.world.outages.record_failure(path.loop.time() - 2 * path.world.outages.heartbeat_s)
     _remove(path, server)
@@ -354,7 +354,7 @@
 _UNTOUCHED = _ServerState(0, 0, False, False, False, 0, [], [], 0)
 
 
-def _server_state(path: Path, server: BackendServer) -> _ServerState:
+def _server_state(path: PipelineFixture, server: BackendServer) -> _ServerState:
     now = path.loop.time()
     return _ServerState(
         path.pipeline.budgets.of("rates").retries.count(now),
@@ -390,7 +390,7 @@
 
     def test_a_server_that_left_does_not_count_as_an_attempt(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=3)
+            path = PipelineFixture(loop, servers=3)
             path.world.configure(route(repeatable=False, max_attempts=1))
             left, full, last = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             path.servers[full.backend.id].slots = 0
@@ -406,7 +406,7 @@
 
     def test_the_last_server_answers_when_all_others_leave_one_by_one(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=5)
+            path = PipelineFixture(loop, servers=5)
             path.world.configure(route(repeatable=False, max_attempts=1))
             *leaving, last = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             reply = await _run_while_leaving(path, path.request("q"), leaving)
@@ -418,7 +418,7 @@
 
     def test_a_request_whose_servers_all_leave_is_promised_as_not_run(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=5)
+            path = PipelineFixture(loop, servers=5)
             path.world.configure(route(repeatable=False, max_attempts=1))
             leaving = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             request = path.request("q")
@@ -458,7 +458,7 @@
 
 
 async def _run_while_leaving(
-    path: Path, request: ClientRequest, leaving: list[BackendServer]
+    path: PipelineFixture, request: ClientRequest, leaving: list[BackendServer]
 ) -> Reply:
     """Run a request whose servers leave in turn, each half-way through its connect time."""
     for server in leaving:
@@ -474,10 +474,10 @@
 
 
 async def _outcome_when_leaving(
-    loop: VirtualLoop, leave: Callable[[Path, BackendServer], None]
+    loop: VirtualLoop, leave: Callable[[PipelineFixture, BackendServer], None]
 ) -> _Outcome:
     """Run a request whose server leaves half-way through the connect time."""
-    path = Path(loop, servers=4, halls=("east-a", "east-b"))
+    path = PipelineFixture(loop, servers=4, halls=("east-a", "east-b"))
     path.world.configure(route(repeatable=False, max_attempts=1))
     left = path.ranker.rank("rates", "lane-1", (), loop.time()).servers[0]
     scripted = path.servers[left.backend.id]
--- a/tests/test_gateway_policies.py
+++ b/tests/test_gateway_policies.py
@@ -8,7 +8,7 @@
 from sprucewinch.gateway.resources import BackendEntry, PolicyChoice, PolicyProgram
 from sprucewinch.steering.placement import moved_part
 
-from .gateway_fakes import BOUNDS, REGIONS, World, route
+from .gateway_fakes import BOUNDS, REGIONS, StoreFixture, route
 
 _WEST = "def shares(snapshot):\n    return {'west': 1}\n"
 
@@ -17,12 +17,12 @@
     """Region shares with two servers in the east and six in the west."""
 
     def __init__(self, home: str = "east") -> None:
-        self.world = World()
+        self.world = StoreFixture()
         self.unreadable_keys: list[str] = []
         self.world.configure(route())
         for number, hall in enumerate(("east-a", "east-b", *["west-a"] * 6)):
             backend = BackendEntry(f"s{number}", "rates", f"10.0.0.{number}:80", hall, 6)
-            self.world.say(f"servers/s{number}", backend)
+            self.world.put(f"servers/s{number}", backend)
         self.policies = PolicyTable(
             self.world.store_view, lambda key, cause: self.unreadable_keys.append(key)
         )
@@ -59,8 +59,8 @@
     def test_a_loaded_policy_takes_effect_and_moves_under_the_cap(self) -> None:
         steered = Steered()
         before = steered.shares.shares("rates", 0.0)
-        steered.world.say("policies/all-west", PolicyProgram("all-west", _WEST))
-        steered.world.say("policy-of/rates", PolicyChoice("rates", "all-west"))
+        steered.world.put("policies/all-west", PolicyProgram("all-west", _WEST))
+        steered.world.put("policy-of/rates", PolicyChoice("rates", "all-west"))
         history = [before, *steered.run(60.0)]
         self.assertGreater(history[-1].share("west"), 0.99)
         ticks_per_window = 10
@@ -70,17 +70,17 @@
 
     def test_a_choice_that_is_withdrawn_or_unknown_falls_back(self) -> None:
         steered = Steered()
-        steered.world.say("policy-of/rates", PolicyChoice("rates", "nobody-wrote-it"))
+        steered.world.put("policy-of/rates", PolicyChoice("rates", "nobody-wrote-it"))
         self.assertEqual(steered.policies.name_for("rates"), DEFAULT_POLICY)
-        steered.world.say("policy-of/*", PolicyChoice("*", "nearest"))
-        steered.world.drop("policy-of/rates")
+        steered.world.put("policy-of/*", PolicyChoice("*", "nearest"))
+        steered.world.remove("policy-of/rates")
         self.assertEqual(steered.policies.name_for("rates"), "nearest")
 
     def test_a_program_that_cannot_be_compiled_leaves_the_last_good_one(self) -> None:
         steered = Steered()
-        steered.world.say("policies/mine", PolicyProgram("mine", _WEST))
+        steered.world.put("policies/mine", PolicyProgram("mine", _WEST))
         good = steered.policies.programs["mine"]
-        steered.world.say("policies/mine", PolicyProgram("mine", "import os"))
+        steered.world.put("policies/mine", PolicyProgram("mine", "import os"))
         self.assertIs(steered.policies.programs["mine"], good)
         self.assertEqual(steered.unreadable_keys, ["policies/mine"])
 
@@ -88,8 +88,8 @@
         steered = Steered()
         before = steered.share("east")
         faulty = "def shares(snapshot):\n    return {'nowhere': 1}\n"
-        steered.world.say("policies/faulty", PolicyProgram("faulty", faulty))
-        steered.world.say("policy-of/rates", PolicyChoice("rates", "faulty"))
+        steered.world.put("policies/faulty", PolicyProgram("faulty", faulty))
+        steered.world.put("policy-of/rates", PolicyChoice("rates", "faulty"))
         steered.run(5.0)
         self.assertEqual(steered.share("east"), before)
         self.assertTrue(steered.shares.notes["rates"][0].startswith("policy-fault"))
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -7,7 +7,7 @@
 from standins.scripted_server import ScriptedServer, Spoil
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import Path, route
+from .gateway_fakes import PipelineFixture, route
 
 ADDRESS = "10.0.0.1:80"
 _REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\nx-request-id: q\r\n\r\n"
@@ -62,7 +62,7 @@
 
     def test_after_a_time_out_a_request_that_must_not_run_twice_gets_a_new_connection(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             both = [path.pipeline.run(path.request(f"q{number}")) for number in range(2)]
             self.assertEqual([reply.status for reply in await asyncio.gather(*both)], [200, 200])
--- a/tests/test_gateway_probe.py
+++ b/tests/test_gateway_probe.py
@@ -11,10 +11,10 @@
 from sprucewinch.gateway.statements.statements import Statements
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import NAMES, Path, route
+from .gateway_fakes import NAMES, PipelineFixture, route
 
 
-def prober_of(path: Path) -> Prober:
+def prober_of(path: PipelineFixture) -> Prober:
     """Return a prober of the servers of a path."""
     time = path.loop.time
     events = DecisionLog(lambda line: None, monotonic=time, wall=time)
@@ -25,17 +25,17 @@
     return Prober(registry, statements, NAMES, events, monotonic=time, wall=time)
 
 
-async def _after_evacuation(loop: VirtualLoop, cold_ms: Optional[int]) -> Path:
+async def _after_evacuation(loop: VirtualLoop, cold_ms: Optional[int]) -> PipelineFixture:
     """Return a path whose only data hall returned from an evacuation, with its servers probed."""
-    path = Path(loop, servers=2)
+    path = PipelineFixture(loop, servers=2)
     path.world.configure(route())
     for server in path.servers.values():
         server.cold_ms = cold_ms
     prober = prober_of(path)
     task = loop.create_task(prober.run())
-    path.world.say("evacuate/east-a", Evacuation("east-a"), loop.time())
+    path.world.put("evacuate/east-a", Evacuation("east-a"), loop.time())
     await pass_time(1.0)
-    path.world.drop("evacuate/east-a", loop.time())
+    path.world.remove("evacuate/east-a", loop.time())
     await pass_time(0.2)
     task.cancel()
     return path
@@ -60,7 +60,7 @@
 
     def test_a_server_that_turned_cold_during_the_evacuation_states_its_time(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route())
             path.servers["s0"].turn_cold(2.0)
             await pass_time(1.0)
@@ -77,7 +77,7 @@
 
     def test_an_answer_of_another_server_does_not_count(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route())
             path.servers["s0"].server_id = "another"
             path.servers["s0"].cold_ms = 0
@@ -92,7 +92,7 @@
 class ServersStatements(unittest.TestCase):
     def test_a_leaving_paused_or_limited_server_is_not_probed(self) -> None:
         async def main(loop: VirtualLoop) -> list[int]:
-            path = Path(loop, servers=4)
+            path = PipelineFixture(loop, servers=4)
             path.world.configure(route())
             leaving, paused, limited, plain = servers = self._servers(path)
             path.world.registry.statement_table.note_leaving(leaving.stated, loop.time())
@@ -104,12 +104,12 @@
 
         self.assertEqual(run_virtual(main), [0, 0, 0, 1])
 
-    def _servers(self, path: Path) -> list[BackendServer]:
+    def _servers(self, path: PipelineFixture) -> list[BackendServer]:
         return list(path.world.registry.servers.values())
 
     def test_statements_in_the_answer_to_a_probe_count(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=3)
+            path = PipelineFixture(loop, servers=3)
             path.world.configure(route())
             path.servers["s0"].says["Server-Leaving"] = "1"
             path.servers["s1"].says["Server-Limit"] = "3"
@@ -128,7 +128,7 @@
 
     def test_statements_of_another_process_at_its_address_do_not_count(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route())
             script = path.servers["s0"]
             script.server_id, script.rest, script.turns_probes_away = "another", "2", True
--- a/tests/test_gateway_process_statements.py
+++ b/tests/test_gateway_process_statements.py
@@ -14,7 +14,7 @@
 from sprucewinch.gateway.statements.stated_limit import StatedLimit
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import Path, route
+from .gateway_fakes import PipelineFixture, route
 
 ENTRY = BackendEntry("s0", "rates", "10.0.0.1:80", "east-a", 6, incarnation=7)
 
@@ -73,7 +73,7 @@
                 )
 
     async def _stated_meanwhile(self, loop: VirtualLoop, statement: str) -> tuple[int, list[str]]:
-        path = Path(loop)
+        path = PipelineFixture(loop)
         path.world.configure(route(repeatable=False, max_attempts=1))
         first = path.first()
         path.delay(first, 0.1)
@@ -96,7 +96,7 @@
 class OlderAnswers(unittest.TestCase):
     def test_an_answer_to_an_earlier_request_ends_no_pause(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False, max_attempts=1))
             server = path.first()
             server.work_s, server.rest = 0.3, "2"
@@ -117,7 +117,7 @@
 
     def test_the_last_resort_skips_a_server_that_asked_for_a_pause(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2)
+            path = PipelineFixture(loop, servers=2)
             path.world.configure(route())
             registry = path.world.registry
             for server in registry.servers.values():
@@ -137,18 +137,18 @@
 class NewProcess(unittest.TestCase):
     def test_another_process_under_the_id_has_no_statements(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route())
             registry = path.world.registry
             entry = registry.servers["s0"].backend._replace(incarnation=1)
-            path.world.say("servers/s0", entry, loop.time())
+            path.world.put("servers/s0", entry, loop.time())
             registry.statement_table.note_leaving(registry.servers["s0"].stated, loop.time())
-            path.world.say("servers/s0", entry._replace(cold_for_s=0.1), loop.time())
+            path.world.put("servers/s0", entry._replace(cold_for_s=0.1), loop.time())
             self.assertEqual(registry.offered("rates"), ())
-            path.world.drop("servers/s0", loop.time())
-            path.world.say("servers/s0", entry, loop.time())
+            path.world.remove("servers/s0", loop.time())
+            path.world.put("servers/s0", entry, loop.time())
             self.assertEqual(registry.offered("rates"), ())
-            path.world.say("servers/s0", entry._replace(incarnation=2), loop.time())
+            path.world.put("servers/s0", entry._replace(incarnation=2), loop.time())
             self.assertEqual(len(registry.offered("rates")), 1)
 
         run_virtual(main)
--- a/tests/test_gateway_region_reports.py
+++ b/tests/test_gateway_region_reports.py
@@ -11,7 +11,7 @@
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import World
+from .gateway_fakes import StoreFixture
 from .test_gateway_policies import Steered
 from .test_platform_store import configuration
 from .virtual_fleet import VirtualFleet
@@ -52,7 +52,7 @@
 
 def _steered_by(policy: str, home: str = "east") -> Steered:
     steered = Steered(home)
-    steered.world.say("policy-of/rates", PolicyChoice("rates", policy))
+    steered.world.put("policy-of/rates", PolicyChoice("rates", policy))
     return steered
 
 
@@ -90,7 +90,7 @@
 
     def test_a_default_that_is_not_shipped_is_refused_with_a_remedy(self) -> None:
         with self.assertRaisesRegex(SettingsError, "name one of capacity"):
-            PolicyTable(World().store_view, default="nobody-wrote-it")
+            PolicyTable(StoreFixture().store_view, default="nobody-wrote-it")
 
 
 class Reports(unittest.TestCase):
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -48,7 +48,7 @@
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
 from .formats_gateway import VirtualGateway
-from .gateway_fakes import NAMES, Path, route
+from .gateway_fakes import NAMES, PipelineFixture, route
 
 _PROMISES = (408, 421, 429, 503)
 
@@ -254,7 +254,7 @@
         """
 
         async def main(loop: VirtualLoop) -> tuple[int, Union[SelectionReason, BlockedReason]]:
-            path = Path(loop, servers=len(loads), halls=halls)
+            path = PipelineFixture(loop, servers=len(loads), halls=halls)
             ranking = path.ranker.rank("rates", "lane-1", (), loop.time())
             for server, load in zip(ranking.servers, loads, strict=True):
                 server.estimate.record(load, server.in_flight, loop.time())
@@ -293,7 +293,7 @@
 
     def test_the_concurrency_limit_and_more_urgent_requests_leave_no_room(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             server, registry = path.world.registry.servers["s0"], path.world.registry
             first, urgent = path.request("q0"), path.request("q1")
             waits = loop.create_task(server.wait_for_room(0.1, queue_position(urgent, route())))
@@ -308,7 +308,11 @@
         run_virtual(main)
 
     def _assert_no_room(
-        self, path: Path, request: ClientRequest, request_route: Route, expected: BlockedReason
+        self,
+        path: PipelineFixture,
+        request: ClientRequest,
+        request_route: Route,
+        expected: BlockedReason,
     ) -> None:
         registry = path.world.registry
         reason = no_room_reason(
@@ -331,7 +335,7 @@
 
     def test_a_request_with_less_time_is_refused_at_once_and_not_sent(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2)
+            path = PipelineFixture(loop, servers=2)
             path.world.configure(route(repeatable=False))
             for server in path.servers.values():
                 server.work_s = 0.3
@@ -348,7 +352,7 @@
 
     def test_a_request_with_less_time_that_may_have_run_gets_no_promise(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2)
+            path = PipelineFixture(loop, servers=2)
             path.world.configure(route())
             for server in path.servers.values():
                 server.work_s = 0.3
@@ -373,7 +377,7 @@
 
     def test_a_non_repeatable_request_opens_a_connection_after_idle_time(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             opened = []
             for number, pause_s in enumerate(
--- a/tests/test_gateway_retry_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -6,7 +6,7 @@
 from sprucewinch.gateway.settings import Bounds
 from standins.virtual import VirtualLoop, run_virtual
 
-from .gateway_fakes import BOUNDS, Path, route
+from .gateway_fakes import BOUNDS, PipelineFixture, route
 
 _MANY = 500
 
@@ -33,7 +33,7 @@
 class Reload(unittest.TestCase):
     def test_a_reload_grants_no_second_budget(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route())
             await path.pipeline.run(path.request("q"))
             spent = _taken(path.pipeline.budgets.of("rates"), loop.time())
@@ -48,7 +48,7 @@
 
     def test_a_reload_keeps_the_request_counts(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route())
             await path.pipeline.run(path.request("q"))
             before = path.pipeline.arrivals_per_s("rates", loop.time())
--- a/tests/test_gateway_return_times.py
+++ b/tests/test_gateway_return_times.py
@@ -14,11 +14,11 @@
 )
 from standins.virtual import VirtualLoop, run_virtual
 
-from .gateway_fakes import Path, route
+from .gateway_fakes import PipelineFixture, route
 
 
 def _times(loop: VirtualLoop, latency_s: float) -> ReturnTimes:
-    registry = Path(loop, servers=1).world.registry
+    registry = PipelineFixture(loop, servers=1).world.registry
     registry.record_success(registry.servers["s0"], latency_s, loop.time())
     return ReturnTimes(registry, random.Random(1))
 
@@ -51,12 +51,12 @@
 
     def test_a_server_that_is_gone_or_never_answered_has_no_retry_after(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             times = ReturnTimes(path.world.registry, random.Random(1))
             self.assertIsNone(times.retry_after_s("s0", 10.0))
             path.world.registry.record_success(path.world.registry.servers["s0"], 0.1, 10.0)
             self.assertIsNotNone(times.retry_after_s("s0", 10.0))
-            path.world.drop("servers/s0", 10.0)
+            path.world.remove("servers/s0", 10.0)
             self.assertIsNone(times.retry_after_s("s0", 10.0))
             self.assertEqual(times.schedules, {})
 
@@ -64,7 +64,7 @@
 
     def test_a_refusal_for_lack_of_room_has_this_retry_after(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(latency_target_s=0.1))
             registry = path.world.registry
             server = registry.servers["s0"]
--- a/tests/test_gateway_server_selection.py
+++ b/tests/test_gateway_server_selection.py
@@ -11,7 +11,7 @@
 from standins.scripted_server import Spoil
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import NAMES, Path, World, route
+from .gateway_fakes import NAMES, PipelineFixture, StoreFixture, route
 from .test_platform_store import configuration, standin
 from .virtual_fleet import VirtualFleet
 
@@ -24,7 +24,7 @@
 class SilentServers(unittest.TestCase):
     def test_a_server_that_never_answers_gets_no_more_requests(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route())
             silent = path.first()
             silent.spoils = [Spoil.SILENT] * 99
@@ -40,7 +40,7 @@
 
     def test_a_slow_server_that_keeps_answering_is_not_silent(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop)
+            path = PipelineFixture(loop)
             path.world.configure(route())
             first = path.first()
             first.work_s = 0.5
@@ -62,7 +62,7 @@
         """
 
         async def main(loop: VirtualLoop) -> list[int]:
-            path = Path(loop, servers=3)
+            path = PipelineFixture(loop, servers=3)
             path.world.configure(route())
             order = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             for server in order:
@@ -88,7 +88,7 @@
         self,
     ) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=3)
+            path = PipelineFixture(loop, servers=3)
             path.world.configure(route())
             order = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             order[0].record_load(8, 0, loop.time())
@@ -104,7 +104,7 @@
 
     def test_only_a_server_without_room_spills_over_to_another_region(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2, halls=("east-a", "west-a"))
+            path = PipelineFixture(loop, servers=2, halls=("east-a", "west-a"))
             path.world.configure(route())
             order = path.ranker.rank("rates", "lane-1", (), loop.time()).servers
             order[0].record_load(7, 0, loop.time())
@@ -114,7 +114,9 @@
 
         run_virtual(main)
 
-    async def _runs_after_one_more(self, path: Path, order: tuple[BackendServer, ...]) -> list[int]:
+    async def _runs_after_one_more(
+        self, path: PipelineFixture, order: tuple[BackendServer, ...]
+    ) -> list[int]:
         """Send one more request about an object and return the number of runs at each server."""
         reply = await path.pipeline.run(path.request(f"n{path.loop.time()}"))
         self.assertEqual(reply.status, 200)
@@ -122,7 +124,7 @@
 
     def test_a_request_waits_for_room_that_is_freed_soon(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(latency_target_s=1.0))
             server = path.first()
             server.work_s = 0.09
@@ -150,7 +152,7 @@
 
     def test_answers_raise_the_limit_of_a_server_that_reports_no_load(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route())
             server = path.world.registry.servers["s0"]
             for second in range(20):
@@ -164,7 +166,7 @@
 
     async def _shed(self, loop: VirtualLoop, load: str) -> float:
         """Return a server's limit after it refused one request and reported a load."""
-        path = Path(loop, servers=1)
+        path = PipelineFixture(loop, servers=1)
         path.world.configure(route(repeatable=False))
         server = path.world.registry.servers["s0"]
         headers = ((NAMES.request_id, "q"), *(((NAMES.load, load),) if load else ()))
@@ -178,7 +180,7 @@
 
     def test_requests_beyond_the_servers_room_are_refused_early_as_not_run(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2)
+            path = PipelineFixture(loop, servers=2)
             path.world.configure(route())
             for server in path.servers.values():
                 server.work_s = 0.3
@@ -200,7 +202,7 @@
 class Priorities(unittest.TestCase):
     def test_the_most_urgent_waiting_request_gets_the_next_room(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(
                 route(latency_target_s=1.8, priority=2),
                 route(name="r2", prefix="/urgent/", latency_target_s=1.8, priority=1),
@@ -224,7 +226,7 @@
 
         run_virtual(main)
 
-    async def _six_run_and_six_wait(self, path: Path) -> list[asyncio.Task]:
+    async def _six_run_and_six_wait(self, path: PipelineFixture) -> list[asyncio.Task]:
         """Send a server of six slots six requests that end one by one, then six that wait there.
 
         The requests that wait are sent 3 ms apart.
@@ -243,7 +245,7 @@
 
     def test_waiting_requests_of_equal_rank_get_room_in_order_of_arrival(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             replies = await asyncio.gather(*await self._six_run_and_six_wait(path))
             self.assertEqual([reply.status for reply in replies], [200] * 12)
             waited = [run.request_id for run in path.first().runs[6:]]
@@ -253,7 +255,7 @@
 
     def test_a_retrying_caller_goes_before_those_that_came_after_its_first_try(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             tasks = await self._six_run_and_six_wait(path)
             returned = path.request("again", deadline=loop.time() + 1.5)
             self.assertEqual((await path.pipeline.run(returned)).status, 200)
@@ -271,7 +273,7 @@
         """Return how many of 12 requests a server of six slots got at once, and all statuses."""
 
         async def main(loop: VirtualLoop) -> tuple[int, set[int]]:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(timeout_s=timeout_s, repeatable=False))
             server = path.first()
             server.work_s = work_s
@@ -319,8 +321,8 @@
         return [round(m.registry.servers["s0"].load(now), 1) for m in fleet.vms[1:]]
 
     def test_overload_of_a_server_is_not_reported_at_every_answer(self) -> None:
-        world = World()
-        world.say("servers/s0", BackendEntry("s0", "rates", "10.0.0.1:80", "east-a", 6))
+        world = StoreFixture()
+        world.put("servers/s0", BackendEntry("s0", "rates", "10.0.0.1:80", "east-a", 6))
         for number in range(40):
             world.registry.record_load(world.registry.servers["s0"], 6, 12, 10.0 + number * 0.01)
         self.assertEqual(len(world.reports.overloads), 2)
--- a/tests/test_gateway_taken_addresses.py
+++ b/tests/test_gateway_taken_addresses.py
@@ -8,7 +8,7 @@
 
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import Path, route
+from .gateway_fakes import PipelineFixture, route
 
 _REQUESTS = 4
 
@@ -28,7 +28,7 @@
         loop: The loop.
         stated: True if the other server also states that it did not run them.
     """
-    path = Path(loop)
+    path = PipelineFixture(loop)
     path.world.configure(route(repeatable=False))
     taken = path.first()
     taken.server_id = "somebody-else"
--- a/tests/test_process_gateway.py
+++ b/tests/test_process_gateway.py
@@ -222,7 +222,7 @@
         )
 
     async def _lists(self, vm, addresses: set[str]) -> bool:
-        return await self.named(vm) == addresses
+        return await self.directory_addresses(vm) == addresses
 
     async def test_a_vm_that_starts_while_the_store_is_down_answers_503(self) -> None:
         vm = self.vms[0]
