--- a/sprucewinch/gateway/requests/choice/server_selection.py
+++ b/sprucewinch/gateway/requests/choice/server_selection.py
@@ -14,10 +14,8 @@
 the request is refused, or it waits (`room`).
 
 A server that does not keep an object warm takes three times as long, and evicts what it does keep
-warm, which slows down further requests. In a comparison, look-ups earned 0.609 of their credit with
-the server that is free soonest, 0.748 with two servers for each object and 0.768 with one
-(docs/CONSTANTS.md). For the same reason an object spills over to one fixed server, which soon keeps
-it warm too.
+warm, which slows down further requests. Each object therefore has one server and one fixed
+spillover server, which soon keeps it warm too (docs/CONSTANTS.md).
 
 The selected server is logged in `sends` of the event `request`, and the values behind a refusal in
 `blocked` of a request that was never sent. The tests are in tests/test_gateway_request_rules.py
@@ -48,7 +46,7 @@
 
 MAX_REMOTE_SPILLOVER_UTILIZATION = 0.34
 """Fraction of its slots in use below which a server takes spillover from a server of another region
-that has no room. Results with one half were no better (docs/CONSTANTS.md)."""
+that has no room (docs/CONSTANTS.md)."""
 
 MAX_DENIED_GRANTS = 4
 """Number of rate-limited servers that may deny one request a grant before it asks no more of them.
