--- a/sprucewinch/gateway/crashes/guilt.py
+++ b/sprucewinch/gateway/crashes/crash_attribution.py
@@ -24,8 +24,8 @@
 next copy that runs alone tells them apart. Callers and operators tolerate up to six crashes, so the
 limit stays below that.
 
-A decision appears in the event `request-quarantined`. `test_gateway_guilt` tests this module. It
-holds no state and relies on what `crash_log` holds.
+A decision appears in the event `request-quarantined`. `test_gateway_crash_attribution` tests this
+module. It holds no state and relies on what `crash_log` holds.
 """
 
 from collections.abc import Collection, Iterable, Sequence
--- a/sprucewinch/gateway/crashes/crash_log.py
+++ b/sprucewinch/gateway/crashes/crash_log.py
@@ -7,8 +7,8 @@
 crash again: crashes of such a server further apart than `_MAX_REPORT_GAP_S` are two.
 
 At most `_MAX_CRASHES` are kept and the oldest is evicted, so that callers who crash servers on
-purpose cost no memory. The log relies on nothing; `guilt` assesses it. `test_gateway_guilt` tests
-this module.
+purpose cost no memory. The log relies on nothing; `crash_attribution` assesses it.
+`test_gateway_crash_attribution` tests this module.
 """
 
 from collections import OrderedDict, defaultdict, deque
--- a/sprucewinch/gateway/crashes/quarantine.py
+++ b/sprucewinch/gateway/crashes/quarantine.py
@@ -1,22 +1,22 @@
 """Decides which requests are refused because they crash servers, and for how long.
 
 The quarantine decides whether a request may be sent now, from the request's fingerprint,
-the requests that are confirmed to crash servers (`suspects`, `guilt`), the quarantined requests in
-the store, and monotonic time in seconds.
+the requests that are confirmed to crash servers (`suspects`, `crash_attribution`), the quarantined
+requests in the store, and monotonic time in seconds.
 
 The load that it is for is one request that is sent again and again, to any VM, while crashed
 servers come back cold, other requests wait for them, VMs start, and some VMs see only a part of the
 evidence.
 
-A request that `guilt` confirms is refused at once at each VM that knows of it: within a quarter of
-a second through the reports of other VMs, within two seconds through the item in the store. Only
-that request is refused: the same caller, target and body. A success of an equal request releases it
-at once at all VMs; so does an operator who removes its item. It is tried again after the times that
-`held` states, once in the whole fleet each time: the VM whose write to the store takes the trial
-sends the request. Once it has crashed `MAX_CRASHES` servers no trial is left. A suspect that is not
-refused yet is ranked among the servers by its own fingerprint instead of by its object's key, so
-that one of several suspects does not meet the others again, and copies of it crash one server
-instead of several.
+A request that `crash_attribution` confirms is refused at once at each VM that knows of it: within a
+quarter of a second through the reports of other VMs, within two seconds through the item in the
+store. Only that request is refused: the same caller, target and body. A success of an equal request
+releases it at once at all VMs; so does an operator who removes its item. It is tried again after
+the times that `quarantine_entry` states, once in the whole fleet each time: the VM whose write to
+the store takes the trial sends the request. Once it has crashed `MAX_CRASHES` servers no trial is
+left. A suspect that is not refused yet is ranked among the servers by its own fingerprint instead
+of by its object's key, so that one of several suspects does not meet the others again, and copies
+of it crash one server instead of several.
 
 A refusal needs certainty, because refusing a harmless request for good is worse than one more
 crash; so one trial is always kept. What must survive the loss of all VMs is in the store.
@@ -36,11 +36,11 @@
 from ..resources import CrashEvidence, QuarantinedRequest
 from ..servers.backend_server import BackendServer
 from ..state.store_view import Change, StoreView
+from .crash_attribution import MAX_CRASHES, Assessment
 from .crash_log import Crash
 from .crash_reports import GoodEndReport
 from .fingerprint import FingerprintedRequest, Fingerprinter
-from .guilt import MAX_CRASHES, Assessment
-from .held import Held
+from .quarantine_entry import QuarantineEntry
 from .suspects import ConfirmedSuspect, Suspects
 
 _MIN_TRIALS = 1
@@ -74,7 +74,7 @@
     Attributes:
         suspects: The evidence.
         take_trial: Returns whether this VM may try a quarantined request; by default it may not.
-        held: Requests that are refused, by fingerprint.
+        entries: Requests that are refused, by fingerprint.
         pending_removals: Requests whose items are to be removed from the store, by fingerprint,
             each with the monotonic time until which that applies, in seconds.
         changed: Set when evidence is to be assessed, or the store is to be written.
@@ -94,40 +94,40 @@
         self.monotonic = monotonic
         self.wall = wall
         self.events = events or NoEvents()
-        self.take_trial: Callable[[Held], Awaitable[bool]] = _refuse_trial
-        self.held: dict[bytes, Held] = {}
+        self.take_trial: Callable[[QuarantineEntry], Awaitable[bool]] = _refuse_trial
+        self.entries: dict[bytes, QuarantineEntry] = {}
         self.pending_removals: dict[bytes, float] = {}
         self.changed = asyncio.Event()
         self.suspects = Suspects(name, self.names, monotonic, on_evidence=self.changed.set)
         self._targets: Counter[int] = Counter()
         store_view.listeners.append(self._on_change)
 
-    def refusal(self, request: FingerprintedRequest) -> Optional[Held]:
+    def refusal(self, request: FingerprintedRequest) -> Optional[QuarantineEntry]:
         """Return the entry by which a request is refused; None when it may be sent."""
         if request.on_trial or not (self._targets or self.suspects.has_unassessed):
             return None
         self.assess_due()
         if not self._targets[self.names.target_of(request)]:
             return None
-        held = self.held.get(self.names.fingerprint_of(request))
-        if held is not None and held.has_expired(self.monotonic()):
+        entry = self.entries.get(self.names.fingerprint_of(request))
+        if entry is not None and entry.has_expired(self.monotonic()):
             self._release(
-                held.fingerprint, self.monotonic(), "it has not been in the store for too long"
+                entry.fingerprint, self.monotonic(), "it has not been in the store for too long"
             )
             return None
-        return held
+        return entry
 
     def judgement(self, request: FingerprintedRequest) -> Assessment:
         """Return the evidence against a request that is not refused.
 
         It holds no crashes when the request is no suspect.
         """
-        return self.suspects.assessment(request, self.held)
+        return self.suspects.assessment(request, self.entries)
 
     def assess_due(self) -> None:
         """Quarantine the requests that are confirmed to crash servers by now."""
-        for confirmed in self.suspects.confirmed(self.held):
-            if confirmed.suspect.fingerprint not in self.held:
+        for confirmed in self.suspects.confirmed(self.entries):
+            if confirmed.suspect.fingerprint not in self.entries:
                 self._quarantine(confirmed)
 
     def note_crash(
@@ -145,7 +145,7 @@
         if not self._targets[target] and not log.has_target(target):
             return
         fingerprint = self.names.fingerprint_of(request)
-        if fingerprint not in self.held and log.suspect(fingerprint) is None:
+        if fingerprint not in self.entries and log.suspect(fingerprint) is None:
             return
         now = self.monotonic()
         self.pending_removals[fingerprint] = now + _SUCCESS_VALID_S
@@ -157,10 +157,10 @@
         """Clear a request that succeeded at another VM."""
         self._release(report.fingerprint, now, "it succeeded at another VM")
 
-    def begin_trial(self, held: Held) -> None:
+    def begin_trial(self, entry: QuarantineEntry) -> None:
         """Record that this VM takes a trial of a request: its refusal begins anew."""
-        self.held[held.fingerprint] = held._replace(
-            request=held.request.on_trial(), since=self.monotonic()
+        self.entries[entry.fingerprint] = entry._replace(
+            request=entry.request.on_trial(), since=self.monotonic()
         )
 
     def _quarantine(self, confirmed: ConfirmedSuspect) -> None:
@@ -176,7 +176,7 @@
             crashes=_evidence(crashes, now),
             trials_left=max(_MIN_TRIALS, MAX_CRASHES - confirmed.assessment.crashes),
         )
-        self._put(Held(request, now, witnessed=witnessed))
+        self._put(QuarantineEntry(request, now, witnessed=witnessed))
         self.changed.set()
         self.events.count("requests_quarantined")
         self.events.state(
@@ -187,22 +187,22 @@
             crashes=[each._asdict() for each in request.crashes],
         )
 
-    def _put(self, held: Held) -> None:
-        if held.fingerprint not in self.held:
-            self._targets[int(held.request.target_hash, 16)] += 1
-        self.held[held.fingerprint] = held
-        if len(self.held) > MAX_QUARANTINED:
-            oldest = min(self.held.values(), key=lambda each: each.since)
+    def _put(self, entry: QuarantineEntry) -> None:
+        if entry.fingerprint not in self.entries:
+            self._targets[int(entry.request.target_hash, 16)] += 1
+        self.entries[entry.fingerprint] = entry
+        if len(self.entries) > MAX_QUARANTINED:
+            oldest = min(self.entries.values(), key=lambda each: each.since)
             self._remove(oldest.fingerprint)
 
-    def _remove(self, fingerprint: bytes) -> Optional[Held]:
-        held = self.held.pop(fingerprint, None)
-        if held is not None:
-            target = int(held.request.target_hash, 16)
+    def _remove(self, fingerprint: bytes) -> Optional[QuarantineEntry]:
+        entry = self.entries.pop(fingerprint, None)
+        if entry is not None:
+            target = int(entry.request.target_hash, 16)
             self._targets[target] -= 1
             if not self._targets[target]:
                 del self._targets[target]
-        return held
+        return entry
 
     def _release(self, fingerprint: bytes, now: float, why: str) -> None:
         """Release a request, and drop the evidence against it."""
@@ -221,11 +221,11 @@
 
     def _on_stored(self, request: QuarantinedRequest, change: Change) -> None:
         """Quarantine a request that the store holds, unless it has just succeeded."""
-        held = Held(request, change.at, change.revision)
-        if change.at - self.suspects.log.last_success(held.fingerprint) < _SUCCESS_VALID_S:
+        entry = QuarantineEntry(request, change.at, change.revision)
+        if change.at - self.suspects.log.last_success(entry.fingerprint) < _SUCCESS_VALID_S:
             self.changed.set()
             return
-        self._put(held)
+        self._put(entry)
 
 
 def _evidence(crashes: Sequence[Crash], now: float) -> tuple[CrashEvidence, ...]:
@@ -241,6 +241,6 @@
     )
 
 
-async def _refuse_trial(_held: Held) -> bool:
+async def _refuse_trial(_held: QuarantineEntry) -> bool:
     """Return False: no trial can be taken without the store."""
     return False
--- a/sprucewinch/gateway/crashes/held.py
+++ b/sprucewinch/gateway/crashes/quarantine_entry.py
@@ -33,7 +33,7 @@
 restart of the store, short compared with the time to fix a service."""
 
 
-class Held(NamedTuple):
+class QuarantineEntry(NamedTuple):
     """A request that is refused.
 
     Args:
--- a/sprucewinch/gateway/crashes/quarantine_store.py
+++ b/sprucewinch/gateway/crashes/quarantine_store.py
@@ -22,8 +22,8 @@
 from ..state.store import Store, StoreUnavailableError
 from ..state.store_view import StoreView
 from ..timing import Timing
-from .held import Held
 from .quarantine import MAX_QUARANTINED, Quarantine
+from .quarantine_entry import QuarantineEntry
 
 _CHECK_INTERVAL_S = 0.5
 """Longest time between two checks for a write that is due, in seconds."""
@@ -87,16 +87,16 @@
                     )
                 )
 
-    async def take_trial(self, held: Held) -> bool:
+    async def take_trial(self, entry: QuarantineEntry) -> bool:
         """Take a trial of a request; return whether this VM may send it.
 
         The result is False when another VM took the trial, or the store is unavailable.
         """
-        item = self._item(held.request)
+        item = self._item(entry.request)
         if item is None:
             return False
-        taken = held.request.on_trial()
-        self.quarantine.begin_trial(held)
+        taken = entry.request.on_trial()
+        self.quarantine.begin_trial(entry)
         try:
             won = await self.store.replace(item, quarantine_item(taken).value)
         except StoreUnavailableError as error:
@@ -137,28 +137,28 @@
                 await self.store.remove(item)
             if now > until:
                 pending_removals.pop(fingerprint, None)
-        for held in list(self.quarantine.held.values()):
-            if self._is_due(held, now):
-                stored = quarantine_item(held.request)
+        for entry in list(self.quarantine.entries.values()):
+            if self._is_due(entry, now):
+                stored = quarantine_item(entry.request)
                 # Only if absent: the item that another VM wrote may already count a trial.
                 await self.store.replace(Item(stored.key, b"", _ABSENT_REVISION), stored.value)
-                self._mark_written(held)
+                self._mark_written(entry)
 
-    def _is_due(self, held: Held, now: float) -> bool:
-        if held.revision or self._item(held.request) is not None:
+    def _is_due(self, entry: QuarantineEntry, now: float) -> bool:
+        if entry.revision or self._item(entry.request) is not None:
             return False
         if self._stored_count() >= MAX_QUARANTINED:
             return False
-        return held.witnessed or (
-            now - held.since > _FOLLOWER_DELAY_S and self.follow_role.is_elected(now)
+        return entry.witnessed or (
+            now - entry.since > _FOLLOWER_DELAY_S and self.follow_role.is_elected(now)
         )
 
-    def _mark_written(self, held: Held) -> None:
+    def _mark_written(self, entry: QuarantineEntry) -> None:
         """Keep this VM from writing an item again before the item arrives from the store."""
-        current = self.quarantine.held.get(held.fingerprint)
-        if current is held:
-            renewed = held._replace(witnessed=False, since=self.timing.monotonic())
-            self.quarantine.held[held.fingerprint] = renewed
+        current = self.quarantine.entries.get(entry.fingerprint)
+        if current is entry:
+            renewed = entry._replace(witnessed=False, since=self.timing.monotonic())
+            self.quarantine.entries[entry.fingerprint] = renewed
 
     def _item(self, request: QuarantinedRequest) -> Optional[Item]:
         return self.store_view.replica.items.get(quarantine_key(request.fingerprint))
--- a/sprucewinch/gateway/crashes/suspects.py
+++ b/sprucewinch/gateway/crashes/suspects.py
@@ -4,18 +4,19 @@
 the set of requests that are to be assessed again. A crash counts once it is older than
 `MIN_CRASH_AGE_S`. Evaluated sooner, a request that was present by chance could be known for one
 crash more than the request that caused it, and be refused in its place. The module relies on
-`crash_log` to merge the evidence and on `guilt` to assess it; `quarantine` refuses the requests
-that are confirmed. `test_gateway_quarantine` and `test_gateway_crash_reports` test this module.
+`crash_log` to merge the evidence and on `crash_attribution` to assess it; `quarantine` refuses the
+requests that are confirmed. `test_gateway_quarantine` and `test_gateway_crash_reports` test this
+module.
 """
 
 from collections.abc import Callable, Collection, Sequence
 from typing import NamedTuple, Optional, Protocol
 
 from ..servers.backend_server import BackendServer
+from .crash_attribution import MAX_CRASHES, MIN_CRASHES, Assessment, assess
 from .crash_log import Crash, CrashLog, ServerProcess, Suspect
 from .crash_reports import CrashReport, ObservedCrash, observed_crash
 from .fingerprint import FingerprintedRequest, Fingerprinter
-from .guilt import MAX_CRASHES, MIN_CRASHES, Assessment, assess
 
 MIN_CRASH_AGE_S = 0.15
 """Age from which a crash counts, in seconds: two transits of 35 ms between regions and the delay of
--- a/sprucewinch/gateway/requests/outcome/final_answer.py
+++ b/sprucewinch/gateway/requests/outcome/final_answer.py
@@ -42,7 +42,7 @@
 import random
 from typing import Optional
 
-from ...crashes.held import Held
+from ...crashes.quarantine_entry import QuarantineEntry
 from ...resources import Route
 from ..client_request import Attempt, ClientRequest, RefusalReason, Reply, Verdict
 
@@ -148,14 +148,14 @@
     return refused(_certain_reason(request, refusal), rng)
 
 
-def trial_in_s(held: Held, now: float) -> float:
+def trial_in_s(entry: QuarantineEntry, now: float) -> float:
     """Return the Retry-After of a request that crashes servers, in seconds: when its trial is due.
 
     Args:
-        held: Its quarantine.
+        entry: Its quarantine.
         now: Monotonic time, in seconds.
     """
-    return round(max(MIN_TRIAL_RETRY_AFTER_S, held.retry_after_s(now)), 1)
+    return round(max(MIN_TRIAL_RETRY_AFTER_S, entry.retry_after_s(now)), 1)
 
 
 def stopped(request: ClientRequest, rng: random.Random) -> Reply:
--- a/sprucewinch/gateway/requests/outcome/retry_decision.py
+++ b/sprucewinch/gateway/requests/outcome/retry_decision.py
@@ -43,7 +43,7 @@
 MAX_CONSECUTIVE_CRASHES = 2
 """Number of servers in a row, at this VM or others, that crash while they run a request or an equal
 one, from which it is not retried here. One crash is usually caused by another request; two in a row
-are with a probability of 3 in 100 (`crashes.guilt`)."""
+are with a probability of 3 in 100 (`crashes.crash_attribution`)."""
 
 SERVER_FAILED_STATUS = 500
 """Lowest HTTP status that reports a failure of the server, by the HTTP standard."""
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -16,7 +16,7 @@
 
 from typing import Optional
 
-from ..crashes.held import Held
+from ..crashes.quarantine_entry import QuarantineEntry
 from ..quotas.quotas import QuotaEnd
 from ..resources import Route
 from ..servers.backend_registry import BackendRegistry
@@ -137,9 +137,9 @@
             route = self.routes.usable(request)
             if isinstance(route, RefusalReason):
                 return final_answer.without_route(request, route, self.rng)
-            held = await self._quarantine_of(request)
-            if held is not None:
-                return self._quarantine_reply(request, route, held)
+            entry = await self._quarantine_of(request)
+            if entry is not None:
+                return self._quarantine_reply(request, route, entry)
             service = self._service(request, route, service, now)
             until = hold_time(request, route).until
             if not has_time(until, now, self.registry.times.low_quantile_s(service)):
@@ -165,20 +165,22 @@
         """Return the rate of callers' requests for a service at this VM, in requests a second."""
         return self.budgets.requests_per_s(service, now)
 
-    async def _quarantine_of(self, request: ClientRequest) -> Optional[Held]:
+    async def _quarantine_of(self, request: ClientRequest) -> Optional[QuarantineEntry]:
         """Return the quarantine that a request is refused for; None when it may be sent."""
-        held = self.quarantine.refusal(request)
-        if held is None or not held.trial_is_due(self.monotonic()):
-            return held
-        request.on_trial = await self.quarantine.take_trial(held)
-        return None if request.on_trial else held
-
-    def _quarantine_reply(self, request: ClientRequest, route: Route, held: Held) -> Reply:
+        entry = self.quarantine.refusal(request)
+        if entry is None or not entry.trial_is_due(self.monotonic()):
+            return entry
+        request.on_trial = await self.quarantine.take_trial(entry)
+        return None if request.on_trial else entry
+
+    def _quarantine_reply(
+        self, request: ClientRequest, route: Route, entry: QuarantineEntry
+    ) -> Reply:
         """Return the answer to a request that is refused because it crashes servers."""
         reply = self._not_served(request, route, RefusalReason.CRASHES_SERVERS)
         if reply.refusal is not RefusalReason.CRASHES_SERVERS:
             return reply
-        return reply._replace(retry_after_s=final_answer.trial_in_s(held, self.monotonic()))
+        return reply._replace(retry_after_s=final_answer.trial_in_s(entry, self.monotonic()))
 
     def _service(self, request: ClientRequest, route: Route, service: str, now: float) -> str:
         """Return the service of a request, chosen again if its route no longer has that service."""
--- a/sprucewinch/gateway/vm_metrics.py
+++ b/sprucewinch/gateway/vm_metrics.py
@@ -24,7 +24,7 @@
         "members": len(view.members),
         "members_open": sum(parts.fleet.gossip.accepts_callers(m, now) for m in view.members),
         "backend_servers": len(view.backends),
-        "requests_held": len(parts.crashes.quarantine.held),
+        "requests_held": len(parts.crashes.quarantine.entries),
         "quota_asks": parts.workspaces.exchange.asked,
         **_statement_gauges(parts, now),
         "neighbour_deltas": parts.fleet.peer_follower.deltas_applied,
--- a/sprucewinch/gateway/vm_state.py
+++ b/sprucewinch/gateway/vm_state.py
@@ -269,15 +269,15 @@
 def _quarantined(crashes: Crashes, now: float) -> tuple[QuarantinedState, ...]:
     return tuple(
         QuarantinedState(
-            fingerprint=held.request.fingerprint,
-            what=held.request.what,
-            age_s=round(now - held.since, _TIME_DIGITS),
-            trial_in_s=round(held.retry_after_s(now), _TIME_DIGITS),
-            trials=held.request.trials,
-            stored=held.revision > 0,
-            crashes=tuple(crash._asdict() for crash in held.request.crashes),
+            fingerprint=entry.request.fingerprint,
+            what=entry.request.what,
+            age_s=round(now - entry.since, _TIME_DIGITS),
+            trial_in_s=round(entry.retry_after_s(now), _TIME_DIGITS),
+            trials=entry.request.trials,
+            stored=entry.revision > 0,
+            crashes=tuple(crash._asdict() for crash in entry.request.crashes),
         )
-        for _, held in sorted(crashes.quarantine.held.items())
+        for _, entry in sorted(crashes.quarantine.entries.items())
     )
 
 
--- a/tests/test_gateway_guilt.py
+++ b/tests/test_gateway_crash_attribution.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from sprucewinch.gateway.crashes import crash_log
-from sprucewinch.gateway.crashes.crash_log import CrashLog, ServerProcess, Suspect, SuspectRun
-from sprucewinch.gateway.crashes.guilt import (
+from sprucewinch.gateway.crashes.crash_attribution import (
     MIN_CRASHES,
     assess,
     count_consecutive,
     count_incidents,
 )
+from sprucewinch.gateway.crashes.crash_log import CrashLog, ServerProcess, Suspect, SuspectRun
 
 REQUESTS = tuple(bytes([number]) * 16 for number in range(4))
 
--- a/tests/test_gateway_quarantine.py
+++ b/tests/test_gateway_quarantine.py
@@ -7,8 +7,8 @@
 from typing import Any
 from unittest import mock
 
-from sprucewinch.gateway.crashes import held, quarantine
-from sprucewinch.gateway.crashes.held import NO_TRIAL_RETRY_AFTER_S
+from sprucewinch.gateway.crashes import quarantine, quarantine_entry
+from sprucewinch.gateway.crashes.quarantine_entry import NO_TRIAL_RETRY_AFTER_S
 from sprucewinch.gateway.requests.client_request import RefusalReason
 from standins.consortium_store import Fault
 from standins.virtual import VirtualLoop, pass_time, run_virtual
@@ -26,7 +26,7 @@
 
 
 def _held(fleet: CrashFleet) -> list[int]:
-    return [len(vm.gateway.crashes.quarantine.held) for vm in fleet.vms]
+    return [len(vm.gateway.crashes.quarantine.entries) for vm in fleet.vms]
 
 
 async def _refusing_fleet(loop: VirtualLoop, **options: Any) -> CrashFleet:
@@ -39,7 +39,7 @@
 
 class _Fleet(unittest.TestCase):
     def run_fleet(self, main: Callable[[VirtualLoop], Coroutine[Any, Any, None]]) -> None:
-        with mock.patch.object(held, "TRIAL_DELAYS_S", TRIAL_DELAYS_S):
+        with mock.patch.object(quarantine_entry, "TRIAL_DELAYS_S", TRIAL_DELAYS_S):
             run_virtual(main)
 
 
@@ -113,7 +113,7 @@
                 ended = loop.time() - 0.6 + 0.1 * number
                 log.note_crash(request, server, ended - 0.05, ended)
             self.assertEqual((await late).status, 503)
-            self.assertEqual(len(rule.held), 1)
+            self.assertEqual(len(rule.entries), 1)
             self.assertEqual(fleet.sends(CRASHING_TARGET), 0)
 
         self.run_fleet(main)
@@ -214,10 +214,10 @@
             await send_repeatedly(fleet, CRASHING_TARGET, 2.0)
             fleet.crashing_targets.clear()
             self.assertEqual((await fleet.ask(1, CRASHING_TARGET)).status, 503)
-            await pass_time(held.UNSTORED_REFUSAL_S)
+            await pass_time(quarantine_entry.UNSTORED_REFUSAL_S)
             self.assertEqual((await fleet.ask(1, CRASHING_TARGET)).status, 200)
 
-        with mock.patch.object(held, "UNSTORED_REFUSAL_S", 60.0):
+        with mock.patch.object(quarantine_entry, "UNSTORED_REFUSAL_S", 60.0):
             self.run_fleet(main)
 
 
