--- a/sprucewinch/gateway/composition.py
+++ b/sprucewinch/gateway/composition.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from ..clock import Clock
-from .crashes.crash_reports import CrashReport, CrashReporter, GoodEndReport
+from .crashes.crash_reports import CrashReport, CrashReporter, SuccessReport
 from .crashes.quarantine import Quarantine
 from .crashes.quarantine_store import QuarantineStore
 from .datagrams import Datagrams
@@ -323,7 +323,7 @@
         fleet.datagrams, fleet.follow_role, context.timing, earlier=suspects.earlier
     )
     fleet.datagrams.register(CrashReport, suspects.on_crash_report)
-    fleet.datagrams.register(GoodEndReport, quarantine.on_good_end_report)
+    fleet.datagrams.register(SuccessReport, quarantine.on_success_report)
     store = QuarantineStore(
         quarantine, state.store, state.view, fleet.follow_role, context.timing, context.events
     )
--- a/sprucewinch/gateway/crashes/crash_log.py
+++ b/sprucewinch/gateway/crashes/crash_log.py
@@ -136,7 +136,7 @@
             self._remove_suspect(crash, last.fingerprint)
         self._evict_old(at)
 
-    def note_good_end(self, fingerprint: bytes, at: float) -> None:
+    def record_success(self, fingerprint: bytes, at: float) -> None:
         """Record a success of a request, which clears it of all earlier crashes.
 
         Args:
--- a/sprucewinch/gateway/crashes/crash_reports.py
+++ b/sprucewinch/gateway/crashes/crash_reports.py
@@ -73,7 +73,7 @@
     suspects: tuple[SuspectRow, ...]
 
 
-class GoodEndReport(msgspec.Struct, array_like=True, frozen=True, tag="well"):
+class SuccessReport(msgspec.Struct, array_like=True, frozen=True, tag="well"):
     """A success of a request that was a suspect, or of an equal one.
 
     Args:
@@ -175,9 +175,9 @@
         self._pending_suspects.setdefault(observed.process, []).extend(observed.suspects)
         self._pending_added.set()
 
-    def send_good_end(self, fingerprint: bytes) -> None:
+    def send_success(self, fingerprint: bytes) -> None:
         """Report a success of a request now."""
-        self._send(GoodEndReport(fingerprint, 0))
+        self._send(SuccessReport(fingerprint, 0))
 
     async def run(self) -> None:
         """Send what is due, until cancelled."""
--- a/sprucewinch/gateway/crashes/quarantine.py
+++ b/sprucewinch/gateway/crashes/quarantine.py
@@ -38,7 +38,7 @@
 from ..state.store_view import Change, StoreView
 from .crash_attribution import MAX_CRASHES, Assessment
 from .crash_log import Crash
-from .crash_reports import GoodEndReport
+from .crash_reports import SuccessReport
 from .fingerprint import FingerprintedRequest, Fingerprinter
 from .quarantine_entry import QuarantineEntry
 from .suspects import ConfirmedSuspect, Suspects
@@ -90,7 +90,7 @@
         wall: Callable[[], float],
         events: Optional[EventLog] = None,
     ) -> None:
-        self.names = Fingerprinter(id_header)
+        self.fingerprinter = Fingerprinter(id_header)
         self.monotonic = monotonic
         self.wall = wall
         self.events = events or NoEvents()
@@ -98,7 +98,7 @@
         self.entries: dict[bytes, QuarantineEntry] = {}
         self.pending_removals: dict[bytes, float] = {}
         self.changed = asyncio.Event()
-        self.suspects = Suspects(name, self.names, monotonic, on_evidence=self.changed.set)
+        self.suspects = Suspects(name, self.fingerprinter, monotonic, on_evidence=self.changed.set)
         self._targets: Counter[int] = Counter()
         store_view.listeners.append(self._on_change)
 
@@ -107,9 +107,9 @@
         if request.on_trial or not (self._targets or self.suspects.has_unassessed):
             return None
         self.assess_due()
-        if not self._targets[self.names.target_of(request)]:
+        if not self._targets[self.fingerprinter.target_of(request)]:
             return None
-        entry = self.entries.get(self.names.fingerprint_of(request))
+        entry = self.entries.get(self.fingerprinter.fingerprint_of(request))
         if entry is not None and entry.has_expired(self.monotonic()):
             self._release(
                 entry.fingerprint, self.monotonic(), "it has not been in the store for too long"
@@ -117,7 +117,7 @@
             return None
         return entry
 
-    def judgement(self, request: FingerprintedRequest) -> Assessment:
+    def assessment(self, request: FingerprintedRequest) -> Assessment:
         """Return the evidence against a request that is not refused.
 
         It holds no crashes when the request is no suspect.
@@ -130,30 +130,30 @@
             if confirmed.suspect.fingerprint not in self.entries:
                 self._quarantine(confirmed)
 
-    def note_crash(
+    def record_crash(
         self, request: FingerprintedRequest, server: BackendServer, started: float, ended: float
     ) -> None:
         """Record that a server's process ended while it had a request; see `Suspects`."""
-        self.suspects.note_crash(request, server, started, ended)
+        self.suspects.record_crash(request, server, started, ended)
 
-    def note_good_end(self, request: FingerprintedRequest) -> None:
+    def record_success(self, request: FingerprintedRequest) -> None:
         """Record a success of a request, which clears all equal requests."""
         log = self.suspects.log
         if not self._targets and not log.crashes:
             return
-        target = self.names.target_of(request)
+        target = self.fingerprinter.target_of(request)
         if not self._targets[target] and not log.has_target(target):
             return
-        fingerprint = self.names.fingerprint_of(request)
+        fingerprint = self.fingerprinter.fingerprint_of(request)
         if fingerprint not in self.entries and log.suspect(fingerprint) is None:
             return
         now = self.monotonic()
         self.pending_removals[fingerprint] = now + _SUCCESS_VALID_S
         self._release(fingerprint, now, "it succeeded")
         if self.suspects.reporter is not None:
-            self.suspects.reporter.send_good_end(fingerprint)
+            self.suspects.reporter.send_success(fingerprint)
 
-    def on_good_end_report(self, report: GoodEndReport, now: float) -> None:
+    def on_success_report(self, report: SuccessReport, now: float) -> None:
         """Clear a request that succeeded at another VM."""
         self._release(report.fingerprint, now, "it succeeded at another VM")
 
@@ -206,7 +206,7 @@
 
     def _release(self, fingerprint: bytes, now: float, why: str) -> None:
         """Release a request, and drop the evidence against it."""
-        self.suspects.log.note_good_end(fingerprint, now)
+        self.suspects.log.record_success(fingerprint, now)
         if self._remove(fingerprint) is not None:
             self.changed.set()
             self.events.state("request-released", fingerprint=fingerprint.hex(), why=why)
--- a/sprucewinch/gateway/crashes/suspects.py
+++ b/sprucewinch/gateway/crashes/suspects.py
@@ -51,7 +51,7 @@
     def add(self, observed: ObservedCrash) -> None:
         """Report a crash."""
 
-    def send_good_end(self, fingerprint: bytes) -> None:
+    def send_success(self, fingerprint: bytes) -> None:
         """Report a success."""
 
 
@@ -60,7 +60,7 @@
 
     Args:
         name: Name of this VM.
-        names: Computes the fingerprints of requests.
+        fingerprinter: Computes the fingerprints of requests.
         monotonic: Source of time, in seconds.
         on_evidence: Called when a request is to be assessed.
 
@@ -71,13 +71,13 @@
     def __init__(
         self,
         name: str,
-        names: Fingerprinter,
+        fingerprinter: Fingerprinter,
         monotonic: Callable[[], float],
         *,
         on_evidence: Callable[[], None],
     ) -> None:
         self.name = name
-        self.names = names
+        self.fingerprinter = fingerprinter
         self.monotonic = monotonic
         self.log = CrashLog()
         self.reporter: Optional[Reporter] = None
@@ -89,7 +89,7 @@
         """Whether a request is to be assessed."""
         return bool(self._unassessed)
 
-    def note_crash(
+    def record_crash(
         self, request: FingerprintedRequest, server: BackendServer, started: float, ended: float
     ) -> None:
         """Record that a server's process ended while it had a request.
@@ -101,8 +101,10 @@
             ended: Monotonic time at which its connection ended, in seconds.
         """
         what = f"{request.method} {request.path}"[:_MAX_WHAT_CHARS]
-        names = self.names
-        suspect = Suspect(names.fingerprint_of(request), names.target_of(request), what, started)
+        fingerprinter = self.fingerprinter
+        suspect = Suspect(
+            fingerprinter.fingerprint_of(request), fingerprinter.target_of(request), what, started
+        )
         backend = server.backend
         process = ServerProcess(backend.id, backend.incarnation or 0)
         observed = ObservedCrash((self.name,), process, backend.service, ended, (suspect,))
@@ -130,9 +132,9 @@
             request: The request.
             refused: Fingerprints of requests that are refused already.
         """
-        if not self.log.crashes or not self.log.has_target(self.names.target_of(request)):
+        if not self.log.crashes or not self.log.has_target(self.fingerprinter.target_of(request)):
             return Assessment(0, MIN_CRASHES)
-        return assess(self.log, self.names.fingerprint_of(request), refused)
+        return assess(self.log, self.fingerprinter.fingerprint_of(request), refused)
 
     def confirmed(self, refused: Collection[bytes]) -> list[ConfirmedSuspect]:
         """Return the requests that are confirmed by crashes older than `MIN_CRASH_AGE_S`.
--- a/sprucewinch/gateway/requests/attempt_feedback.py
+++ b/sprucewinch/gateway/requests/attempt_feedback.py
@@ -135,7 +135,7 @@
             self.registry.record_success(server, attempt.seconds, now)
             if attempt.why == ANSWERED:
                 # An answer to a request that the server did not run does not clear the request.
-                self.quarantine.note_good_end(request)
+                self.quarantine.record_success(request)
         elif attempt.why == MISDIRECTED:
             server.pause(now + MISDIRECTED_PAUSE_S)
         elif attempt.why.startswith(SHED):
--- a/sprucewinch/gateway/requests/choice/server_choice.py
+++ b/sprucewinch/gateway/requests/choice/server_choice.py
@@ -79,10 +79,10 @@
             start again from the first step.
         """
         key = request.key if route.affinity and request.key else request.id
-        if self.quarantine.judgement(request).crashes:
+        if self.quarantine.assessment(request).crashes:
             # The fingerprint as the key keeps this request away from the other suspects of a crash,
             # and sends equal requests to the same server.
-            key = self.quarantine.names.fingerprint_of(request).hex()
+            key = self.quarantine.fingerprinter.fingerprint_of(request).hex()
         ranking = self.ranker.rank(service, key, route.regions, now)
         selection = self.selector.choose(request, ranking, service, now, route)
         if selection is RefusalReason.NO_SERVER and await self._wait_until_accepted(
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -215,7 +215,7 @@
     def _after_crash(self, request: ClientRequest, attempt: Attempt) -> Optional[RetryDecision]:
         if attempt.why != CRASHED:
             return None
-        crashes = self.quarantine.judgement(request).crashes
+        crashes = self.quarantine.assessment(request).crashes
         return after_crash(crashes, on_trial=request.on_trial)
 
     def _not_served(self, request: ClientRequest, route: Route, refusal: RefusalReason) -> Reply:
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -205,10 +205,10 @@
             "server-crashed",
             server=server.backend.id,
             id=request.id,
-            fingerprint=self.quarantine.names.fingerprint_of(request).hex(),
+            fingerprint=self.quarantine.fingerprinter.fingerprint_of(request).hex(),
             ms=round(attempt.seconds * MS_PER_S, 1),
         )
-        self.quarantine.note_crash(request, server, started, started + attempt.seconds)
+        self.quarantine.record_crash(request, server, started, started + attempt.seconds)
 
     async def _answer(
         self, server: BackendServer, connection: Connection, request: ClientRequest, data: bytes
--- a/tests/test_formats_crashes.py
+++ b/tests/test_formats_crashes.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from sprucewinch.gateway.crashes.crash_reports import CrashReport, GoodEndReport, SuspectRow
+from sprucewinch.gateway.crashes.crash_reports import CrashReport, SuccessReport, SuspectRow
 from sprucewinch.gateway.resources import CrashEvidence, QuarantinedRequest
 from sprucewinch.gateway.state.own_items import decode_own, quarantine_item
 from sprucewinch.gateway.state.replica import Item
@@ -17,7 +17,7 @@
     b"\x97\xa5crash\x91\xa3vm1\xa3i-7\x07\xa5rates\x0c\x91\x94\xc4\x02\x01\x02\xce\x00\x01\x00\x00"
     b"\xa6GET /a,"
 )
-GOOD_END = b"\x93\xa4well\xc4\x02\x01\x02\x0c"
+SUCCESS = b"\x93\xa4well\xc4\x02\x01\x02\x0c"
 ITEM = (
     b'{"fingerprint":"0102","target_hash":"ff","what":"GET /a","since":17.5,'
     b'"crashes":[["i-7",0,["vm1","vm2"],1.25]],"trials":1,"trials_left":2}'
@@ -37,9 +37,9 @@
         report = CrashReport(("vm1",), "i-7", 7, "rates", 12, (row,))
         self.assertEqual(msgspec.msgpack.encode(report), CRASH)
         self.assertEqual(msgspec.msgpack.decode(CRASH, type=CrashReport), report)
-        good_end = GoodEndReport(b"\x01\x02", 12)
-        self.assertEqual(msgspec.msgpack.encode(good_end), GOOD_END)
-        self.assertEqual(msgspec.msgpack.decode(GOOD_END, type=GoodEndReport), good_end)
+        success = SuccessReport(b"\x01\x02", 12)
+        self.assertEqual(msgspec.msgpack.encode(success), SUCCESS)
+        self.assertEqual(msgspec.msgpack.decode(SUCCESS, type=SuccessReport), success)
 
     def test_item(self) -> None:
         self.assertEqual(tuple(quarantine_item(request())), (KEY, ITEM))
--- a/tests/test_gateway_crash_attribution.py
+++ b/tests/test_gateway_crash_attribution.py
@@ -50,7 +50,7 @@
 def deliver(log: CrashLog, report: "Crash | Success") -> None:
     """Deliver one report to a VM's log."""
     if isinstance(report, Success):
-        log.note_good_end(report.request, report.at)
+        log.record_success(report.request, report.at)
         return
     process = ServerProcess(f"i-{report.server}")
     for run in report.runs:
--- a/tests/test_gateway_crash_reports.py
+++ b/tests/test_gateway_crash_reports.py
@@ -13,8 +13,8 @@
 from sprucewinch.gateway.crashes.crash_reports import (
     CrashReport,
     CrashReporter,
-    GoodEndReport,
     ObservedCrash,
+    SuccessReport,
     observed_crash,
 )
 from sprucewinch.gateway.crashes.quarantine import Quarantine
@@ -82,7 +82,7 @@
         )
         self.quarantine.suspects.reporter = reporter
         self.datagrams.register(CrashReport, self.quarantine.suspects.on_crash_report)
-        self.datagrams.register(GoodEndReport, self.quarantine.on_good_end_report)
+        self.datagrams.register(SuccessReport, self.quarantine.on_success_report)
         self.task = loop.create_task(reporter.run())
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
@@ -128,7 +128,7 @@
             vm = self.vms[(first + offset) % len(self.vms)]
             is_crashing = offset == 0
             request = self.request() if is_crashing else self.request(f"/rates/{number}-{offset}")
-            vm.quarantine.note_crash(request, BackendServer(backend), ended - 0.1, ended)
+            vm.quarantine.record_crash(request, BackendServer(backend), ended - 0.1, ended)
         await pass_time(_CRASH_PAUSE_S)
 
     def refusing(self) -> int:
@@ -183,7 +183,7 @@
             backend = BackendServer(BackendEntry("i-" + "7" * 20, "rates", "1.2.3.4:80", "h", 6))
             for number in range(32):
                 request = fleet.request(f"/rates/{number:0200}")
-                fleet.vms[0].quarantine.note_crash(request, backend, 999.0, 1000.0)
+                fleet.vms[0].quarantine.record_crash(request, backend, 999.0, 1000.0)
             await pass_time(0.1)
 
         run_virtual(main)
--- a/tests/test_gateway_quarantine.py
+++ b/tests/test_gateway_quarantine.py
@@ -86,13 +86,13 @@
             fleet = await CrashFleet(loop).ready()
             await fleet.ask(0, CRASHING_TARGET)
             rule = fleet.vms[0].gateway.crashes.quarantine
-            before = rule.judgement(fleet.request(CRASHING_TARGET))
+            before = rule.assessment(fleet.request(CRASHING_TARGET))
             nameless = fleet.request(CRASHING_TARGET)
             nameless.id, nameless.headers = "", nameless.headers[1:]
             reply = await fleet.vms[0].gateway.requests.pipeline.run(nameless)
             self.assertEqual(reply.status, 400)
             self.assertEqual(before.crashes, 2)
-            self.assertEqual(rule.judgement(fleet.request(CRASHING_TARGET)), before)
+            self.assertEqual(rule.assessment(fleet.request(CRASHING_TARGET)), before)
 
         self.run_fleet(main)
 
@@ -111,7 +111,7 @@
             for number in range(3):
                 server = _Server(f"gone-{number}")
                 ended = loop.time() - 0.6 + 0.1 * number
-                log.note_crash(request, server, ended - 0.05, ended)
+                log.record_crash(request, server, ended - 0.05, ended)
             self.assertEqual((await late).status, 503)
             self.assertEqual(len(rule.entries), 1)
             self.assertEqual(fleet.sends(CRASHING_TARGET), 0)
@@ -120,7 +120,7 @@
 
 
 class _Server:
-    """The parts of a backend server that `note_crash` reads."""
+    """The parts of a backend server that `record_crash` reads."""
 
     def __init__(self, server_id: str) -> None:
         self.backend = _Backend(server_id)
@@ -316,7 +316,7 @@
                 for each in range(5):
                     at = loop.time() + each
                     server = _Server(f"gone-{number}-{each}")
-                    rule.note_crash(request, server, at, at + 0.01)
+                    rule.record_crash(request, server, at, at + 0.01)
             await pass_time(30.0)
             self.assertLessEqual(max(_held(fleet)), quarantine.MAX_QUARANTINED)
             self.assertLessEqual(len(_items(fleet)), quarantine.MAX_QUARANTINED)
