--- a/sprucewinch/gateway/quotas/exchange.py
+++ b/sprucewinch/gateway/quotas/exchange.py
@@ -1,8 +1,8 @@
 """Asks the owners of parts of quotas, and answers for the parts of this VM.
 
-This module owns the messages `QuotaAsk`, `HallQuotaAsk`, `QuotaAnswer` and `QuotaReturn`, and the
-asks in progress. What a late answer grants is not used. It relies on `parts` for what this VM
-grants and on `datagrams`.
+This module owns the messages `QuotaRequest`, `HallQuotaRequest`, `QuotaAnswer` and `QuotaReturn`,
+and the asks in progress. What a late answer grants is not used. It relies on `parts` for what this
+VM grants and on `datagrams`.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 """Value of `QuotaAnswer.wait_ms` when the sender holds no part of the quota."""
 
 
-class QuotaAsk(msgspec.Struct, array_like=True, frozen=True, tag="quota-ask"):
+class QuotaRequest(msgspec.Struct, array_like=True, frozen=True, tag="quota-ask"):
     """A VM asks for requests of a workspace; its tag on the wire is `quota-ask`.
 
     Args:
@@ -40,7 +40,7 @@
     count: int
 
 
-class HallQuotaAsk(msgspec.Struct, array_like=True, frozen=True, tag="hall-quota-ask"):
+class HallQuotaRequest(msgspec.Struct, array_like=True, frozen=True, tag="hall-quota-ask"):
     """A VM asks for requests of a quota that the VMs of one data hall keep.
 
     It states everything that the owner needs, which may not know the quota. Its tag on the wire is
@@ -119,8 +119,8 @@
         self.asked = 0
         self._number = 0
         self._pending: dict[int, asyncio.Future[QuotaAnswer]] = {}
-        datagrams.register(QuotaAsk, self._on_ask)
-        datagrams.register(HallQuotaAsk, self._on_hall_ask)
+        datagrams.register(QuotaRequest, self._on_ask)
+        datagrams.register(HallQuotaRequest, self._on_hall_ask)
         datagrams.register(QuotaAnswer, self._on_answer)
         datagrams.register(QuotaReturn, self._on_return)
 
@@ -139,7 +139,7 @@
             Its answer; None when it holds no part, or did not answer in time.
         """
         if owner.name == self.name:
-            return self.parts.give(quota, count, self.timing.monotonic())
+            return self.parts.grant(quota, count, self.timing.monotonic())
         member = self.store_view.members.get(owner.name)
         if member is None:
             return None
@@ -183,15 +183,15 @@
         finally:
             del self._pending[number]
 
-    def _on_ask(self, ask: QuotaAsk, now: float) -> None:
+    def _on_ask(self, ask: QuotaRequest, now: float) -> None:
         self._reply(ask.number, self.quota_of(ask.workspace), ask.count, now)
 
-    def _on_hall_ask(self, ask: HallQuotaAsk, now: float) -> None:
+    def _on_hall_ask(self, ask: HallQuotaRequest, now: float) -> None:
         self._reply(ask.number, hall_quota(ask.name, ask.rate_per_s, ask.hall), ask.count, now)
 
     def _reply(self, number: int, quota: Optional[Quota], count: int, now: float) -> None:
         sender = self.datagrams.last_sender
-        grant = self.parts.give(quota, count, now) if quota else None
+        grant = self.parts.grant(quota, count, now) if quota else None
         if grant is None:
             answer = QuotaAnswer(number, 0, _NOT_OWNER_MS)
         else:
@@ -205,8 +205,8 @@
             asked.set_result(answer)
 
 
-def _ask_message(quota: Quota, number: int, count: int) -> QuotaAsk | HallQuotaAsk:
+def _ask_message(quota: Quota, number: int, count: int) -> QuotaRequest | HallQuotaRequest:
     """Return the message that asks for requests of a quota."""
     if not quota.hall:
-        return QuotaAsk(number, quota.name, count)
-    return HallQuotaAsk(number, quota.name, count, quota.rate_per_s, quota.hall)
+        return QuotaRequest(number, quota.name, count)
+    return HallQuotaRequest(number, quota.name, count, quota.rate_per_s, quota.hall)
--- a/sprucewinch/gateway/quotas/leases.py
+++ b/sprucewinch/gateway/quotas/leases.py
@@ -60,18 +60,18 @@
 
     Attributes:
         given: Grants with requests left, the oldest first.
-        dry_until: Monotonic time until which the owner of a hall's part is not asked, by hall, in
-            seconds.
+        exhausted_until: Monotonic time until which the owner of a hall's part is not asked, by
+            hall, in seconds.
         returns: Assigns refused callers the times at which to retry.
     """
 
-    __slots__ = ("_sent", "_used", "dry_until", "given", "returns")
+    __slots__ = ("_sent", "_used", "exhausted_until", "given", "returns")
 
     def __init__(self, returns: ReturnSchedule) -> None:
         self.returns = returns
         self._used: deque[float] = deque()
         self.given: deque[LeaseGrant] = deque()
-        self.dry_until: dict[str, float] = {}
+        self.exhausted_until: dict[str, float] = {}
         self._sent: deque[float] = deque()
 
     def arrived(self, now: float) -> None:
@@ -114,17 +114,17 @@
         expected = int(len(self._sent) / _RATE_WINDOW_S * GRANT_VALID_S)
         return min(_MAX_ASKED, max(waiting, expected, 1))
 
-    def note_dry(self, hall: str, until: float) -> None:
+    def record_exhausted(self, hall: str, until: float) -> None:
         """Record that the owner of a hall's part has nothing until a monotonic time, in seconds."""
-        self.dry_until[hall] = until
+        self.exhausted_until[hall] = until
 
     def is_open(self, owner: Owner, now: float) -> bool:
         """Return whether an owner may be asked now."""
-        return self.dry_until.get(owner.hall, 0.0) <= now
+        return self.exhausted_until.get(owner.hall, 0.0) <= now
 
     def next_ask_in_s(self, owners: Iterable[Owner], now: float) -> float:
         """Return the time until one of some owners may be asked again, in seconds; 0 for now."""
-        first = min((self.dry_until.get(owner.hall, 0.0) for owner in owners), default=0.0)
+        first = min((self.exhausted_until.get(owner.hall, 0.0) for owner in owners), default=0.0)
         return max(0.0, first - now)
 
     def used_per_s(self, now: float) -> float:
--- a/sprucewinch/gateway/quotas/owners.py
+++ b/sprucewinch/gateway/quotas/owners.py
@@ -116,7 +116,7 @@
             capacity: Capacity of all parts together, in requests.
             now: Monotonic time, in seconds.
         """
-        self.look(now)
+        self.refresh(now)
         wanted = max(self._region_count, int(capacity / MIN_PART_CAPACITY))
         most = min(MAX_PARTS, len(self._halls), wanted, max(1, int(capacity)))
         key = (workspace, most)
@@ -134,7 +134,7 @@
         """
         if not quota.hall:
             return self.of(quota.name, quota.limit.capacity, now)
-        self.look(now)
+        self.refresh(now)
         key = (quota.name, _SINGLE_OWNER)
         found = self._owners_cache.get(key)
         if found is None:
@@ -150,7 +150,7 @@
         """Return how many VMs are registered."""
         return sum(hall.registered for hall in self._halls.values())
 
-    def look(self, now: float) -> None:
+    def refresh(self, now: float) -> None:
         """Refresh which VMs are in touch, at most once every `_REFRESH_INTERVAL_S`.
 
         Args:
--- a/sprucewinch/gateway/quotas/parts.py
+++ b/sprucewinch/gateway/quotas/parts.py
@@ -52,7 +52,7 @@
 
     def tick(self, now: float) -> None:
         """Refresh the owners; start all parts anew after a pause since the last tick."""
-        self.owners.look(now)
+        self.owners.refresh(now)
         self._drop_idle(now)
         if now - self._ticked_at > _MAX_TICK_GAP_S:
             self._began_at = now
@@ -71,7 +71,7 @@
         """Drop the parts of quotas whose names are unknown."""
         self.buckets = {name: held for name, held in self.buckets.items() if not unknown(name)}
 
-    def give(self, quota: Quota, count: int, now: float) -> Optional[Grant]:
+    def grant(self, quota: Quota, count: int, now: float) -> Optional[Grant]:
         """Grant requests to an asker; return None when this VM holds no part of the quota.
 
         Args:
--- a/sprucewinch/gateway/quotas/quotas.py
+++ b/sprucewinch/gateway/quotas/quotas.py
@@ -224,7 +224,7 @@
             self.unresponsive_until[owner.name] = now + _UNRESPONSIVE_S
             return False
         if grant.count == 0:
-            lease.note_dry(owner.hall, now + grant.wait_s)
+            lease.record_exhausted(owner.hall, now + grant.wait_s)
             return False
         lease.add(LeaseGrant(owner, grant.count, asked_at))
         return True
--- a/sprucewinch/gateway/statements/start_asks.py
+++ b/sprucewinch/gateway/statements/start_asks.py
@@ -1,6 +1,6 @@
 """Asks other VMs after a start what servers have stated, and answers VMs that have just started.
 
-Owns the message `StatementsAsk` and when it is sent: to `_ASKED_VMS` VMs every `_ASK_PAUSE_S`,
+Owns the message `StatementsRequest` and when it is sent: to `_ASKED_VMS` VMs every `_ASK_PAUSE_S`,
 until one has answered or `_MAX_ASKING_S` have passed. Without it, a VM that starts would send
 limited, paused and leaving servers one request each to learn their state. Relies on
 `process_statements` for the rows and on `follow_role` for the VMs. Tests:
@@ -33,12 +33,12 @@
 """Maximum number of reports in answer to one ask; few servers state something at a time."""
 
 
-class StatementsAsk(msgspec.Struct, array_like=True, frozen=True, tag="stated-ask"):
+class StatementsRequest(msgspec.Struct, array_like=True, frozen=True, tag="stated-ask"):
     """Asks what servers have stated, after a start; its tag on the wire is `stated-ask`."""
 
 
 class StatementsEnd(msgspec.Struct, array_like=True, frozen=True, tag="stated-end"):
-    """Ends the answer to `StatementsAsk`; its tag on the wire is `stated-end`."""
+    """Ends the answer to `StatementsRequest`; its tag on the wire is `stated-end`."""
 
 
 class StartAsks:
@@ -64,18 +64,18 @@
         self.monotonic = monotonic
         self.until = monotonic() + _MAX_ASKING_S
         self._answered = asyncio.Event()
-        datagrams.register(StatementsAsk, self._on_ask)
+        datagrams.register(StatementsRequest, self._on_ask)
         datagrams.register(StatementsEnd, self._on_end)
 
     async def run(self) -> None:
         """Ask until a VM has answered or the time has passed, then wait to be cancelled."""
         while self.monotonic() < self.until and not self._answered.is_set():
             asked = list(self.follow_role.recipients(changed=False))[:_ASKED_VMS]
-            self.datagrams.send(StatementsAsk(), [member.peer_address for member in asked])
+            self.datagrams.send(StatementsRequest(), [member.peer_address for member in asked])
             await asyncio.sleep(_ASK_PAUSE_S)
         await asyncio.Event().wait()
 
-    def _on_ask(self, _ask: StatementsAsk, now: float) -> None:
+    def _on_ask(self, _ask: StatementsRequest, now: float) -> None:
         sender = self.datagrams.last_sender
         if sender is None:
             return
--- a/tests/test_formats_statements.py
+++ b/tests/test_formats_statements.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from sprucewinch.gateway.quotas.exchange import HallQuotaAsk
-from sprucewinch.gateway.statements.start_asks import StatementsAsk, StatementsEnd
+from sprucewinch.gateway.quotas.exchange import HallQuotaRequest
+from sprucewinch.gateway.statements.start_asks import StatementsEnd, StatementsRequest
 from sprucewinch.gateway.statements.statement_report import StatementReport
 
 REPORT = b"\x96\xa6stated\xa2s0\x07\x0c\xcb@\x04\x00\x00\x00\x00\x00\x00\xc2"
@@ -23,8 +23,8 @@
         for message, wire in (
             (StatementReport("s0", 7, 12, 2.5), REPORT),
             (StatementReport("s0", 7, 0, None, True), LEAVING),
-            (HallQuotaAsk(7, "s0", 1, 2.5, "east-a"), HALL_ASK),
-            (StatementsAsk(), ASK),
+            (HallQuotaRequest(7, "s0", 1, 2.5, "east-a"), HALL_ASK),
+            (StatementsRequest(), ASK),
             (StatementsEnd(), END),
         ):
             with self.subTest(type(message).__name__):
--- a/tests/test_formats_workspaces.py
+++ b/tests/test_formats_workspaces.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sprucewinch.gateway.quotas.exchange import QuotaAnswer, QuotaAsk, QuotaReturn
+from sprucewinch.gateway.quotas.exchange import QuotaAnswer, QuotaRequest, QuotaReturn
 from sprucewinch.gateway.resources import Workspace
 from sprucewinch.gateway.state.replica import Item
 from sprucewinch.gateway.workspaces.keys import key_digest
@@ -63,10 +63,10 @@
 
 class Messages(unittest.TestCase):
     def test_slots(self) -> None:
-        self.assertEqual(msgspec.msgpack.encode(QuotaAsk(7, "shipper", 3)), ASK)
+        self.assertEqual(msgspec.msgpack.encode(QuotaRequest(7, "shipper", 3)), ASK)
         self.assertEqual(msgspec.msgpack.encode(QuotaAnswer(7, 2, 250)), ANSWER)
         self.assertEqual(msgspec.msgpack.encode(QuotaReturn("shipper", 2)), RETURN)
-        self.assertEqual(msgspec.msgpack.decode(ASK, type=QuotaAsk).count, 3)
+        self.assertEqual(msgspec.msgpack.decode(ASK, type=QuotaRequest).count, 3)
         self.assertEqual(msgspec.msgpack.decode(ANSWER, type=QuotaAnswer).wait_ms, 250)
 
 
--- a/tests/test_gateway_datagrams.py
+++ b/tests/test_gateway_datagrams.py
@@ -13,7 +13,7 @@
 from sprucewinch.gateway.events import EventLog
 from sprucewinch.gateway.following.follow_role import ProgressNotice
 from sprucewinch.gateway.membership.gossip import Heartbeat, HeartbeatRow
-from sprucewinch.gateway.quotas.exchange import QuotaAnswer, QuotaAsk, QuotaReturn
+from sprucewinch.gateway.quotas.exchange import QuotaAnswer, QuotaRequest, QuotaReturn
 from sprucewinch.gateway.regions.region_reports import RegionReport
 from sprucewinch.gateway.servers.peer_reports import FailureReport, OverloadReport
 
@@ -25,7 +25,7 @@
     OverloadReport("rates-7", 6, 18),
     FailureReport("rates-7"),
     RegionReport("vm1", "east", ()),
-    QuotaAsk(1, "shipper", 2),
+    QuotaRequest(1, "shipper", 2),
     QuotaAnswer(1, 2, 250),
     QuotaReturn("shipper", 2),
 )
--- a/tests/test_gateway_quota.py
+++ b/tests/test_gateway_quota.py
@@ -184,10 +184,10 @@
 
     def test_a_part_refills_before_it_is_asked_for_the_first_time(self) -> None:
         parts = QuotaParts(self.owners(self.members(1), "vm0"), 0.0)
-        at_once = parts.give(LARGE_QUOTA, 1000, 0.1)
+        at_once = parts.grant(LARGE_QUOTA, 1000, 0.1)
         for tenth in range(1, 100):
             parts.tick(tenth / 10)
-        later = parts.give(workspace_quota(LARGE._replace(name="asked later"), WIDE), 1000, 10.0)
+        later = parts.grant(workspace_quota(LARGE._replace(name="asked later"), WIDE), 1000, 10.0)
         assert at_once is not None and later is not None
         self.assertLess(at_once.count, 25)
         self.assertEqual(later.count, int(quota_limit(LARGE, WIDE).capacity))
@@ -202,7 +202,7 @@
             parts.tick(tenth / 10)
         gone.add(first)
         parts.tick(10.3)
-        given = parts.give(LARGE_QUOTA, 1000, 10.4)
+        given = parts.grant(LARGE_QUOTA, 1000, 10.4)
         assert given is not None
         self.assertLess(given.count, quota_limit(LARGE, WIDE).capacity / 2)
 
@@ -210,15 +210,15 @@
         parts = QuotaParts(self.owners(self.members(1), "vm0"), 0.0)
         parts.tick(99.9)
         parts.tick(100.0)
-        self.assertIsNotNone(parts.give(LARGE_QUOTA, 1, 100.0))
+        self.assertIsNotNone(parts.grant(LARGE_QUOTA, 1, 100.0))
         for tenth in range(1001, 1300):
             parts.tick(tenth / 10)
-        later = parts.give(LARGE_QUOTA, 1000, 130.0)
+        later = parts.grant(LARGE_QUOTA, 1000, 130.0)
         assert later is not None
         self.assertGreater(later.count, 20)
         for tenth in range(1300, 1600):
             parts.tick(tenth / 10)
-        after_pause = parts.give(LARGE_QUOTA, 1000, 165.0)
+        after_pause = parts.grant(LARGE_QUOTA, 1000, 165.0)
         assert after_pause is not None
         self.assertLess(after_pause.count, later.count / 2)
 
@@ -259,8 +259,8 @@
         self.assertEqual([len(group) for group in groups[2:]], [1, 3])
         self.assertEqual({*halls[2], *halls[3]}, {"h0", "h1", "h4", "h5"})
         held = lease()
-        held.note_dry("h3", 1.0)
-        held.note_dry("h2", 0.5)
+        held.record_exhausted("h3", 1.0)
+        held.record_exhausted("h2", 0.5)
         self.assertEqual([held.is_open(owner, 0.1) for owner in owners[2:5]], [False, False, True])
         self.assertEqual([held.is_open(owner, 0.7) for owner in owners[2:5]], [True, False, True])
 
--- a/tools/wrong_statement_versions.py
+++ b/tools/wrong_statement_versions.py
@@ -67,7 +67,7 @@
         "LIMIT",
         "a VM that starts asks nobody",
         f"{_STATEMENTS}/start_asks.py",
-        "self.datagrams.send(StatementsAsk(), [member.peer_address for member in asked])",
+        "self.datagrams.send(StatementsRequest(), [member.peer_address for member in asked])",
         "pass",
         _READ,
     ),
