--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -161,7 +161,7 @@
         self._notice_received_at = now
         self.outages.record_peer_answer(now - age_s, now)
         self.announced_revision = max(self.announced_revision, notice.revision)
-        if notice.revision > self.store_view.replica.at:
+        if notice.revision > self.store_view.replica.complete_revision:
             self.announcing_peer = notice.sender
             if self._behind_since is None:
                 self._behind_since = now
@@ -172,7 +172,7 @@
 
     def check_caught_up(self) -> None:
         """Clear the behind state once the newest announced revision is held."""
-        if self.store_view.replica.at >= self.announced_revision:
+        if self.store_view.replica.complete_revision >= self.announced_revision:
             self.announcing_peer = None
             self._behind_since = None
 
--- a/sprucewinch/gateway/following/peer_follower.py
+++ b/sprucewinch/gateway/following/peer_follower.py
@@ -98,7 +98,7 @@
     def _registered_peers_ahead(self) -> list[str]:
         """Return the registered VMs whose heartbeats show a newer revision."""
         peers_ahead = self.follow_role.gossip.peers_ahead(
-            self.store_view.replica.at, self.timing.monotonic()
+            self.store_view.replica.complete_revision, self.timing.monotonic()
         )
         return [name for name in peers_ahead if name in self.store_view.members]
 
@@ -116,7 +116,7 @@
 
     async def _catch_up_from(self, name: str) -> None:
         address = self.store_view.members[name].peer_address
-        delta = await self._fetch(address, self.store_view.replica.at)
+        delta = await self._fetch(address, self.store_view.replica.complete_revision)
         if delta is None:
             self.follow_role.record_peer_failure(self.timing.monotonic())
             return
--- a/sprucewinch/gateway/following/store_follower.py
+++ b/sprucewinch/gateway/following/store_follower.py
@@ -112,7 +112,9 @@
         if follows != self.follows:
             self.follows = follows
             source = "store" if follows else "neighbours"
-            self.events.state("follows", source=source, at=self.store_view.replica.at)
+            self.events.state(
+                "follows", source=source, at=self.store_view.replica.complete_revision
+            )
         return follows
 
     async def _rely_on_peers(self) -> None:
@@ -169,7 +171,9 @@
     async def _watch(self) -> Delta:
         """Watch the store; a listing is due after a truncated response."""
         try:
-            return await self.store.watch(self.store_view.replica.at, WATCH_TIMEOUT_S)
+            return await self.store.watch(
+                self.store_view.replica.complete_revision, WATCH_TIMEOUT_S
+            )
         except AnswerCutShortError:
             self._listing_due = True
             raise
@@ -181,7 +185,7 @@
 
     def _record_history_gone(self) -> None:
         self._listing_due = True
-        self.events.state("store-history-gone", after=self.store_view.replica.at)
+        self.events.state("store-history-gone", after=self.store_view.replica.complete_revision)
 
     def _record_failure(self, problem: str) -> None:
         self._failures += 1
@@ -205,4 +209,6 @@
         self.follow_role.set_store_reachable(reachable)
         if reachable != self.store_reachable:
             self.store_reachable = reachable
-            self.events.state("store", up=reachable, problem=problem, at=self.store_view.replica.at)
+            self.events.state(
+                "store", up=reachable, problem=problem, at=self.store_view.replica.complete_revision
+            )
--- a/sprucewinch/gateway/state/replica.py
+++ b/sprucewinch/gateway/state/replica.py
@@ -5,10 +5,10 @@
 
 A key never returns to an older revision, and a removed key stays removed until a newer write. A
 delta may defer large items, that is, only name them: the other changes are applied at once, but
-`at` stays below the revision of the first missing item, so that this VM requests it again and no
-peer treats this replica as complete. A snapshot also removes the keys that it does not list,
-unless they are newer than the delta. Removals are kept as tombstones for `MAX_TOMBSTONES` keys; a
-peer behind a dropped one gets a snapshot.
+`complete_revision` stays below the revision of the first missing item, so that this VM requests it
+again and no peer treats this replica as complete. A snapshot also removes the keys that it does not
+list, unless they are newer than the delta. Removals are kept as tombstones for `MAX_TOMBSTONES`
+keys; a peer behind a dropped one gets a snapshot.
 
 The order of arrival thus does not matter: a VM may follow the store and several peers at once, and
 a small change does not wait for a large one. It is tested by `test_gateway_replica`.
@@ -66,14 +66,15 @@
     Args:
         items: Newer items; all items when `is_snapshot`.
         removals: Keys removed since.
-        at: Revision of a replica that has applied the delta and holds the deferred items too.
+        complete_revision: Revision of a replica that has applied the delta and holds the deferred
+            items too.
         is_snapshot: True when keys that are not listed were removed.
         deferred: Newer items that the delta names but does not contain.
     """
 
     items: tuple[Item, ...]
     removals: tuple[Removal, ...]
-    at: int
+    complete_revision: int
     is_snapshot: bool = False
     deferred: tuple[DeferredItem, ...] = ()
 
@@ -81,15 +82,15 @@
 class Replica:
     """The newest received state of some prefixes of the store.
 
-    `at` is the revision up to which all changes were received. `tombstones` holds the revision of
-    each recorded removal by key. `min_delta_revision` is the newest revision of a removal that may
-    have no tombstone: a delta after an older revision has to be a snapshot.
+    `complete_revision` is the revision up to which all changes were received. `tombstones` holds
+    the revision of each recorded removal by key. `min_delta_revision` is the newest revision of a
+    removal that may have no tombstone: a delta after an older revision has to be a snapshot.
     """
 
     def __init__(self) -> None:
         self.items: dict[str, Item] = {}
         self.tombstones: dict[str, int] = {}
-        self.at = 0
+        self.complete_revision = 0
         self.min_delta_revision = 0
 
     def apply(self, delta: Delta) -> set[str]:
@@ -107,9 +108,11 @@
             changed |= self._remove_missing(delta)
             # Keys removed before a listing have no tombstone: without a snapshot a peer behind
             # it would keep such a key for ever (`test_gateway_replica.Listings`).
-            self.min_delta_revision = max(self.min_delta_revision, delta.at)
+            self.min_delta_revision = max(self.min_delta_revision, delta.complete_revision)
         missing = [item.revision - 1 for item in delta.deferred if self.lacks(item)]
-        self.at = max(self.at, min([delta.at, *missing]))
+        self.complete_revision = max(
+            self.complete_revision, min([delta.complete_revision, *missing])
+        )
         return changed
 
     def lacks(self, deferred: DeferredItem) -> bool:
@@ -126,11 +129,11 @@
         """
         if revision < self.min_delta_revision:
             return _defer_large_items(
-                Delta(tuple(self.items.values()), (), self.at, True), max_value_bytes
+                Delta(tuple(self.items.values()), (), self.complete_revision, True), max_value_bytes
             )
         items = tuple(item for item in self.items.values() if item.revision > revision)
         removals = tuple(Removal(k, r) for k, r in self.tombstones.items() if r > revision)
-        return _defer_large_items(Delta(items, removals, self.at), max_value_bytes)
+        return _defer_large_items(Delta(items, removals, self.complete_revision), max_value_bytes)
 
     def _known_revision(self, key: str) -> int:
         """Return the revision of a key's last known change, or 0 if there is none."""
@@ -165,7 +168,7 @@
     def _remove_missing(self, delta: Delta) -> set[str]:
         listed = {item.key for item in (*delta.items, *delta.deferred)}
         missing = [key for key in self.items if key not in listed]
-        return {key for key in missing if self._remove(key, delta.at)}
+        return {key for key in missing if self._remove(key, delta.complete_revision)}
 
 
 def _defer_large_items(delta: Delta, max_value_bytes: Optional[int]) -> Delta:
--- a/sprucewinch/gateway/state/store_view.py
+++ b/sprucewinch/gateway/state/store_view.py
@@ -97,7 +97,7 @@
     @property
     def complete_revision(self) -> int:
         """Newest revision of a resource up to which this VM holds all changes."""
-        return min(self.revision, self.replica.at)
+        return min(self.revision, self.replica.complete_revision)
 
     def apply(self, delta: Delta, now: float) -> None:
         """Apply a delta of the store or of a peer, and notify the listeners of the changes.
@@ -107,7 +107,7 @@
             now: Monotonic time, in seconds.
         """
         changed = self.replica.apply(delta)
-        if self.replica.at >= delta.at:
+        if self.replica.complete_revision >= delta.complete_revision:
             self.confirmed_at = now
         self._decode_changed(changed, now)
 
@@ -154,7 +154,11 @@
     def _decode_key(self, key: str, now: float) -> list[Change]:
         item = self.replica.items.get(key)
         before = self.resources.get(key)
-        revision = item.revision if item else self.replica.tombstones.get(key, self.replica.at)
+        revision = (
+            item.revision
+            if item
+            else self.replica.tombstones.get(key, self.replica.complete_revision)
+        )
         self.revision = max(self.revision, revision)
         if item is None:
             return self._remove(Change(key, before, None, revision, now))
--- a/sprucewinch/gateway/vm_metrics.py
+++ b/sprucewinch/gateway/vm_metrics.py
@@ -17,7 +17,7 @@
         "body_bytes": parts.requests.app.buffered,
         "backend_connections_opened": parts.servers.pool.opened,
         "store_calls": parts.state.store.calls,
-        "store_revision": view.replica.at,
+        "store_revision": view.replica.complete_revision,
         "announced_revision": parts.fleet.follow_role.announced_revision,
         "store_age_s": now - view.confirmed_at,
         "configuration_version": context.events.configuration_version,
--- a/sprucewinch/gateway/vm_state.py
+++ b/sprucewinch/gateway/vm_state.py
@@ -205,7 +205,7 @@
         region=context.settings.region,
         ready=context.ready(),
         configuration_version=view.configuration.version if view.configuration else 0,
-        store_revision=view.replica.at,
+        store_revision=view.replica.complete_revision,
         store_age_s=round(min(now - view.confirmed_at, _MAX_AGE_S), _TIME_DIGITS),
         evacuated=tuple(sorted(view.evacuated)),
         members={n: parts.fleet.gossip.accepts_callers(n, now) for n in sorted(view.members)},
--- a/tests/test_gateway_replica.py
+++ b/tests/test_gateway_replica.py
@@ -62,9 +62,9 @@
         behind.apply(Delta((Item("servers/x", b"", 43),), (), 43))
         listed.apply(Delta((), (), 42))
         listed.apply(Delta((), (), 46, is_snapshot=True))
-        behind.apply(listed.since(behind.at))
+        behind.apply(listed.since(behind.complete_revision))
         self.assertEqual(behind.items, {})
-        self.assertEqual(behind.at, 46)
+        self.assertEqual(behind.complete_revision, 46)
 
 
 class AnyOrder(unittest.TestCase):
@@ -100,7 +100,7 @@
         seen_here, seen_by_peer = sorted((min(seen_here, len(log)), min(seen_by_peer, len(log))))
         behind.apply(_delta(log[:seen_here], seen_here))
         ahead.apply(_delta(log[:seen_by_peer], seen_by_peer))
-        behind.apply(decode_delta(encode_delta(ahead.since(behind.at))))
+        behind.apply(decode_delta(encode_delta(ahead.since(behind.complete_revision))))
         self.assertEqual(_values(behind), _values(ahead))
 
     @given(_HISTORIES, st.integers(0, 30))
@@ -181,7 +181,7 @@
 ) -> list[Item | Removal]:
     """Return the newest known changes up to a replica's `at` that it lacks, one for each key."""
     newest = {entry.key: entry for entry in known}
-    covered = [entry for entry in newest.values() if entry.revision <= replica.at]
+    covered = [entry for entry in newest.values() if entry.revision <= replica.complete_revision]
     return [entry for entry in covered if not _includes(replica, entry, log)]
 
 
@@ -215,9 +215,9 @@
             delta: The delta.
             known: The history up to the revision held by the first VM that sent a delta.
         """
-        before = self.replica.at
+        before = self.replica.complete_revision
         self.replica.apply(delta)
-        self.case.assertGreaterEqual(self.replica.at, before)
+        self.case.assertGreaterEqual(self.replica.complete_revision, before)
         for key, revision in self._revisions().items():
             self.case.assertGreaterEqual(revision, self.newest.get(key, 0), key)
             self.newest[key] = revision
@@ -242,7 +242,7 @@
         known = log[:sent]
         ahead = _replica_of(known)
         behind = CheckedReplica(self, log, seen)
-        delta = _sent(ahead, behind.replica.at, max_value_bytes)
+        delta = _sent(ahead, behind.replica.complete_revision, max_value_bytes)
         behind.apply(delta, known)
         later = [*_deferred_items(ahead, delta), *log[sent:]]
         rng.shuffle(later)
@@ -257,13 +257,15 @@
         log = _sized_log(choices)
         ahead = _replica_of(log)
         behind = CheckedReplica(self, log, min(seen, len(log)))
-        delta = _sent(ahead, behind.replica.at, max_value_bytes)
+        delta = _sent(ahead, behind.replica.complete_revision, max_value_bytes)
         behind.apply(delta, log)
-        self.assertEqual(behind.replica.at == ahead.at, not delta.deferred)
+        self.assertEqual(
+            behind.replica.complete_revision == ahead.complete_revision, not delta.deferred
+        )
         for item in _deferred_items(ahead, delta):
             behind.apply_entry(item)
-        behind.apply(_sent(ahead, behind.replica.at, max_value_bytes), log)
-        self.assertEqual(behind.replica.at, ahead.at)
+        behind.apply(_sent(ahead, behind.replica.complete_revision, max_value_bytes), log)
+        self.assertEqual(behind.replica.complete_revision, ahead.complete_revision)
 
     @given(_SIZED, st.integers(0, 9))
     def test_only_longer_values_are_deferred(self, choices, max_value_bytes) -> None:
@@ -303,13 +305,13 @@
         ahead = _replica_of(known)
         partial = CheckedReplica(self, log, partial_seen)
         third = CheckedReplica(self, log, third_seen)
-        delta = _sent(ahead, partial.replica.at, max_value_bytes)
+        delta = _sent(ahead, partial.replica.complete_revision, max_value_bytes)
         partial.apply(delta, known)
         for item in _deferred_items(ahead, delta):
             if rng.random() < 0.5:
                 partial.apply_entry(item)
-        third.apply(partial.replica.since(third.replica.at), known)
-        third.apply(_replica_of(log).since(third.replica.at), log)
+        third.apply(partial.replica.since(third.replica.complete_revision), known)
+        third.apply(_replica_of(log).since(third.replica.complete_revision), log)
         self.assertEqual(_values(third.replica), _state(log))
 
     def test_a_vm_that_listed_the_store_passes_on_earlier_removals(self) -> None:
@@ -318,7 +320,7 @@
         behind = _replica_of([gone, kept])
         started = Replica()
         started.apply(Delta((kept,), (), 3, is_snapshot=True))
-        behind.apply(started.since(behind.at))
+        behind.apply(started.since(behind.complete_revision))
         self.assertEqual(_values(behind), {"servers/b": b"b"})
 
     def test_a_snapshot_defers_longer_values_too(self) -> None:
@@ -334,4 +336,4 @@
         named = DeferredItem("op/config", 5, 99_999)
         held.apply(Delta((), (), 6, is_snapshot=True, deferred=(named,)))
         self.assertEqual(_values(held), {"op/config": b"old"})
-        self.assertEqual(held.at, 4)
+        self.assertEqual(held.complete_revision, 4)
