--- a/sprucewinch/gateway/decision_log.py
+++ b/sprucewinch/gateway/decision_log.py
@@ -107,7 +107,7 @@
             "ms": round(seconds * _MS_PER_S, 1),
             "version": self.configuration_version,
             "sends": [
-                [a.server_id, a.verdict.value, a.why, round(a.seconds * _MS_PER_S, 1)]
+                [a.server_id, a.verdict.value, a.cause, round(a.seconds * _MS_PER_S, 1)]
                 for a in request.attempts
             ],
         }
--- a/sprucewinch/gateway/requests/attempt_feedback.py
+++ b/sprucewinch/gateway/requests/attempt_feedback.py
@@ -81,12 +81,12 @@
             started: Monotonic time at which the attempt started, in seconds.
         """
         now = self.monotonic()
-        if attempt.why in (NOT_OFFERED, QUARANTINED):
+        if attempt.cause in (NOT_OFFERED, QUARANTINED):
             # No byte was sent, so the attempt shows nothing about the server, and it does not count
             # as a request sent to a cold one.
             server.cold_sends.remove(started)
             return
-        if attempt.why == RESTARTED:
+        if attempt.cause == RESTARTED:
             # The attempt belongs to a process that has ended; its successor starts without history.
             return
         stated = ServerAnswer(attempt.statement, started, request.id)
@@ -99,7 +99,7 @@
 
     def _record_cold_attempt(self, server: BackendServer, attempt: Attempt) -> None:
         """Record an attempt at a cold server; it does not count as an outlier sample."""
-        if attempt.verdict is Verdict.ANSWERED or attempt.why == TIMED_OUT:
+        if attempt.verdict is Verdict.ANSWERED or attempt.cause == TIMED_OUT:
             self.registry.cold_limit.record_attempt(
                 server.backend.service, attempt.verdict is Verdict.ANSWERED
             )
@@ -107,7 +107,7 @@
     def _record_sample(self, server: BackendServer, attempt: Attempt, key: str, now: float) -> None:
         """Pass the attempt to the outlier detector as a sample of its server."""
         if attempt.verdict is Verdict.UNKNOWN:
-            self.outliers.record_failure(server, now, late=attempt.why == TIMED_OUT)
+            self.outliers.record_failure(server, now, late=attempt.cause == TIMED_OUT)
         elif attempt.verdict is Verdict.ANSWERED and attempt.answer is not None:
             if attempt.answer.status >= SERVER_FAILED_STATUS:
                 self.outliers.record_failure(server, now)
@@ -133,17 +133,17 @@
                 # answers have to raise it again.
                 server.limit.increase(server.backend.capacity)
             self.registry.record_success(server, attempt.seconds, now)
-            if attempt.why == ANSWERED:
+            if attempt.cause == ANSWERED:
                 # An answer to a request that the server did not run does not clear the request.
                 self.quarantine.record_success(request)
-        elif attempt.why == MISDIRECTED:
+        elif attempt.cause == MISDIRECTED:
             server.pause(now + MISDIRECTED_PAUSE_S)
-        elif attempt.why.startswith(SHED):
+        elif attempt.cause.startswith(SHED):
             _pause_full_server(server, load, now)
-        elif attempt.why != TIMED_OUT or server.answered_at < started:
+        elif attempt.cause != TIMED_OUT or server.answered_at < started:
             server.record_failure(now)
             self.events.state(
-                "server-rests", server=server.backend.id, why=attempt.why, id=request.id
+                "server-rests", server=server.backend.id, why=attempt.cause, id=request.id
             )
 
 
--- a/sprucewinch/gateway/requests/client_request.py
+++ b/sprucewinch/gateway/requests/client_request.py
@@ -180,7 +180,7 @@
         server_id: Id of the backend server.
         verdict: What the attempt proves about whether the request ran.
         may_have_arrived: True when a byte of the request may have reached the server.
-        why: Cause of the verdict, for the log.
+        cause: Cause of the verdict, for the log.
         answer: The whole answer; None when there is none.
         seconds: Duration, in seconds.
         statement: What the answer's headers state about the server.
@@ -189,7 +189,7 @@
     server_id: str
     verdict: Verdict
     may_have_arrived: bool
-    why: str
+    cause: str
     answer: Optional[Answer] = None
     seconds: float = 0.0
     statement: ServerStatement = NOTHING_STATED
--- a/sprucewinch/gateway/requests/outcome/retry_decision.py
+++ b/sprucewinch/gateway/requests/outcome/retry_decision.py
@@ -127,7 +127,7 @@
     if attempt.verdict is Verdict.ANSWERED:
         return _after_answer(request, route, attempt)
     if attempt.verdict is Verdict.UNKNOWN:
-        if attempt.why == TIMED_OUT:
+        if attempt.cause == TIMED_OUT:
             return _TIME_IS_UP
         if not _may_run_again(request, route):
             return _MAY_HAVE_RUN
@@ -161,11 +161,11 @@
 
 
 def _after_unsent_attempt(request: ClientRequest, attempt: Attempt) -> RetryDecision:
-    if attempt.why in (NOT_OFFERED, QUARANTINED):
+    if attempt.cause in (NOT_OFFERED, QUARANTINED):
         # The request starts again from the first step: another server may be available, and a
         # quarantined request is refused there.
         return _NOT_OFFERED
-    unreached = sum(earlier.why == UNREACHABLE for earlier in request.attempts)
+    unreached = sum(earlier.cause == UNREACHABLE for earlier in request.attempts)
     return _UNREACHABLE if unreached < MAX_UNREACHABLE_SERVERS else _TOO_MANY_UNREACHABLE
 
 
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -213,7 +213,7 @@
         return decision if taken else without_budget(attempt)
 
     def _after_crash(self, request: ClientRequest, attempt: Attempt) -> Optional[RetryDecision]:
-        if attempt.why != CRASHED:
+        if attempt.cause != CRASHED:
             return None
         crashes = self.quarantine.assessment(request).crashes
         return after_crash(crashes, on_trial=request.on_trial)
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -158,12 +158,12 @@
         try:
             answer = await self._answer(selection.server, connection, request, data)
         except ExchangeFailedError as error:
-            why = ENDED if error.ended else str(error)
-            return Attempt(backend.id, Verdict.UNKNOWN, True, why)
+            cause = ENDED if error.ended else str(error)
+            return Attempt(backend.id, Verdict.UNKNOWN, True, cause)
         self.pool.give_back(backend.address, connection, keep_alive_s(answer))
         judged = judge_answer(answer, self.names, request.id)
         statement = read_statement(answer, self.names, request.id, self.wall())
-        return Attempt(backend.id, judged.verdict, True, judged.why, answer, statement=statement)
+        return Attempt(backend.id, judged.verdict, True, judged.cause, answer, statement=statement)
 
     def _may_send(self, selection: Selection) -> bool:
         """Return whether the server still accepts the request, right before the first byte."""
@@ -184,9 +184,9 @@
         The end of a server that is no longer available is planned and not a crash.
         """
         server = selection.server
-        if attempt.why == RESTARTED and not server.leaving:
+        if attempt.cause == RESTARTED and not server.leaving:
             self._record_crash(request, server, attempt, started)
-        if attempt.why != ENDED or not self.registry.offers(server, selection.service):
+        if attempt.cause != ENDED or not self.registry.offers(server, selection.service):
             return attempt
         ended = await self.crash_check.has_ended(server.backend.address)
         if not ended or any(
@@ -194,7 +194,7 @@
         ):
             return attempt
         self._record_crash(request, server, attempt, started)
-        return attempt._replace(why=CRASHED)
+        return attempt._replace(cause=CRASHED)
 
     def _record_crash(
         self, request: ClientRequest, server: BackendServer, attempt: Attempt, started: float
--- a/sprucewinch/gateway/requests/verdict.py
+++ b/sprucewinch/gateway/requests/verdict.py
@@ -31,11 +31,11 @@
 
     Args:
         verdict: What the answer proves about whether the request ran.
-        why: Cause of the verdict, for the log.
+        cause: Cause of the verdict, for the log.
     """
 
     verdict: Verdict
-    why: str
+    cause: str
 
 
 def judge_answer(answer: Answer, names: HeaderNames, request_id: str) -> AnswerJudgement:
--- a/tests/test_gateway_crash_check.py
+++ b/tests/test_gateway_crash_check.py
@@ -54,7 +54,7 @@
             loop.call_later(0.02, path.stop, server)
             request = path.request("q")
             reply = await path.pipeline.run(request)
-            self.assertEqual([a.why for a in request.attempts], [CRASHED])
+            self.assertEqual([a.cause for a in request.attempts], [CRASHED])
             self.assertEqual(reply.status, 502)
 
         run_virtual(main)
@@ -67,8 +67,8 @@
             first, second = path.request("q1"), path.request("q2")
             await path.pipeline.run(first)
             await path.pipeline.run(second)
-            self.assertEqual([a.why for a in first.attempts], [ENDED])
-            self.assertEqual([a.why for a in second.attempts], ["answered"])
+            self.assertEqual([a.cause for a in first.attempts], [ENDED])
+            self.assertEqual([a.cause for a in second.attempts], ["answered"])
             self.assertEqual(path.pool.opened, 2)
 
         run_virtual(main)
@@ -82,7 +82,7 @@
             loop.call_later(0.03, server.reset)
             request = path.request("q")
             await path.pipeline.run(request)
-            self.assertEqual([a.why for a in request.attempts], [ENDED])
+            self.assertEqual([a.cause for a in request.attempts], [ENDED])
 
         run_virtual(main)
 
@@ -101,7 +101,7 @@
             loop.call_later(0.03, loop.listeners.pop, path.addresses[server.server_id])
             cut = path.request("cut")
             await path.pipeline.run(cut)
-            self.assertEqual([a.why for a in cut.attempts], [ENDED])
+            self.assertEqual([a.cause for a in cut.attempts], [ENDED])
             self.assertEqual((await stays).status, 200)
 
         run_virtual(main)
@@ -115,7 +115,7 @@
             loop.call_later(0.02, path.stop, server)
             request = path.request("q")
             await path.pipeline.run(request)
-            self.assertEqual([a.why for a in request.attempts], [ENDED])
+            self.assertEqual([a.cause for a in request.attempts], [ENDED])
 
         run_virtual(main)
 
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -303,7 +303,7 @@
         reply, request, path, took_s = run_virtual(lambda loop: _restart(loop, repeatable=False))
         self.assertEqual((reply.status, path.runs("q")), (502, 1))
         self.assertEqual([a.verdict for a in request.attempts], [Verdict.UNKNOWN])
-        self.assertEqual(request.attempts[0].why, "server-restarted")
+        self.assertEqual(request.attempts[0].cause, "server-restarted")
         self.assertLess(took_s, 0.3)
 
     def test_a_request_that_may_run_twice_is_answered_by_another_server_in_time(self) -> None:
--- a/tests/test_gateway_pipeline.py
+++ b/tests/test_gateway_pipeline.py
@@ -396,9 +396,9 @@
             path.servers[full.backend.id].slots = 0
             request = path.request("q")
             reply = await _run_while_leaving(path, request, [left])
-            whys = [attempt.why for attempt in request.attempts]
+            causes = [attempt.cause for attempt in request.attempts]
             self.assertEqual((reply.status, path.runs("q")), (200, 1))
-            self.assertEqual(whys, ["not-offered", "shed-503", "answered"])
+            self.assertEqual(causes, ["not-offered", "shed-503", "answered"])
             self.assertEqual(len(path.servers[last.backend.id].runs), 1)
             self.assertEqual(_server_state(path, left).retries, 1)
 
@@ -425,7 +425,7 @@
             reply = await _run_while_leaving(path, request, list(leaving))
             self.assertEqual((reply.refusal, reply.status), (RefusalReason.NO_SERVER, 503))
             self.assertIsNotNone(reply.retry_after_s)
-            self.assertEqual([attempt.why for attempt in request.attempts], ["not-offered"] * 5)
+            self.assertEqual([attempt.cause for attempt in request.attempts], ["not-offered"] * 5)
             self.assertEqual(path.runs("q"), 0)
 
         run_virtual(main)
--- a/tests/test_gateway_process_statements.py
+++ b/tests/test_gateway_process_statements.py
@@ -90,7 +90,7 @@
             stated.limit.apply_answer(1.0, loop.time(), loop.time())
         reply = await task
         self.assertEqual(first.runs, [])
-        return reply.status, [attempt.why for attempt in request.attempts]
+        return reply.status, [attempt.cause for attempt in request.attempts]
 
 
 class OlderAnswers(unittest.TestCase):
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -65,8 +65,8 @@
     return Attempt("s0", Verdict.ANSWERED, True, "answered", Answer(status, (), b""))
 
 
-def _unanswered(verdict: Verdict, why: str, *, may_have_arrived: bool = True) -> Attempt:
-    return Attempt("s0", verdict, may_have_arrived, why)
+def _unanswered(verdict: Verdict, cause: str, *, may_have_arrived: bool = True) -> Attempt:
+    return Attempt("s0", verdict, may_have_arrived, cause)
 
 
 class CallersWait(unittest.TestCase):
--- a/tools/wrong_version_list.py
+++ b/tools/wrong_version_list.py
@@ -90,8 +90,8 @@
         "BUDGET",
         "an answer to what has not run clears a suspect",
         f"{_GATEWAY}/requests/attempt_feedback.py",
-        "            if attempt.why == ANSWERED:\n",
-        "            if attempt.why:\n",
+        "            if attempt.cause == ANSWERED:\n",
+        "            if attempt.cause:\n",
         ("tests.test_gateway_quarantine.Refusals",),
     ),
     WrongVersion(
