--- a/sprucewinch/gateway/following/follow_role.py
+++ b/sprucewinch/gateway/following/follow_role.py
@@ -161,7 +161,7 @@
         self._notice_received_at = now
         self.outages.record_peer_answer(now - age_s, now)
         self.announced_revision = max(self.announced_revision, notice.revision)
-        if notice.revision > self.store_view.replica.at:
+        if notice.revision > self.store_view.replica.complete_revision:
             self.announcing_peer = notice.sender
             if self._behind_since is None:
                 self._behind_since = now
@@ -172,7 +172,7 @@
 
     def check_caught_up(self) -> None:
         """Clear the behind state once the newest announced revision is held."""
-        if self.store_view.replica.at >= self.announced_revision:
+        if self.store_view.replica.complete_revision >= self.announced_revision:
             self.announcing_peer = None
             self._behind_since = None
 
@@ -206,7 +206,7 @@
             return FollowReason.PEER_FAILED
         if now - self._notice_received_at > NOTICE_TIMEOUT_S:
             return FollowReason.NO_NOTICE
-        if self._is_stuck(now):
+        if self._is_overdue(now):
             return FollowReason.BEHIND
         return FollowReason.ELECTED if self.is_elected(now) else FollowReason.PEERS_CURRENT
 
@@ -240,7 +240,7 @@
         other_region_members = [member for member in members if member.region != self.region]
         return own_region_members + self.gossip.sample(other_region_members, _CROSS_REGION_FANOUT)
 
-    def _is_stuck(self, now: float) -> bool:
+    def _is_overdue(self, now: float) -> bool:
         """Return whether this VM is behind without progress for `_CATCH_UP_TIMEOUT_S`."""
         if self._behind_since is None:
             return False
--- a/sprucewinch/gateway/requests/choice/server_choice.py
+++ b/sprucewinch/gateway/requests/choice/server_choice.py
@@ -14,7 +14,7 @@
 from ...resources import Route
 from ...statements.server_quotas import ServerQuotas
 from ..client_request import ClientRequest, RefusalReason, Selection
-from .room import LOOK_AGAIN_S, place_in_queue, room_wait_s
+from .room import ROOM_RECHECK_INTERVAL_S, queue_position, room_wait_s
 from .server_order import Ranking, ServerRanker
 from .server_selection import ServerSelector
 
@@ -79,11 +79,11 @@
             start again from the first step.
         """
         key = request.key if route.affinity and request.key else request.id
-        if self.quarantine.judgement(request).crashes:
+        if self.quarantine.assessment(request).crashes:
             # The fingerprint as the key keeps this request away from the other suspects of a crash,
             # and sends equal requests to the same server.
-            key = self.quarantine.names.fingerprint_of(request).hex()
-        ranking = self.ranker.place(service, key, route.regions, now)
+            key = self.quarantine.fingerprinter.fingerprint_of(request).hex()
+        ranking = self.ranker.rank(service, key, route.regions, now)
         selection = self.selector.choose(request, ranking, service, now, route)
         if selection is RefusalReason.NO_SERVER and await self._wait_until_accepted(
             request, route, now
@@ -113,5 +113,5 @@
         left_s = room_wait_s(request, route, now)
         if server is None or left_s <= 0:
             return False
-        place = place_in_queue(request, route)
-        return await server.wait_for_room(min(left_s, LOOK_AGAIN_S), place)
+        position = queue_position(request, route)
+        return await server.wait_for_room(min(left_s, ROOM_RECHECK_INTERVAL_S), position)
--- a/sprucewinch/gateway/requests/outcome/retry_decision.py
+++ b/sprucewinch/gateway/requests/outcome/retry_decision.py
@@ -43,7 +43,7 @@
 MAX_CONSECUTIVE_CRASHES = 2
 """Number of servers in a row, at this VM or others, that crash while they run a request or an equal
 one, from which it is not retried here. One crash is usually caused by another request; two in a row
-are with a probability of 3 in 100 (`crashes.guilt`)."""
+are with a probability of 3 in 100 (`crashes.crash_attribution`)."""
 
 SERVER_FAILED_STATUS = 500
 """Lowest HTTP status that reports a failure of the server, by the HTTP standard."""
@@ -127,7 +127,7 @@
     if attempt.verdict is Verdict.ANSWERED:
         return _after_answer(request, route, attempt)
     if attempt.verdict is Verdict.UNKNOWN:
-        if attempt.why == TIMED_OUT:
+        if attempt.cause == TIMED_OUT:
             return _TIME_IS_UP
         if not _may_run_again(request, route):
             return _MAY_HAVE_RUN
@@ -161,11 +161,11 @@
 
 
 def _after_unsent_attempt(request: ClientRequest, attempt: Attempt) -> RetryDecision:
-    if attempt.why in (NOT_OFFERED, QUARANTINED):
+    if attempt.cause in (NOT_OFFERED, QUARANTINED):
         # The request starts again from the first step: another server may be available, and a
         # quarantined request is refused there.
         return _NOT_OFFERED
-    unreached = sum(earlier.why == UNREACHABLE for earlier in request.attempts)
+    unreached = sum(earlier.cause == UNREACHABLE for earlier in request.attempts)
     return _UNREACHABLE if unreached < MAX_UNREACHABLE_SERVERS else _TOO_MANY_UNREACHABLE
 
 
--- a/sprucewinch/gateway/requests/pipeline.py
+++ b/sprucewinch/gateway/requests/pipeline.py
@@ -16,7 +16,7 @@
 
 from typing import Optional
 
-from ..crashes.held import Held
+from ..crashes.quarantine_entry import QuarantineEntry
 from ..quotas.quotas import QuotaEnd
 from ..resources import Route
 from ..servers.backend_registry import BackendRegistry
@@ -28,7 +28,7 @@
 from ..workspaces.key_table import KeyProblem
 from .choice.server_choice import ServerChoice
 from .client_request import CRASHED, Attempt, ClientRequest, RefusalReason, Reply, Selection
-from .connection_age import most_rest_s
+from .connection_reuse import max_idle_s
 from .outcome import final_answer
 from .outcome.hold_time import hold_time
 from .outcome.retry_decision import RetryDecision, after_crash, decide_retry, without_budget
@@ -99,7 +99,8 @@
         """Return the answer to a request that is refused by its head; None when it is admitted.
 
         An admitted request stores its workspace, whose name is sent to the backend server, and the
-        quota that it took; `settle` returns that quota if no server has run the request.
+        quota that it took; `return_unused_quota` returns that quota if no server has run the
+        request.
 
         Args:
             request: The request, without its body.
@@ -123,7 +124,7 @@
         request.headers += ((self.sender.names.workspace, caller.workspace.name),)
         return None
 
-    def settle(self, request: ClientRequest) -> None:
+    def return_unused_quota(self, request: ClientRequest) -> None:
         """Return the quota that a request took from its workspace, if no server has run it."""
         if not request.at_server and not request.possible_runs():
             self.admission.give_back(request.caller)
@@ -136,12 +137,12 @@
             route = self.routes.usable(request)
             if isinstance(route, RefusalReason):
                 return final_answer.without_route(request, route, self.rng)
-            held = await self._quarantine_of(request)
-            if held is not None:
-                return self._quarantine_reply(request, route, held)
+            entry = await self._quarantine_of(request)
+            if entry is not None:
+                return self._quarantine_reply(request, route, entry)
             service = self._service(request, route, service, now)
             until = hold_time(request, route).until
-            if not has_time(until, now, self.registry.times.least_s(service)):
+            if not has_time(until, now, self.registry.times.low_quantile_s(service)):
                 return self._not_served(request, route, RefusalReason.NO_TIME)
             selection = await self.choice.choose(request, route, service, now)
             if selection is None:
@@ -164,20 +165,22 @@
         """Return the rate of callers' requests for a service at this VM, in requests a second."""
         return self.budgets.requests_per_s(service, now)
 
-    async def _quarantine_of(self, request: ClientRequest) -> Optional[Held]:
+    async def _quarantine_of(self, request: ClientRequest) -> Optional[QuarantineEntry]:
         """Return the quarantine that a request is refused for; None when it may be sent."""
-        held = self.quarantine.refusal(request)
-        if held is None or not held.trial_is_due(self.monotonic()):
-            return held
-        request.on_trial = await self.quarantine.take_trial(held)
-        return None if request.on_trial else held
-
-    def _quarantine_reply(self, request: ClientRequest, route: Route, held: Held) -> Reply:
+        entry = self.quarantine.refusal(request)
+        if entry is None or not entry.trial_is_due(self.monotonic()):
+            return entry
+        request.on_trial = await self.quarantine.take_trial(entry)
+        return None if request.on_trial else entry
+
+    def _quarantine_reply(
+        self, request: ClientRequest, route: Route, entry: QuarantineEntry
+    ) -> Reply:
         """Return the answer to a request that is refused because it crashes servers."""
         reply = self._not_served(request, route, RefusalReason.CRASHES_SERVERS)
         if reply.refusal is not RefusalReason.CRASHES_SERVERS:
             return reply
-        return reply._replace(retry_after_s=final_answer.trial_in_s(held, self.monotonic()))
+        return reply._replace(retry_after_s=final_answer.trial_in_s(entry, self.monotonic()))
 
     def _service(self, request: ClientRequest, route: Route, service: str, now: float) -> str:
         """Return the service of a request, chosen again if its route no longer has that service."""
@@ -185,7 +188,7 @@
             service = self.splits.service(route, request.key or request.id)
             self.budgets.of(service).record_request(now)
             fair_order = self.fair_orders.setdefault(service, FairOrder())
-            request.steps_over_share = fair_order.arrived(request.caller.workspace, now)
+            request.steps_over_share = fair_order.record_request(request.caller.workspace, now)
         elif service not in {part.service for part in route.parts}:
             service = self.splits.service(route, request.key)
         return service
@@ -194,8 +197,8 @@
         self, request: ClientRequest, route: Route, selection: Selection, until: float
     ) -> Attempt:
         """Send a request, on a new connection where a stale one could use up one of its runs."""
-        rest_s = most_rest_s(request, route)
-        attempt = await self.sender.send(request, selection, until, most_rest_s=rest_s)
+        idle_s = max_idle_s(request, route)
+        attempt = await self.sender.send(request, selection, until, max_idle_s=idle_s)
         request.attempts.append(attempt)
         return attempt
 
@@ -210,9 +213,9 @@
         return decision if taken else without_budget(attempt)
 
     def _after_crash(self, request: ClientRequest, attempt: Attempt) -> Optional[RetryDecision]:
-        if attempt.why != CRASHED:
+        if attempt.cause != CRASHED:
             return None
-        crashes = self.quarantine.judgement(request).crashes
+        crashes = self.quarantine.assessment(request).crashes
         return after_crash(crashes, on_trial=request.on_trial)
 
     def _not_served(self, request: ClientRequest, route: Route, refusal: RefusalReason) -> Reply:
--- a/sprucewinch/gateway/requests/sender.py
+++ b/sprucewinch/gateway/requests/sender.py
@@ -96,7 +96,7 @@
         selection: Selection,
         until: float,
         *,
-        most_rest_s: float = float("inf"),
+        max_idle_s: float = float("inf"),
     ) -> Attempt:
         """Send a request to the selected server, unless that leaves before the first byte is sent.
 
@@ -104,11 +104,11 @@
             request: The request.
             selection: The selected server.
             until: Monotonic time at which the attempt times out, in seconds.
-            most_rest_s: Longest idle time of a pooled connection that may carry it, in seconds.
+            max_idle_s: Longest idle time of a pooled connection that may carry it, in seconds.
         """
         server = selection.server
         started = self.monotonic()
-        attempt = await self._attempt(request, selection, started, until, most_rest_s)
+        attempt = await self._attempt(request, selection, started, until, max_idle_s)
         request.at_server = False
         attempt = attempt._replace(seconds=self.monotonic() - started)
         if not attempt.may_have_arrived:
@@ -122,14 +122,14 @@
         selection: Selection,
         started: float,
         until: float,
-        most_rest_s: float,
+        max_idle_s: float,
     ) -> Attempt:
         """Make one attempt with a time-out, counted as in flight at the server meanwhile."""
         server = selection.server
         self.registry.take(server, started)
         try:
             async with asyncio.timeout(until - started):
-                return await self._exchange(request, selection, until, most_rest_s)
+                return await self._exchange(request, selection, until, max_idle_s)
         except TimeoutError:
             self.pool.drop(server.backend.address)
             return Attempt(server.backend.id, Verdict.UNKNOWN, True, TIMED_OUT)
@@ -137,11 +137,11 @@
             self.registry.release(server, started)
 
     async def _exchange(
-        self, request: ClientRequest, selection: Selection, until: float, most_rest_s: float
+        self, request: ClientRequest, selection: Selection, until: float, max_idle_s: float
     ) -> Attempt:
         backend = selection.server.backend
         try:
-            connection = await self.pool.take(backend.address, most_rest_s=most_rest_s)
+            connection = await self.pool.take(backend.address, max_idle_s=max_idle_s)
         except ConnectFailedError:
             return Attempt(backend.id, Verdict.NOT_RUN, False, UNREACHABLE)
         # While the connection was established, the server may have left, its data hall may have
@@ -158,17 +158,20 @@
         try:
             answer = await self._answer(selection.server, connection, request, data)
         except ExchangeFailedError as error:
-            why = ENDED if error.ended else str(error)
-            return Attempt(backend.id, Verdict.UNKNOWN, True, why)
+            cause = ENDED if error.ended else str(error)
+            return Attempt(backend.id, Verdict.UNKNOWN, True, cause)
         self.pool.give_back(backend.address, connection, keep_alive_s(answer))
         judged = judge_answer(answer, self.names, request.id)
         statement = read_statement(answer, self.names, request.id, self.wall())
-        return Attempt(backend.id, judged.verdict, True, judged.why, answer, statement=statement)
+        return Attempt(backend.id, judged.verdict, True, judged.cause, answer, statement=statement)
 
     def _may_send(self, selection: Selection) -> bool:
         """Return whether the server still accepts the request, right before the first byte."""
         stated, now = selection.server.stated, self.monotonic()
-        if not self.registry.offers(selection.server, selection.service) or stated.rest_until > now:
+        if (
+            not self.registry.offers(selection.server, selection.service)
+            or stated.pause_until > now
+        ):
             return False
         granted = selection.grant.quota is not None
         return granted or not stated.is_limited(now)
@@ -181,9 +184,9 @@
         The end of a server that is no longer available is planned and not a crash.
         """
         server = selection.server
-        if attempt.why == RESTARTED and not server.leaving:
+        if attempt.cause == RESTARTED and not server.leaving:
             self._record_crash(request, server, attempt, started)
-        if attempt.why != ENDED or not self.registry.offers(server, selection.service):
+        if attempt.cause != ENDED or not self.registry.offers(server, selection.service):
             return attempt
         ended = await self.crash_check.has_ended(server.backend.address)
         if not ended or any(
@@ -191,7 +194,7 @@
         ):
             return attempt
         self._record_crash(request, server, attempt, started)
-        return attempt._replace(why=CRASHED)
+        return attempt._replace(cause=CRASHED)
 
     def _record_crash(
         self, request: ClientRequest, server: BackendServer, attempt: Attempt, started: float
@@ -202,10 +205,10 @@
             "server-crashed",
             server=server.backend.id,
             id=request.id,
-            fingerprint=self.quarantine.names.fingerprint_of(request).hex(),
+            fingerprint=self.quarantine.fingerprinter.fingerprint_of(request).hex(),
             ms=round(attempt.seconds * MS_PER_S, 1),
         )
-        self.quarantine.note_crash(request, server, started, started + attempt.seconds)
+        self.quarantine.record_crash(request, server, started, started + attempt.seconds)
 
     async def _answer(
         self, server: BackendServer, connection: Connection, request: ClientRequest, data: bytes
--- a/sprucewinch/gateway/vm_metrics.py
+++ b/sprucewinch/gateway/vm_metrics.py
@@ -17,14 +17,14 @@
         "body_bytes": parts.requests.app.buffered,
         "backend_connections_opened": parts.servers.pool.opened,
         "store_calls": parts.state.store.calls,
-        "store_revision": view.replica.at,
+        "store_revision": view.replica.complete_revision,
         "announced_revision": parts.fleet.follow_role.announced_revision,
         "store_age_s": now - view.confirmed_at,
         "configuration_version": context.events.configuration_version,
         "members": len(view.members),
         "members_open": sum(parts.fleet.gossip.accepts_callers(m, now) for m in view.members),
         "backend_servers": len(view.backends),
-        "requests_held": len(parts.crashes.quarantine.held),
+        "requests_held": len(parts.crashes.quarantine.entries),
         "quota_asks": parts.workspaces.exchange.asked,
         **_statement_gauges(parts, now),
         "neighbour_deltas": parts.fleet.peer_follower.deltas_applied,
@@ -41,5 +41,5 @@
     return {
         "servers_leaving": sum(stated.leaving_since is not None for stated in rows),
         "servers_limited": sum(stated.is_limited(now) for stated in rows),
-        "servers_resting": sum(stated.rest_until > now for stated in rows),
+        "servers_resting": sum(stated.pause_until > now for stated in rows),
     }
--- a/sprucewinch/gateway/vm_state.py
+++ b/sprucewinch/gateway/vm_state.py
@@ -205,7 +205,7 @@
         region=context.settings.region,
         ready=context.ready(),
         configuration_version=view.configuration.version if view.configuration else 0,
-        store_revision=view.replica.at,
+        store_revision=view.replica.complete_revision,
         store_age_s=round(min(now - view.confirmed_at, _MAX_AGE_S), _TIME_DIGITS),
         evacuated=tuple(sorted(view.evacuated)),
         members={n: parts.fleet.gossip.accepts_callers(n, now) for n in sorted(view.members)},
@@ -220,7 +220,7 @@
 def _statements(servers: Servers, now: float) -> tuple[StatementState, ...]:
     rows = sorted(servers.registry.statement_table.rows.items())
     return tuple(
-        _statement(process, stated, now) for process, stated in rows if stated.states_something(now)
+        _statement(process, stated, now) for process, stated in rows if stated.has_statement(now)
     )
 
 
@@ -237,7 +237,7 @@
         limit_age_s=_seconds(now - limit.stated_at) if limited else 0.0,
         no_token_s=_seconds(stated.no_token_until - now) if limited else 0.0,
         leaving_s=None if leaving is None else _seconds(now - leaving),
-        rests_s=_seconds(stated.rest_until - now),
+        rests_s=_seconds(stated.pause_until - now),
     )
 
 
@@ -269,15 +269,15 @@
 def _quarantined(crashes: Crashes, now: float) -> tuple[QuarantinedState, ...]:
     return tuple(
         QuarantinedState(
-            fingerprint=held.request.fingerprint,
-            what=held.request.what,
-            age_s=round(now - held.since, _TIME_DIGITS),
-            trial_in_s=round(held.retry_after_s(now), _TIME_DIGITS),
-            trials=held.request.trials,
-            stored=held.revision > 0,
-            crashes=tuple(crash._asdict() for crash in held.request.crashes),
+            fingerprint=entry.request.fingerprint,
+            what=entry.request.what,
+            age_s=round(now - entry.since, _TIME_DIGITS),
+            trial_in_s=round(entry.retry_after_s(now), _TIME_DIGITS),
+            trials=entry.request.trials,
+            stored=entry.revision > 0,
+            crashes=tuple(crash._asdict() for crash in entry.request.crashes),
         )
-        for _, held in sorted(crashes.quarantine.held.items())
+        for _, entry in sorted(crashes.quarantine.entries.items())
     )
 
 
@@ -304,7 +304,7 @@
             load=round(server.load(now), _LOAD_DIGITS),
             cold=server.cold(now),
             draining=server.backend.draining,
-            paused=server.paused_until > now or server.silent(now),
+            paused=server.backoff_until > now or server.silent(now),
             latency_ms=round((server.latency_s or 0.0) * _MS_PER_S, 1),
         )
         for _, server in sorted(servers.registry.servers.items())
--- a/tests/test_gateway_guilt.py
+++ b/tests/test_gateway_crash_attribution.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from sprucewinch.gateway.crashes import crash_log
-from sprucewinch.gateway.crashes.crash_log import CrashLog, ServerProcess, Suspect, SuspectRun
-from sprucewinch.gateway.crashes.guilt import (
+from sprucewinch.gateway.crashes.crash_attribution import (
     MIN_CRASHES,
     assess,
     count_consecutive,
     count_incidents,
 )
+from sprucewinch.gateway.crashes.crash_log import CrashLog, ServerProcess, Suspect, SuspectRun
 
 REQUESTS = tuple(bytes([number]) * 16 for number in range(4))
 
@@ -50,7 +50,7 @@
 def deliver(log: CrashLog, report: "Crash | Success") -> None:
     """Deliver one report to a VM's log."""
     if isinstance(report, Success):
-        log.note_good_end(report.request, report.at)
+        log.record_success(report.request, report.at)
         return
     process = ServerProcess(f"i-{report.server}")
     for run in report.runs:
--- a/tests/test_gateway_crash_check.py
+++ b/tests/test_gateway_crash_check.py
@@ -9,7 +9,7 @@
 from standins.scripted_server import Spoil
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import Path, route
+from .gateway_fakes import PipelineFixture, route
 
 
 def _fingerprint(**changes: object) -> bytes:
@@ -48,41 +48,41 @@
 class Crashes(unittest.TestCase):
     def test_a_refused_connection_proves_that_the_process_ended(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             server = path.first()
             loop.call_later(0.02, path.stop, server)
             request = path.request("q")
             reply = await path.pipeline.run(request)
-            self.assertEqual([a.why for a in request.attempts], [CRASHED])
+            self.assertEqual([a.cause for a in request.attempts], [CRASHED])
             self.assertEqual(reply.status, 502)
 
         run_virtual(main)
 
     def test_a_lost_answer_proves_nothing_and_the_new_connection_is_used(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             path.first().spoils = [Spoil.LOST]
             first, second = path.request("q1"), path.request("q2")
             await path.pipeline.run(first)
             await path.pipeline.run(second)
-            self.assertEqual([a.why for a in first.attempts], [ENDED])
-            self.assertEqual([a.why for a in second.attempts], ["answered"])
+            self.assertEqual([a.cause for a in first.attempts], [ENDED])
+            self.assertEqual([a.cause for a in second.attempts], ["answered"])
             self.assertEqual(path.pool.opened, 2)
 
         run_virtual(main)
 
     def test_a_server_behind_a_network_cut_proves_nothing(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             server = path.first()
             loop.call_later(0.02, path.silence, server)
             loop.call_later(0.03, server.reset)
             request = path.request("q")
             await path.pipeline.run(request)
-            self.assertEqual([a.why for a in request.attempts], [ENDED])
+            self.assertEqual([a.cause for a in request.attempts], [ENDED])
 
         run_virtual(main)
 
@@ -90,7 +90,7 @@
         """A server that has too many connections refuses new ones, and goes on serving."""
 
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             server = path.first()
             server.work_s = 0.3
@@ -101,21 +101,21 @@
             loop.call_later(0.03, loop.listeners.pop, path.addresses[server.server_id])
             cut = path.request("cut")
             await path.pipeline.run(cut)
-            self.assertEqual([a.why for a in cut.attempts], [ENDED])
+            self.assertEqual([a.cause for a in cut.attempts], [ENDED])
             self.assertEqual((await stays).status, 200)
 
         run_virtual(main)
 
     def test_a_server_that_leaves_has_not_crashed(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             server = path.first()
-            loop.call_later(0.01, path.world.say, "evacuate/east-a", Evacuation("east-a"))
+            loop.call_later(0.01, path.world.put, "evacuate/east-a", Evacuation("east-a"))
             loop.call_later(0.02, path.stop, server)
             request = path.request("q")
             await path.pipeline.run(request)
-            self.assertEqual([a.why for a in request.attempts], [ENDED])
+            self.assertEqual([a.cause for a in request.attempts], [ENDED])
 
         run_virtual(main)
 
--- a/tests/test_gateway_incarnations.py
+++ b/tests/test_gateway_incarnations.py
@@ -27,7 +27,7 @@
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
 from . import adapter  # noqa: F401 - makes the next imports possible
-from .gateway_fakes import BOUNDS, REGIONS, Path, route
+from .gateway_fakes import BOUNDS, REGIONS, PipelineFixture, route
 
 from server_entries import MAX_ENTRY_BYTES, probed_incarnation  # isort: skip
 from store_items import StoreItems  # isort: skip
@@ -117,10 +117,10 @@
 
     def offered(self) -> list[str]:
         """Return the ids of the servers that are offered to requests."""
-        return sorted(server.backend.id for server in self.registry.usable("rates"))
+        return sorted(server.backend.id for server in self.registry.offered("rates"))
 
 
-class SpoiltEntries(unittest.TestCase):
+class UnreadableEntries(unittest.TestCase):
     def test_an_unreadable_entry_offers_no_server_and_others_stay(self) -> None:
         for kind, value in _UNREADABLE.items():
             with self.subTest(kind):
@@ -141,13 +141,13 @@
     def test_it_withdraws_the_server_during_an_outage_of_the_store(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with())
-        vm.registry.lapsed_entries.outages.lost(1.0)
+        vm.registry.lapsed_entries.outages.record_failure(1.0)
         vm.write(_KEY, b"{", 20.0)
         self.assertEqual(vm.offered(), [])
 
     def test_the_same_process_returns_with_its_data(self) -> None:
         vm = Vm()
-        vm.registry.settle()
+        vm.registry.count_new_as_cold()
         vm.write(_KEY, _with(born=5))
         server = vm.registry.servers["s0"]
         vm.write(_KEY, b"{", 1.0)
@@ -239,9 +239,9 @@
         vm = Vm()
         vm.write(_KEY, _with(born=2**53))
         vm.write(_KEY, _with(born=5), 1.0)
-        vm.registry.take_up_standing(1.0 + _ACCEPT_OUTDATED_AFTER_S - 0.1)
+        vm.registry.accept_outdated_entries(1.0 + _ACCEPT_OUTDATED_AFTER_S - 0.1)
         before = vm.registry.servers["s0"].backend.incarnation
-        vm.registry.take_up_standing(1.0 + _ACCEPT_OUTDATED_AFTER_S)
+        vm.registry.accept_outdated_entries(1.0 + _ACCEPT_OUTDATED_AFTER_S)
         after = vm.registry.servers["s0"].backend.incarnation
         self.assertEqual((before, after), (2**53, 5))
 
@@ -250,14 +250,14 @@
         vm.write(_KEY, _with(born=6))
         vm.write(_KEY, _with(born=5), 1.0)
         vm.write(_KEY, b"{", 2.0)
-        vm.registry.take_up_standing(2.0 + _ACCEPT_OUTDATED_AFTER_S)
+        vm.registry.accept_outdated_entries(2.0 + _ACCEPT_OUTDATED_AFTER_S)
         self.assertEqual(vm.offered(), [])
 
     def test_incarnations_of_removed_entries_are_kept_for_a_bounded_time(self) -> None:
         vm = Vm()
         vm.write(_KEY, _with(born=6))
         vm.remove(_KEY, 1.0)
-        vm.registry.take_up_standing(1.0 + _LONG_S)
+        vm.registry.accept_outdated_entries(1.0 + _LONG_S)
         vm.write(_KEY, _with(born=5), 2.0 + _LONG_S)
         self.assertEqual(vm.offered(), ["s0"])
 
@@ -268,7 +268,7 @@
     def test_no_data_of_the_former_process_is_kept(self) -> None:
         vm = Vm()
         vm.view.listeners.append(lambda _change: None)
-        vm.registry.settle()
+        vm.registry.count_new_as_cold()
         vm.write(_KEY, _with(born=5))
         old = vm.registry.servers["s0"]
         for number in range(20):
@@ -280,7 +280,7 @@
         vm.write(_KEY, _with(born=6), 0.3)
         new = vm.registry.servers["s0"]
         fresh = BackendServer(new.backend)
-        for name in ("latency_s", "in_flight", "answered_at", "paused_until", "concurrency_limit"):
+        for name in ("latency_s", "in_flight", "answered_at", "backoff_until", "concurrency_limit"):
             with self.subTest(name):
                 self.assertEqual(getattr(new, name), getattr(fresh, name))
         self.assertEqual(new.load(0.3), 0.0)
@@ -295,7 +295,7 @@
         vm.registry.load_reports.on_overload_report(OverloadReport("s0", 6, 30, 5), 1.0)
         for number in range(10):
             vm.outliers.on_failure_report(FailureReport("s0", 5), 1.0 + number / 10)
-        self.assertEqual((server.load(1.0), vm.outliers.records), (0.0, {}))
+        self.assertEqual((server.load(1.0), vm.outliers.histories), (0.0, {}))
         vm.registry.load_reports.on_overload_report(OverloadReport("s0", 6, 30, 6), 1.0)
         self.assertGreater(server.load(1.0), 6.0)
 
@@ -303,7 +303,7 @@
         reply, request, path, took_s = run_virtual(lambda loop: _restart(loop, repeatable=False))
         self.assertEqual((reply.status, path.runs("q")), (502, 1))
         self.assertEqual([a.verdict for a in request.attempts], [Verdict.UNKNOWN])
-        self.assertEqual(request.attempts[0].why, "server-restarted")
+        self.assertEqual(request.attempts[0].cause, "server-restarted")
         self.assertLess(took_s, 0.3)
 
     def test_a_request_that_may_run_twice_is_answered_by_another_server_in_time(self) -> None:
@@ -314,7 +314,7 @@
 
     def test_a_kept_connection_to_the_former_process_is_not_used(self) -> None:
         async def main(loop: VirtualLoop) -> int:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route())
             await path.pipeline.run(path.request("q0"))
             opened = path.pool.opened
@@ -327,7 +327,7 @@
 
 async def _restart(loop: VirtualLoop, *, repeatable: bool) -> tuple:
     """Restart a server under its id after an end that resets no connection."""
-    path = Path(loop)
+    path = PipelineFixture(loop)
     path.world.configure(route(repeatable=repeatable))
     first = path.first()
     first.spoils = [Spoil.SILENT]
@@ -339,13 +339,13 @@
     return reply, request, path, loop.time() - request.arrived_at
 
 
-def _start_again(path: Path, server_id: str) -> None:
+def _start_again(path: PipelineFixture, server_id: str) -> None:
     """Write the entry of a later process of a server, after one that stated an incarnation."""
     current = path.world.registry.servers[server_id].backend
     born = (current.incarnation or 0) + 1
     path.world.registry.incarnations.classify(current._replace(incarnation=0), path.loop.time())
     entry = current._replace(incarnation=born)
-    path.world.say(f"servers/{server_id}", entry, path.loop.time())
+    path.world.put(f"servers/{server_id}", entry, path.loop.time())
 
 
 class _Step(NamedTuple):
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -7,7 +7,7 @@
 from standins.scripted_server import ScriptedServer, Spoil
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
-from .gateway_fakes import Path, route
+from .gateway_fakes import PipelineFixture, route
 
 ADDRESS = "10.0.0.1:80"
 _REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\nx-request-id: q\r\n\r\n"
@@ -39,11 +39,11 @@
             first = await pool.take(ADDRESS)
             pool.give_back(ADDRESS, first)
             loop.instant.skipped_s += 2.0
-            second = await pool.take(ADDRESS, most_rest_s=2.0)
+            second = await pool.take(ADDRESS, max_idle_s=2.0)
             self.assertIsNot(second, first)
             self.assertTrue(first.alive)
-            self.assertIs(await pool.take(ADDRESS, most_rest_s=2.1), first)
-            self.assertIsNot(await pool.take(ADDRESS, most_rest_s=0.0), second)
+            self.assertIs(await pool.take(ADDRESS, max_idle_s=2.1), first)
+            self.assertIsNot(await pool.take(ADDRESS, max_idle_s=0.0), second)
 
         run_virtual(main)
 
@@ -62,7 +62,7 @@
 
     def test_after_a_time_out_a_request_that_must_not_run_twice_gets_a_new_connection(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             both = [path.pipeline.run(path.request(f"q{number}")) for number in range(2)]
             self.assertEqual([reply.status for reply in await asyncio.gather(*both)], [200, 200])
--- a/tests/test_gateway_request_rules.py
+++ b/tests/test_gateway_request_rules.py
@@ -14,7 +14,7 @@
     admit_body,
 )
 from sprucewinch.gateway.requests.callers.request_reader import RequestReader
-from sprucewinch.gateway.requests.choice.room import no_room_reason, place_in_queue, room_wait_s
+from sprucewinch.gateway.requests.choice.room import no_room_reason, queue_position, room_wait_s
 from sprucewinch.gateway.requests.client_request import (
     TIMED_OUT,
     Attempt,
@@ -25,7 +25,7 @@
     SelectionReason,
     Verdict,
 )
-from sprucewinch.gateway.requests.connection_age import MAX_NON_REPEATABLE_IDLE_S, most_rest_s
+from sprucewinch.gateway.requests.connection_reuse import MAX_NON_REPEATABLE_IDLE_S, max_idle_s
 from sprucewinch.gateway.requests.outcome import final_answer
 from sprucewinch.gateway.requests.outcome.hold_time import (
     ANSWER_MARGIN_S,
@@ -48,7 +48,7 @@
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
 from .formats_gateway import VirtualGateway
-from .gateway_fakes import NAMES, Path, route
+from .gateway_fakes import NAMES, PipelineFixture, route
 
 _PROMISES = (408, 421, 429, 503)
 
@@ -65,8 +65,8 @@
     return Attempt("s0", Verdict.ANSWERED, True, "answered", Answer(status, (), b""))
 
 
-def _unanswered(verdict: Verdict, why: str, *, may_have_arrived: bool = True) -> Attempt:
-    return Attempt("s0", verdict, may_have_arrived, why)
+def _unanswered(verdict: Verdict, cause: str, *, may_have_arrived: bool = True) -> Attempt:
+    return Attempt("s0", verdict, may_have_arrived, cause)
 
 
 class CallersWait(unittest.TestCase):
@@ -254,8 +254,8 @@
         """
 
         async def main(loop: VirtualLoop) -> tuple[int, Union[SelectionReason, BlockedReason]]:
-            path = Path(loop, servers=len(loads), halls=halls)
-            ranking = path.ranker.place("rates", "lane-1", (), loop.time())
+            path = PipelineFixture(loop, servers=len(loads), halls=halls)
+            ranking = path.ranker.rank("rates", "lane-1", (), loop.time())
             for server, load in zip(ranking.servers, loads, strict=True):
                 server.estimate.record(load, server.in_flight, loop.time())
             ids = [server.backend.id for server in ranking.servers]
@@ -293,10 +293,10 @@
 
     def test_the_concurrency_limit_and_more_urgent_requests_leave_no_room(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             server, registry = path.world.registry.servers["s0"], path.world.registry
             first, urgent = path.request("q0"), path.request("q1")
-            waits = loop.create_task(server.wait_for_room(0.1, place_in_queue(urgent, route())))
+            waits = loop.create_task(server.wait_for_room(0.1, queue_position(urgent, route())))
             await pass_time(0.01)
             self._assert_no_room(path, first, route(priority=1), BlockedReason.OTHER_WAITS)
             self._assert_no_room(path, path.request("q2"), route(), BlockedReason.OTHER_WAITS)
@@ -308,7 +308,11 @@
         run_virtual(main)
 
     def _assert_no_room(
-        self, path: Path, request: ClientRequest, request_route: Route, expected: BlockedReason
+        self,
+        path: PipelineFixture,
+        request: ClientRequest,
+        request_route: Route,
+        expected: BlockedReason,
     ) -> None:
         registry = path.world.registry
         reason = no_room_reason(
@@ -331,7 +335,7 @@
 
     def test_a_request_with_less_time_is_refused_at_once_and_not_sent(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2)
+            path = PipelineFixture(loop, servers=2)
             path.world.configure(route(repeatable=False))
             for server in path.servers.values():
                 server.work_s = 0.3
@@ -348,7 +352,7 @@
 
     def test_a_request_with_less_time_that_may_have_run_gets_no_promise(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=2)
+            path = PipelineFixture(loop, servers=2)
             path.world.configure(route())
             for server in path.servers.values():
                 server.work_s = 0.3
@@ -366,14 +370,14 @@
     def test_a_non_repeatable_request_needs_a_recently_used_connection(self) -> None:
         reset = _unanswered(Verdict.UNKNOWN, "reset")
         once = route(repeatable=False)
-        self.assertEqual(most_rest_s(_request(), route()), float("inf"))
-        self.assertEqual(most_rest_s(_request(), once), MAX_NON_REPEATABLE_IDLE_S)
-        self.assertEqual(most_rest_s(_request(reset), route()), 0.0)
-        self.assertEqual(most_rest_s(_request(reset), once), 0.0)
+        self.assertEqual(max_idle_s(_request(), route()), float("inf"))
+        self.assertEqual(max_idle_s(_request(), once), MAX_NON_REPEATABLE_IDLE_S)
+        self.assertEqual(max_idle_s(_request(reset), route()), 0.0)
+        self.assertEqual(max_idle_s(_request(reset), once), 0.0)
 
     def test_a_non_repeatable_request_opens_a_connection_after_idle_time(self) -> None:
         async def main(loop: VirtualLoop) -> None:
-            path = Path(loop, servers=1)
+            path = PipelineFixture(loop, servers=1)
             path.world.configure(route(repeatable=False))
             opened = []
             for number, pause_s in enumerate(
--- a/tests/test_gateway_service_times.py
+++ b/tests/test_gateway_service_times.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucewinch.gateway.resources import Part, RouteConfiguration
+from sprucewinch.gateway.resources import RouteConfiguration, WeightedService
 from sprucewinch.gateway.servers.capacity.service_times import OVERLOAD_QUEUE_RATIO, ServiceTimes
 
 from .gateway_fakes import route
@@ -17,20 +17,21 @@
 def _times(typical_s: float, *targets_s: float) -> ServiceTimes:
     times = ServiceTimes()
     routes = tuple(
-        route(name=f"r{a}", latency_target_s=a, parts=(Part("rates", 1.0),)) for a in targets_s
+        route(name=f"r{a}", latency_target_s=a, parts=(WeightedService("rates", 1.0),))
+        for a in targets_s
     )
     times.set_latency_targets(RouteConfiguration(1, routes, {}))
     times.record_success("rates", typical_s)
     return times
 
 
-class LeastTime(unittest.TestCase):
+class LowQuantile(unittest.TestCase):
     def test_it_is_unknown_before_enough_answers(self) -> None:
         times = ServiceTimes()
-        self.assertEqual(times.least_s("rates"), 0.0)
+        self.assertEqual(times.low_quantile_s("rates"), 0.0)
         for _ in range(19):
             times.record_success("rates", 0.1)
-        self.assertEqual(times.least_s("rates"), 0.0)
+        self.assertEqual(times.low_quantile_s("rates"), 0.0)
 
     @given(st.integers(0, 2**32))
     def test_nearly_all_answers_take_longer_than_it(self, seed) -> None:
@@ -39,9 +40,9 @@
         taken = [rng.uniform(0.1, 0.4) for _ in range(2_000)]
         for seconds in taken:
             times.record_success("rates", seconds)
-        shorter = sum(seconds < times.least_s("rates") for seconds in taken)
+        shorter = sum(seconds < times.low_quantile_s("rates") for seconds in taken)
         self.assertLess(shorter, 0.1 * len(taken))
-        self.assertGreater(times.least_s("rates"), 0.08)
+        self.assertGreater(times.low_quantile_s("rates"), 0.08)
 
 
 class LoadPerSlot(unittest.TestCase):
