--- a/sprucewinch/daemon.py
+++ b/sprucewinch/daemon.py
@@ -32,7 +32,7 @@
 from .hall.requests.backend import BackendClient
 from .hall.requests.callers import CallerApp
 from .hall.requests.dispatch import Dispatcher
-from .hall.store.http_store import HttpPlatform
+from .hall.store.http_store import HttpStore
 from .net.http_server import ListenerLimits, bind, make_listener
 from .operators.port import OperatorsApp
 from .process_signals import ProcessSignals
@@ -98,11 +98,11 @@
             now=clock.monotonic(),
             log=log.state,
         )
-        self.platform = HttpPlatform(settings.platform_address)
+        self.store = HttpStore(settings.platform_address)
         self.backend = BackendClient()
         self.peers = PeerClient(settings.region, clock)
         self.dispatcher = Dispatcher(self.node, self.backend, self.peers, clock)
-        self.loops = Loops(self.node, self.platform, self.peers, self.backend, clock, rng)
+        self.loops = Loops(self.node, self.store, self.peers, self.backend, clock, rng)
         self.servers = self._http_servers()
         self.peer_listener = self._peer_listener()
         self.server_tasks: list[asyncio.Task] = []
@@ -129,9 +129,7 @@
         bounds = self.settings.limits
         limits = ListenerLimits(bounds.header_bytes, bounds.connections, bounds.requests)
         callers = CallerApp(self.node, self.dispatcher, self.clock)
-        operators = OperatorsApp(
-            self.settings, self.node, self.platform, self.clock, self._on_apply
-        )
+        operators = OperatorsApp(self.settings, self.node, self.store, self.clock, self._on_apply)
         return {
             "caller_address": make_listener(callers, limits),
             "operators_address": make_listener(operators.routes(), limits),
@@ -164,7 +162,7 @@
 
     def _on_apply(self, document: Document) -> None:
         stored = configuration_document(document.revision, encode_document(document))
-        if self.node.shelf.offer(stored):
+        if self.node.documents.offer(stored):
             self.node.tick(self.clock.monotonic())
             self.loops.changed()
 
@@ -206,7 +204,7 @@
         self.peer_listener.close()
         self.peers.close()
         await self.backend.close()
-        await self.platform.close()
+        await self.store.close()
         log.state(f"event=stopped vm={self.settings.vm}")
 
 
--- a/sprucewinch/hall/loops.py
+++ b/sprucewinch/hall/loops.py
@@ -18,8 +18,8 @@
 from .requests.admission import Admission
 from .requests.backend import BackendClient
 from .store.documents import CONFIGURATION_KEY, Revisioned
-from .store.store import Platform
-from .store.store_reader import PlatformReader
+from .store.store import Store
+from .store.store_reader import StoreReader
 
 TICK_S = 0.5
 """Time between two rounds of the node, in seconds; `slots.MEMBER_LIST_TTL_S` and
@@ -59,7 +59,7 @@
 
     Args:
         node: This VM's state.
-        platform: Client of the store.
+        store: Client of the store.
         peers: Client of other entry VMs.
         backend: Client of backend servers.
         clock: Source of time.
@@ -69,22 +69,22 @@
     def __init__(
         self,
         node: Node,
-        platform: Platform,
+        store: Store,
         peers: PeerClient,
         backend: BackendClient,
         clock: Clock,
         rng: random.Random,
     ) -> None:
         self.node = node
-        self.platform = platform
+        self.store = store
         self.peers = peers
         self.backend = backend
         self.clock = clock
         self.rng = rng
         self.exchange = Exchange(node)
         self._changed = asyncio.Event()
-        self.reader = PlatformReader(node, platform, clock, rng, self.changed)
-        self.plans = PlanRounds(node, platform, self.reader, clock, self.changed)
+        self.reader = StoreReader(node, store, clock, rng, self.changed)
+        self.plans = PlanRounds(node, store, self.reader, clock, self.changed)
         self._tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
@@ -116,7 +116,7 @@
         counters = self.node.metrics.counters
         counters["peer_bytes_sent"] = self.peers.bytes_sent
         counters["peer_bytes_received"] = self.peers.bytes_received
-        counters["platform_calls"] = self.platform.calls
+        counters["platform_calls"] = self.store.calls
         await asyncio.sleep(TICK_S)
 
     async def _exchange_loop(self) -> None:
@@ -145,7 +145,7 @@
         await asyncio.gather(*(self._exchange_one(address) for address in addresses))
 
     async def _exchange_one(self, address: str) -> None:
-        before = self.node.shelf.revisions()
+        before = self.node.documents.revisions()
         message = self.exchange.ask()
         for _ in range(_MAX_MESSAGES):
             reply = await self.peers.exchange(address, message)
@@ -155,7 +155,7 @@
             if next_message is None:
                 break
             message = next_message
-        if self.node.shelf.revisions() != before:
+        if self.node.documents.revisions() != before:
             self.changed()
 
     async def _plan_loop(self) -> None:
--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -77,7 +77,7 @@
         self.steering = Steering()
         self.regions = RegionTables(settings.region, self.steering)
         self.in_force = DocumentsInForce(self.hall, self.steering, log)
-        self.shelf = DocumentReplica(self.in_force.accept)
+        self.documents = DocumentReplica(self.in_force.accept)
         self.load = LoadReport(self.hall, self.metrics, self.label)
         self.drains = DrainTimer(self.metrics, log)
 
@@ -89,7 +89,7 @@
     @property
     def revision(self) -> int:
         """Configuration revision in force here; 0 when there is none."""
-        return self.shelf.revision(CONFIGURATION_KEY)
+        return self.documents.revision(CONFIGURATION_KEY)
 
     @property
     def topology(self) -> Optional[Topology]:
--- a/sprucewinch/hall/peers/exchange.py
+++ b/sprucewinch/hall/peers/exchange.py
@@ -44,7 +44,7 @@
         return ExchangeRequest(
             known=_known(self.node.membership),
             members=[self.node.own],
-            revisions=_revisions(self.node.shelf.revisions()),
+            revisions=_revisions(self.node.documents.revisions()),
         )
 
     def answer(self, message: ExchangeRequest, now: float) -> ExchangeReply:
@@ -55,8 +55,8 @@
         return ExchangeReply(
             members=_newer_than(membership, message.known),
             wanted_members=_older_than(membership, message.known),
-            documents=_documents(self.node.shelf.newer_than(theirs)),
-            wanted_documents=self.node.shelf.older_than(theirs),
+            documents=_documents(self.node.documents.newer_than(theirs)),
+            wanted_documents=self.node.documents.older_than(theirs),
         )
 
     def learn(self, reply: ExchangeReply, now: float) -> ExchangeRequest | None:
@@ -68,7 +68,7 @@
         """
         self._store(reply.members, reply.documents, now)
         members = _select(self.node.membership, reply.wanted_members)
-        documents = _documents(self.node.shelf.select(reply.wanted_documents))
+        documents = _documents(self.node.documents.select(reply.wanted_documents))
         if not members and not documents:
             return None
         message = self.ask()
@@ -81,7 +81,7 @@
         for member in members:
             self.node.membership.observe(member, now)
         for document in documents:
-            self.node.shelf.offer(Revisioned(document.key, document.revision, document.value))
+            self.node.documents.offer(Revisioned(document.key, document.revision, document.value))
 
 
 def choose_partners(
--- a/sprucewinch/hall/peers/peer_server.py
+++ b/sprucewinch/hall/peers/peer_server.py
@@ -71,9 +71,9 @@
         message = await stream.recv_message()
         if message is None:
             return
-        before = self.exchange.node.shelf.revisions()
+        before = self.exchange.node.documents.revisions()
         reply = self.exchange.answer(message, self.clock.monotonic())
-        if self.exchange.node.shelf.revisions() != before:
+        if self.exchange.node.documents.revisions() != before:
             self.changed()
         await stream.send_message(reply)
 
--- a/sprucewinch/hall/planning/plan_rounds.py
+++ b/sprucewinch/hall/planning/plan_rounds.py
@@ -20,8 +20,8 @@
 from ..peers.peer_pb2 import SERVING
 from ..peers.view import View
 from ..store.documents import PLAN_PREFIX, Revisioned
-from ..store.store import Platform, Written
-from ..store.store_reader import PlatformReader
+from ..store.store import Store, Written
+from ..store.store_reader import StoreReader
 from .planner import Planner
 from .planner_lease import LEASE_DURATION_S, LeaseRenewal, is_candidate
 from .steering import Plan
@@ -32,7 +32,7 @@
 
     Args:
         node: This VM's state.
-        platform: Client of the store.
+        store: Client of the store.
         reader: Holds the version of each value in the store, for compare-and-swap.
         clock: Source of time.
         changed: Called after a new plan was written.
@@ -41,13 +41,13 @@
     def __init__(
         self,
         node: Node,
-        platform: Platform,
-        reader: PlatformReader,
+        store: Store,
+        reader: StoreReader,
         clock: Clock,
         changed: Callable[[], None],
     ) -> None:
         self.node = node
-        self.platform = platform
+        self.store = store
         self.reader = reader
         self.clock = clock
         self.changed = changed
@@ -106,15 +106,15 @@
             return self._planner is not None
         self._renewal.record_request(now)
         name = f"planner/{self.node.settings.region}"
-        return await self.platform.lease(name, member_id(self.node.own), LEASE_DURATION_S)
+        return await self.store.lease(name, member_id(self.node.own), LEASE_DURATION_S)
 
     async def _start_planner(self, key: str, region: str) -> None:
         """Start a planner from the newest plan: the stored one, or the one that this VM follows."""
-        entry = await self.platform.get(key)
+        entry = await self.store.get(key)
         newest = None
         if entry is not None:
             newest = msgspec.json.decode(entry.value, type=Plan)
-            self.reader.take([entry])
+            self.reader.apply([entry])
         followed = self.node.steering.plans.get(region)
         if followed is not None and (newest is None or followed.revision > newest.revision):
             newest = followed
@@ -129,7 +129,7 @@
         assert self._planner is not None and self.node.topology is not None
         value = msgspec.json.encode(plan)
         try:
-            result = await self.platform.put(key, value, self.reader.versions.get(key, 0))
+            result = await self.store.put(key, value, self.reader.versions.get(key, 0))
         except WriteUnknownError:
             # No log line here: the next round starts again from the stored plan.
             self._count_failure("plan_writes_unknown")
@@ -143,5 +143,5 @@
         self._planner.confirm(plan, self.node.topology, self.clock.monotonic())
         for service, problem in plan.faults.items():
             log.trouble(f"event=policy-fault service={service} problem={problem!r}")
-        if self.node.shelf.offer(Revisioned(key, plan.revision, value)):
+        if self.node.documents.offer(Revisioned(key, plan.revision, value)):
             self.changed()
--- a/sprucewinch/hall/store/documents.py
+++ b/sprucewinch/hall/store/documents.py
@@ -35,12 +35,12 @@
     revision: int
 
 
-def revisioned(key: str, value: bytes) -> Optional[Revisioned]:
+def decode_revisioned(key: str, value: bytes) -> Optional[Revisioned]:
     """Return a stored value with the revision in its JSON text; None when it has no revision."""
     try:
         return Revisioned(key, msgspec.json.decode(value, type=_Envelope).revision, value)
     except msgspec.MsgspecError:
-        # `PlatformReader.take` logs the key as `event=unreadable`.
+        # `StoreReader.apply` logs the key as `event=unreadable`.
         return None
 
 
--- a/sprucewinch/hall/store/http_store.py
+++ b/sprucewinch/hall/store/http_store.py
@@ -1,6 +1,6 @@
 """Client of the store over HTTP and JSON, with values in base64.
 
-`HttpPlatform` owns one HTTP session and counts the calls. It relies on `net.http_client`, which
+`HttpStore` owns one HTTP session and counts the calls. It relies on `net.http_client`, which
 never resends a request, and raises `PlatformError` for every failure, or `WriteUnknownError` when
 the answer to a write was lost.
 """
@@ -13,7 +13,7 @@
 
 from ...errors import PlatformError, WriteUnknownError
 from ...net.http_client import make_session
-from .store import Entry, Mismatch, Platform, VmListing, Written
+from .store import Entry, Store, VersionMismatch, VmListing, Written
 
 _Answer = TypeVar("_Answer")
 
@@ -77,8 +77,8 @@
     vms: list[_VmRow]
 
 
-class HttpPlatform(Platform):
-    """A client of the platform's service.
+class HttpStore(Store):
+    """A client of the store.
 
     Args:
         address: `IP:PORT`.
@@ -98,12 +98,12 @@
             return None
         return self._decode(status, body, _StoredValue).entry()
 
-    async def put(self, key: str, value: bytes, expected: int) -> Union[Written, Mismatch]:
+    async def put(self, key: str, value: bytes, expected: int) -> Union[Written, VersionMismatch]:
         """Write a value if the key holds the expected version."""
         params = {"expected": str(expected)}
         status, body = await self._call("PUT", f"/v1/values/{key}", params, value, writes=True)
         if status == _STATUS_CONFLICT:
-            return Mismatch(msgspec.convert(body, _Version).version)
+            return VersionMismatch(msgspec.convert(body, _Version).version)
         return Written(self._decode(status, body, _Version).version)
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> list[Entry]:
--- a/sprucewinch/hall/store/store.py
+++ b/sprucewinch/hall/store/store.py
@@ -28,7 +28,7 @@
     version: int
 
 
-class Mismatch(NamedTuple):
+class VersionMismatch(NamedTuple):
     """A write that did not take effect: the key holds another version (0: no value)."""
 
     version: int
@@ -48,21 +48,21 @@
     leaving: bool
 
 
-class Platform(abc.ABC):
-    """A client of the platform's service.
+class Store(abc.ABC):
+    """A client of the store.
 
-    Every method raises `PlatformError` when the service does not answer or refuses the call.
+    Every method raises `PlatformError` when the store does not answer or refuses the call.
     """
 
     calls = 0
-    """Calls made so far; the service limits their rate."""
+    """Calls made so far; the store limits their rate."""
 
     @abc.abstractmethod
     async def get(self, key: str) -> Optional[Entry]:
         """Return the entry of a key; None when there is none."""
 
     @abc.abstractmethod
-    async def put(self, key: str, value: bytes, expected: int) -> Union[Written, Mismatch]:
+    async def put(self, key: str, value: bytes, expected: int) -> Union[Written, VersionMismatch]:
         """Write a value if the key holds the expected version (0: no value yet).
 
         Raises:
--- a/sprucewinch/hall/store/store_reader.py
+++ b/sprucewinch/hall/store/store_reader.py
@@ -1,6 +1,6 @@
 """Reads the store's documents and its list of VMs, and decides which VM of a hall watches it.
 
-`PlatformReader` owns the versions read so far, the listed VMs and whether the store is reachable.
+`StoreReader` owns the versions read so far, the listed VMs and whether the store is reachable.
 It relies on the store's client for calls and on the node for the documents in force and the members
 of the hall.
 
@@ -22,8 +22,8 @@
 from ...retry import backoff_s
 from ..node import Node
 from ..peers.peer_pb2 import LEAVING, SERVING
-from .documents import WATCH_PREFIX, revisioned
-from .store import Entry, Platform, VmListing
+from .documents import WATCH_PREFIX, decode_revisioned
+from .store import Entry, Store, VmListing
 
 WATCH_TIMEOUT_S = 20.0
 """Longest wait of one watch, in seconds."""
@@ -45,12 +45,12 @@
 versions, so reading only newer ones would miss entries."""
 
 
-class PlatformReader:
+class StoreReader:
     """Reads documents and the list of VMs from the store into the node.
 
     Args:
         node: This VM's state.
-        platform: Client of the store.
+        store: Client of the store.
         clock: Source of time.
         rng: Source of randomness.
         changed: Called after a newer document was accepted.
@@ -65,13 +65,13 @@
     def __init__(
         self,
         node: Node,
-        platform: Platform,
+        store: Store,
         clock: Clock,
         rng: random.Random,
         changed: Callable[[], None],
     ) -> None:
         self.node = node
-        self.platform = platform
+        self.store = store
         self.clock = clock
         self.rng = rng
         self.changed = changed
@@ -95,11 +95,11 @@
                 await asyncio.sleep(wait_s)
 
     async def _read(self) -> None:
-        self._apply_listing(await self.platform.members())
+        self._apply_listing(await self.store.members())
         watching = self._is_watcher()
         entries = await self._entries(WATCH_TIMEOUT_S if watching else 0.0)
         self._log_reachability(True)
-        self.take(entries)
+        self.apply(entries)
         if not watching:
             await asyncio.sleep(POLL_INTERVAL_S * self.rng.uniform(_MIN_POLL_FRACTION, 1.0))
 
@@ -107,11 +107,11 @@
         """Return newer entries, or all entries once every `FULL_READ_INTERVAL_S`."""
         now = self.clock.monotonic()
         if now - self._full_read_at >= FULL_READ_INTERVAL_S:
-            entries = await self.platform.watch(WATCH_PREFIX, 0, 0.0)
+            entries = await self.store.watch(WATCH_PREFIX, 0, 0.0)
             self._full_read_at = now
             self.last_version = 0
             return entries
-        return await self.platform.watch(WATCH_PREFIX, self.last_version, wait_s)
+        return await self.store.watch(WATCH_PREFIX, self.last_version, wait_s)
 
     def _apply_listing(self, listing: list[VmListing]) -> None:
         """Record the listed entry VMs, and mark backend servers that are listed as leaving."""
@@ -129,22 +129,22 @@
         hall = [m.vm for m in self.node.membership.of_hall(now) if m.state in (SERVING, LEAVING)]
         return self.node.own.vm <= min(hall, default=self.node.own.vm)
 
-    def take(self, entries: list[Entry]) -> None:
+    def apply(self, entries: list[Entry]) -> None:
         """Offer entries to the node; log unreadable ones and those older than the ones in force."""
         for entry in entries:
             self.last_version = max(self.last_version, entry.version)
             self.versions[entry.key] = entry.version
-            document = revisioned(entry.key, entry.value)
+            document = decode_revisioned(entry.key, entry.value)
             if document is None:
                 log.trouble(f"event=unreadable key={entry.key}")
                 continue
-            if document.revision < self.node.shelf.revision(entry.key):
-                held = self.node.shelf.revision(entry.key)
+            if document.revision < self.node.documents.revision(entry.key):
+                held = self.node.documents.revision(entry.key)
                 log.trouble(
                     f"event=platform-behind key={entry.key} shows={document.revision} "
                     f"in_force={held}"
                 )
-            if self.node.shelf.offer(document):
+            if self.node.documents.offer(document):
                 self.changed()
 
     def _log_reachability(self, up: bool, problem: str = "") -> None:
--- a/sprucewinch/operators/_read_calls.py
+++ b/sprucewinch/operators/_read_calls.py
@@ -13,7 +13,7 @@
 from ..clock import Clock
 from ..hall.node import Node
 from ..hall.store.documents import AUDIT_PREFIX
-from ..hall.store.store import Platform
+from ..hall.store.store import Store
 from ._messages import json_answer
 from .report import compare_policies, explain, status
 
@@ -23,13 +23,13 @@
 
     Args:
         node: This VM's view.
-        platform: The platform's service.
+        store: The platform's service.
         clock: Source of time.
     """
 
-    def __init__(self, node: Node, platform: Platform, clock: Clock) -> None:
+    def __init__(self, node: Node, store: Store, clock: Clock) -> None:
         self.node = node
-        self.platform = platform
+        self.store = store
         self.clock = clock
 
     async def show_status(self, _request: Request) -> Response:
@@ -44,7 +44,7 @@
         """Return the audit trail, oldest first, archived parts included."""
         records: list[Any] = []
         if request.query_params.get("all"):
-            for entry in await self.platform.watch(AUDIT_PREFIX, 0, 0.0):
+            for entry in await self.store.watch(AUDIT_PREFIX, 0, 0.0):
                 records.extend(msgspec.json.decode(entry.value))
         if self.node.topology is not None:
             records.extend(msgspec.to_builtins(self.node.topology.document.audit))
--- a/sprucewinch/operators/port.py
+++ b/sprucewinch/operators/port.py
@@ -27,7 +27,7 @@
     WriteUnknownError,
 )
 from ..hall.node import Node
-from ..hall.store.store import Platform
+from ..hall.store.store import Store
 from ._messages import problem_answer
 from ._read_calls import ReadCalls
 from ._write_calls import Applied, WriteCalls
@@ -53,17 +53,17 @@
     Args:
         settings: The daemon's settings.
         node: This VM's view.
-        platform: The platform's service.
+        store: The platform's service.
         clock: Source of time.
         applied: Called with each document that this VM wrote.
     """
 
     def __init__(
-        self, settings: Settings, node: Node, platform: Platform, clock: Clock, applied: Applied
+        self, settings: Settings, node: Node, store: Store, clock: Clock, applied: Applied
     ) -> None:
         self.token = settings.operators_token.encode()
-        self.reads = ReadCalls(node, platform, clock)
-        self.writes = WriteCalls(node, ChangeWriter(platform, clock), applied)
+        self.reads = ReadCalls(node, store, clock)
+        self.writes = WriteCalls(node, ChangeWriter(store, clock), applied)
 
     def routes(self) -> Starlette:
         """Return the ASGI application."""
--- a/sprucewinch/operators/writer.py
+++ b/sprucewinch/operators/writer.py
@@ -34,7 +34,7 @@
     WriteUnknownError,
 )
 from ..hall.store.documents import AUDIT_PREFIX, CONFIGURATION_KEY
-from ..hall.store.store import Entry, Mismatch, Platform
+from ..hall.store.store import Entry, Store, VersionMismatch
 from .changes import Change
 
 MAX_RECORDS = 200
@@ -96,19 +96,19 @@
     """Writes changes by compare-and-swap, each with its audit record.
 
     Args:
-        platform: The platform's service.
+        store: The platform's service.
         clock: Source of time.
         new_operation: Returns a fresh identifier.
     """
 
     def __init__(
         self,
-        platform: Platform,
+        store: Store,
         clock: Clock,
         *,
         new_operation: Callable[[], str] = lambda: uuid.uuid4().hex,
     ) -> None:
-        self.platform = platform
+        self.store = store
         self.clock = clock
         self.new_operation = new_operation
 
@@ -165,7 +165,7 @@
             PlatformError: When the platform does not answer.
         """
         operation = self.new_operation()
-        entry = await self.platform.get(CONFIGURATION_KEY)
+        entry = await self.store.get(CONFIGURATION_KEY)
         held = _held(entry)
         if held.revision >= in_force.revision:
             raise ConflictError("the platform shows nothing older", "no restore is needed")
@@ -173,10 +173,10 @@
         document = msgspec.structs.replace(
             in_force, revision=in_force.revision + 1, audit=(*in_force.audit, record)
         )
-        result = await self.platform.put(
+        result = await self.store.put(
             CONFIGURATION_KEY, encode_document(document), entry.version if entry else 0
         )
-        if isinstance(result, Mismatch):
+        if isinstance(result, VersionMismatch):
             raise ConflictError(
                 "the platform's value changed meanwhile", "look at it and try again"
             )
@@ -184,7 +184,7 @@
 
     async def _read(self, operation: str, sent: bool) -> Optional[Entry]:
         try:
-            return await self.platform.get(CONFIGURATION_KEY)
+            return await self.store.get(CONFIGURATION_KEY)
         except PlatformError:
             if sent:
                 raise _unknown(operation) from None
@@ -215,11 +215,11 @@
                     f"the configuration takes {len(value)} bytes; at most {_MAX_VALUE} are held",
                     "retire policies or shorten lists",
                 )
-            result = await self.platform.put(CONFIGURATION_KEY, value, expected)
+            result = await self.store.put(CONFIGURATION_KEY, value, expected)
         except WriteUnknownError:
             # A result, no error yet: the next try reads back whether the write took effect.
             return _Result.UNKNOWN
-        return _Result.OVERTAKEN if isinstance(result, Mismatch) else _Result.WRITTEN
+        return _Result.OVERTAKEN if isinstance(result, VersionMismatch) else _Result.WRITTEN
 
     async def _archive(self, document: Document) -> Document:
         """Move the oldest records to a key of their own before they leave the document."""
@@ -227,7 +227,7 @@
             return document
         oldest, rest = document.audit[:_ARCHIVED], document.audit[_ARCHIVED:]
         key = f"{AUDIT_PREFIX}{oldest[0].revision:012d}"
-        await self.platform.put(key, msgspec.json.encode(oldest), 0)
+        await self.store.put(key, msgspec.json.encode(oldest), 0)
         return msgspec.structs.replace(document, audit=rest)
 
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -10,7 +10,7 @@
 from sprucewinch.errors import PlatformError, WriteUnknownError
 from sprucewinch.hall.node import Node
 from sprucewinch.hall.store.documents import CONFIGURATION_KEY, Revisioned
-from sprucewinch.hall.store.store import Entry, Mismatch, Platform, VmListing, Written
+from sprucewinch.hall.store.store import Entry, Store, VersionMismatch, VmListing, Written
 
 EXAMPLE = "examples/freight.toml"
 
@@ -51,7 +51,7 @@
     """Put a document in force at a node."""
     held = document or Document(1, example())
     value = encode_document(held)
-    assert target.shelf.offer(Revisioned(CONFIGURATION_KEY, held.revision, value))
+    assert target.documents.offer(Revisioned(CONFIGURATION_KEY, held.revision, value))
 
 
 def run(target: Node, begin: float, end: float, step: float = 0.5) -> None:
@@ -62,7 +62,7 @@
         now += step
 
 
-class FakePlatform(Platform):
+class FakeStore(Store):
     """The platform's service in memory; `fault` is asked before and after every call."""
 
     def __init__(self) -> None:
@@ -86,7 +86,7 @@
         self._check()
         return self.values.get(key)
 
-    async def put(self, key: str, value: bytes, expected: int) -> Union[Written, Mismatch]:
+    async def put(self, key: str, value: bytes, expected: int) -> Union[Written, VersionMismatch]:
         self._check()
         if self.before_put is not None:
             hook, self.before_put = self.before_put, None
@@ -94,7 +94,7 @@
         held = self.values.get(key)
         version = held.version if held else 0
         if version != expected:
-            return Mismatch(version)
+            return VersionMismatch(version)
         entry = self.write(key, value)
         if self.lose_next_answer:
             self.lose_next_answer = False
--- a/tests/formats_own.py
+++ b/tests/formats_own.py
@@ -30,7 +30,7 @@
 from sprucewinch.net.outcome import Reason, not_run
 from sprucewinch.operators.port import OperatorsApp
 
-from .fakes import FakePlatform, settings
+from .fakes import FakeStore, settings
 from .formats_gateway import Answered, asgi
 
 CONFIGURATION_KEY = "steer/configuration"
@@ -60,8 +60,8 @@
         return Attempt(not_run(Reason.NO_ROOM))
 
 
-class Lost(FakePlatform):
-    """A platform that loses the answer to a write, and then answers nothing."""
+class Lost(FakeStore):
+    """A store that loses the answer to a write, and then answers nothing."""
 
     async def put(self, key: str, value: bytes, expected: int) -> Any:
         self.down = True
@@ -72,13 +72,13 @@
     """One entry VM.
 
     Args:
-        platform: Its platform, empty by default.
+        store: Its store, empty by default.
     """
 
-    def __init__(self, platform: FakePlatform | None = None) -> None:
+    def __init__(self, store: FakeStore | None = None) -> None:
         clock = StillClock()
         self.lines: list[str] = []
-        self.platform = platform or FakePlatform()
+        self.store = store or FakeStore()
         self.node = Node(
             settings("a", "east-1", "east"),
             incarnation=399,
@@ -89,7 +89,7 @@
         )
         dispatcher = Dispatcher(self.node, None, _NoPeers(), clock)  # type: ignore[arg-type]
         self.callers = CallerApp(self.node, dispatcher, clock)
-        operators = OperatorsApp(self.node.settings, self.node, self.platform, clock, self._applied)
+        operators = OperatorsApp(self.node.settings, self.node, self.store, clock, self._applied)
         self.operators = operators.routes()
 
     def _applied(self, document: Any) -> None:
@@ -98,11 +98,11 @@
 
     def learn(self, key: str, value: bytes, revision: int) -> None:
         """Learn a document."""
-        self.node.shelf.offer(Revisioned(key, revision, value))
+        self.node.documents.offer(Revisioned(key, revision, value))
 
     def configure(self, document: bytes, revision: int) -> "OwnVm":
-        """Put a document in force, on the platform too, and begin to serve."""
-        self.platform.write(CONFIGURATION_KEY, document)
+        """Put a document in force, in the store too, and begin to serve."""
+        self.store.write(CONFIGURATION_KEY, document)
         self.learn(CONFIGURATION_KEY, document, revision)
         for step in range(19):
             self.node.tick(91.0 + 0.5 * step)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -22,7 +22,7 @@
     UsePolicy,
 )
 from sprucewinch.operators.writer import MAX_RECORDS, ChangeWriter
-from tests.fakes import FakePlatform, example
+from tests.fakes import FakeStore, example
 from tests.manual_clock import ManualClock
 
 PROGRAM = "def shares(snapshot):\n    return {snapshot['client_region']: 1}"
@@ -30,10 +30,10 @@
 
 class Writing(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.platform = FakePlatform()
+        self.store = FakeStore()
         numbers = count(1)
         self.writer = ChangeWriter(
-            self.platform, ManualClock(), new_operation=lambda: f"op{next(numbers)}"
+            self.store, ManualClock(), new_operation=lambda: f"op{next(numbers)}"
         )
 
     async def first(self) -> Document:
@@ -41,7 +41,7 @@
         return (await self.writer.write(change, "eva", base=None, in_force=0)).document
 
     def held(self) -> Document:
-        return decode_document(self.platform.values[CONFIGURATION_KEY].value)
+        return decode_document(self.store.values[CONFIGURATION_KEY].value)
 
     async def drain(self, hall: str = "van-1", operator: str = "eva") -> Document:
         accepted = await self.writer.write(Drain("hall", hall), operator, base=None, in_force=0)
@@ -76,75 +76,75 @@
             document = msgspec.structs.replace(
                 first, revision=2, drained=("hall:kel-1",), audit=(*first.audit, record)
             )
-            self.platform.write(CONFIGURATION_KEY, encode_document(document))
+            self.store.write(CONFIGURATION_KEY, encode_document(document))
 
-        self.platform.before_put = other
+        self.store.before_put = other
         document = await self.drain()
         self.assertEqual(document.drained, ("hall:kel-1", "hall:van-1"))
         self.assertEqual(document.revision, 3)
 
     async def test_lost_answer_is_settled_as_made(self) -> None:
         await self.first()
-        self.platform.lose_next_answer = True
+        self.store.lose_next_answer = True
         document = await self.drain()
         self.assertEqual(document.revision, 2)
         self.assertEqual(len(self.held().audit), 2)
 
     async def test_lost_answer_is_settled_as_made_under_a_newer_change(self) -> None:
         await self.first()
-        self.platform.lose_next_answer = True
-        original = self.platform.get
+        self.store.lose_next_answer = True
+        original = self.store.get
 
         async def get_after_another(key: str):
-            self.platform.get = original
+            self.store.get = original
             held = self.held()
             newer = msgspec.structs.replace(held, revision=held.revision + 1)
-            self.platform.write(CONFIGURATION_KEY, encode_document(newer))
+            self.store.write(CONFIGURATION_KEY, encode_document(newer))
             return await original(key)
 
         async def first_get(key: str):
-            self.platform.get = get_after_another
+            self.store.get = get_after_another
             return await original(key)
 
-        self.platform.get = first_get
+        self.store.get = first_get
         await self.drain()
         self.assertEqual(self.held().drained, ("hall:van-1",))
 
     async def test_write_that_was_sent_twice_underway_is_settled_as_made(self) -> None:
         """A client below may send a write again by itself; the second is then a mismatch."""
         await self.first()
-        original = self.platform.put
+        original = self.store.put
 
         async def put_twice(key: str, value: bytes, expected: int):
             await original(key, value, expected)
             return await original(key, value, expected)
 
-        self.platform.put = put_twice
+        self.store.put = put_twice
         self.assertEqual((await self.drain()).drained, ("hall:van-1",))
 
     async def test_lost_answer_while_the_platform_stays_down_is_unknown(self) -> None:
         await self.first()
 
         def go_down() -> None:
-            self.platform.lose_next_answer = True
+            self.store.lose_next_answer = True
 
-        self.platform.before_put = go_down
-        original = self.platform.put
+        self.store.before_put = go_down
+        original = self.store.put
 
         async def put(key: str, value: bytes, expected: int):
             try:
                 return await original(key, value, expected)
             finally:
-                self.platform.down = True
+                self.store.down = True
 
-        self.platform.put = put
+        self.store.put = put
         with self.assertRaises(WriteUnknownError) as caught:
             await self.drain()
         self.assertIn("op2", str(caught.exception))
 
     async def test_outage_before_the_write_changes_nothing(self) -> None:
         await self.first()
-        self.platform.down = True
+        self.store.down = True
         with self.assertRaises(PlatformError) as caught:
             await self.drain()
         self.assertNotIsInstance(caught.exception, WriteUnknownError)
@@ -165,9 +165,9 @@
             undo = bool(number % 2)
             change = Drain("hall", "van-1", undo=undo)
             await self.writer.write(change, "eva", base=None, in_force=0)
-        archived = [k for k in self.platform.values if k.startswith("audit/")]
+        archived = [k for k in self.store.values if k.startswith("audit/")]
         self.assertEqual(archived, ["audit/000000000001"])
-        old = msgspec.json.decode(self.platform.values[archived[0]].value)
+        old = msgspec.json.decode(self.store.values[archived[0]].value)
         kept = [r.revision for r in self.held().audit]
         self.assertEqual([r["revision"] for r in old] + kept, list(range(1, MAX_RECORDS + 2)))
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -47,7 +47,7 @@
     def make(self, index: int):
         hall, region = HALLS[index]
         made = node(self.now, self.incarnation, vm=f"vm{index}", hall=hall, region=region)
-        made.shelf = self.replica_class(made.in_force.accept)
+        made.documents = self.replica_class(made.in_force.accept)
         return made
 
     def exchange(self, a: int, b: int) -> None:
@@ -75,13 +75,13 @@
         revision = max(1, self.newest - back)
         document = msgspec.structs.replace(DOCUMENT, revision=revision)
         value = msgspec.json.encode(document)
-        held = self.nodes[index].shelf
+        held = self.nodes[index].documents
         held.offer(Revisioned("steer/configuration", revision, value))
 
     @rule(index=st.integers(0, 2), size=st.integers(0, 200))
     def a_truncated_value_arrives(self, index: int, size: int) -> None:
         value = msgspec.json.encode(DOCUMENT)[:size]
-        self.nodes[index].shelf.offer(Revisioned("steer/configuration", 999, value))
+        self.nodes[index].documents.offer(Revisioned("steer/configuration", 999, value))
 
     @rule(index=st.integers(0, 2))
     def a_vm_is_replaced(self, index: int) -> None:
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -37,7 +37,7 @@
     PLAN_PREFIX,
     WATCH_PREFIX,
 )
-from sprucewinch.hall.store.documents import revisioned as read_revision
+from sprucewinch.hall.store.documents import decode_revisioned as read_revision
 from standins.consortium_store import StoreStandIn
 from standins.virtual import VirtualLoop, pass_time, run_virtual
 
--- a/tests/test_formats_own.py
+++ b/tests/test_formats_own.py
@@ -244,7 +244,7 @@
         self.problem(stale.operate(*drain), 409, "StaleStoreError")
         lost = OwnVm(Lost()).configure(DOCUMENT, 7)
         self.problem(lost.operate(*drain), 502, "WriteUnknownError")
-        vm.platform.down = True
+        vm.store.down = True
         self.problem(vm.operate(*drain), 503, "PlatformError")
 
     def test_a_call_without_token(self) -> None:
--- a/tests/test_formats_own_lines.py
+++ b/tests/test_formats_own_lines.py
@@ -17,10 +17,10 @@
 from sprucewinch.hall.peers.peer_listener import PeerListener
 from sprucewinch.hall.planning.plan_rounds import PlanRounds
 from sprucewinch.hall.store.store import Entry
-from sprucewinch.hall.store.store_reader import PlatformReader
+from sprucewinch.hall.store.store_reader import StoreReader
 from tools.ports import free_ports
 
-from .fakes import FakePlatform, settings
+from .fakes import FakeStore, settings
 from .formats_own import OwnVm, StillClock
 from .test_formats import DOCUMENT
 
@@ -32,8 +32,8 @@
 )
 
 
-class _Platform(FakePlatform):
-    """A platform that remembers which leases were asked for."""
+class _Store(FakeStore):
+    """A store that remembers which leases were asked for."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -48,14 +48,14 @@
     """Be told of a change."""
 
 
-def reader_of(vm: OwnVm) -> PlatformReader:
-    """Return what reads a VM's platform."""
-    return PlatformReader(vm.node, vm.platform, StillClock(), random.Random(1), no_change)
+def reader_of(vm: OwnVm) -> StoreReader:
+    """Return the reader of a VM's store."""
+    return StoreReader(vm.node, vm.store, StillClock(), random.Random(1), no_change)
 
 
 def rounds_of(vm: OwnVm) -> PlanRounds:
     """Return what plans at a VM."""
-    return PlanRounds(vm.node, vm.platform, reader_of(vm), StillClock(), no_change)
+    return PlanRounds(vm.node, vm.store, reader_of(vm), StillClock(), no_change)
 
 
 def full_listener() -> PeerListener:
@@ -118,8 +118,8 @@
         vm = OwnVm().configure(DOCUMENT, 7)
         older = DOCUMENT.replace(b'"revision":7', b'"revision":6', 1)
         reader = reader_of(vm)
-        reader.take([Entry("steer/x", 3, b"{"), Entry("steer/configuration", 4, older)])
-        vm.platform.down = True
+        reader.apply([Entry("steer/x", 3, b"{"), Entry("steer/configuration", 4, older)])
+        vm.store.down = True
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(reader.run(), 0.05)
         self.assertEqual(
@@ -132,9 +132,9 @@
         )
 
     async def test_a_plan_and_its_lease(self) -> None:
-        platform = _Platform()
+        store = _Store()
         document = DOCUMENT.replace(b'"policy":"capacity"', b'"policy":"mine"')
-        vm = OwnVm(platform).configure(document, 7)
+        vm = OwnVm(store).configure(document, 7)
         await rounds_of(vm).step()
         self.assertEqual(
             self.lines,
@@ -143,8 +143,8 @@
                 "warning event=policy-fault service=rates problem='all weights are 0'",
             ],
         )
-        self.assertEqual(platform.values["steer/plan/east"].value, PLAN)
-        self.assertEqual(platform.leases, [("planner/east", "a#18f")])
+        self.assertEqual(store.values["steer/plan/east"].value, PLAN)
+        self.assertEqual(store.leases, [("planner/east", "a#18f")])
 
 
 class Faults(LineCase):
@@ -166,7 +166,7 @@
 class Calls(LineCase):
     def test_the_operators_port(self) -> None:
         vm = OwnVm().configure(DOCUMENT, 7)
-        vm.platform.watch = None  # type: ignore[assignment, method-assign]
+        vm.store.watch = None  # type: ignore[assignment, method-assign]
         answer = vm.operate("GET", "/v1/audit?all=1")
         self.assertEqual(answer.status, 500)
         start = "warning event=operators-fault path=/v1/audit error=TypeError("
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -4,9 +4,9 @@
 import unittest
 
 from sprucewinch.hall.planning.plan_rounds import PlanRounds
-from sprucewinch.hall.store.store_reader import PlatformReader
+from sprucewinch.hall.store.store_reader import StoreReader
 
-from .fakes import FakePlatform
+from .fakes import FakeStore
 from .formats_own import Lost, OwnVm, StillClock
 from .test_formats import DOCUMENT
 
@@ -16,14 +16,14 @@
 def rounds_at(vm: OwnVm) -> PlanRounds:
     """Return the planning rounds of a VM."""
     clock = StillClock()
-    reader = PlatformReader(vm.node, vm.platform, clock, random.Random(1), lambda: None)
-    return PlanRounds(vm.node, vm.platform, reader, clock, lambda: None)
+    reader = StoreReader(vm.node, vm.store, clock, random.Random(1), lambda: None)
+    return PlanRounds(vm.node, vm.store, reader, clock, lambda: None)
 
 
 class FailedRounds(unittest.IsolatedAsyncioTestCase):
-    def vm(self, platform: FakePlatform) -> OwnVm:
+    def vm(self, store: FakeStore) -> OwnVm:
         """Return a VM in state SERVING with a configuration."""
-        return OwnVm(platform).configure(DOCUMENT, 7)
+        return OwnVm(store).configure(DOCUMENT, 7)
 
     def failures(self, vm: OwnVm) -> dict[str, int]:
         """Return the counters of failed rounds."""
@@ -31,8 +31,8 @@
         return {name: count for name, count in counters.items() if name.startswith("plan_")}
 
     async def test_the_store_is_unreachable(self) -> None:
-        vm = self.vm(FakePlatform())
-        vm.platform.down = True
+        vm = self.vm(FakeStore())
+        vm.store.down = True
         await rounds_at(vm).step()
         self.assertEqual(self.failures(vm), {"plan_rounds_without_store": 1})
 
@@ -40,17 +40,17 @@
         vm = self.vm(Lost())
         await rounds_at(vm).step()
         self.assertEqual(self.failures(vm), {"plan_writes_unknown": 1})
-        self.assertEqual(vm.node.shelf.revision(PLAN_KEY), 0)
+        self.assertEqual(vm.node.documents.revision(PLAN_KEY), 0)
 
     async def test_another_planner_writes_first(self) -> None:
-        vm = self.vm(FakePlatform())
-        vm.platform.before_put = lambda: vm.platform.write(PLAN_KEY, b"{}")
+        vm = self.vm(FakeStore())
+        vm.store.before_put = lambda: vm.store.write(PLAN_KEY, b"{}")
         await rounds_at(vm).step()
         self.assertEqual(self.failures(vm), {"plan_writes_overtaken": 1})
-        self.assertEqual(vm.node.shelf.revision(PLAN_KEY), 0)
+        self.assertEqual(vm.node.documents.revision(PLAN_KEY), 0)
 
     async def test_a_written_plan_is_in_force_here(self) -> None:
-        vm = self.vm(FakePlatform())
+        vm = self.vm(FakeStore())
         await rounds_at(vm).step()
         self.assertEqual(self.failures(vm), {})
-        self.assertEqual(vm.node.shelf.revision(PLAN_KEY), 1)
+        self.assertEqual(vm.node.documents.revision(PLAN_KEY), 1)
--- a/tools/synthetic.py
+++ b/tools/synthetic.py
@@ -132,7 +132,7 @@
     rng = random.Random(1)
     made = Node(settings, incarnation=1, ticket_key=b"k" * 32, rng=rng, now=now - 10)
     document = Document(1, configuration(size, blocks=blocks))
-    made.shelf.offer(Revisioned(CONFIGURATION_KEY, 1, encode_document(document)))
+    made.documents.offer(Revisioned(CONFIGURATION_KEY, 1, encode_document(document)))
     for number in range(1, size.vms):
         made.membership.observe(member(size, number, rng), now)
     made.tick(now)
