--- a/sprucewinch/hall/loops.py
+++ b/sprucewinch/hall/loops.py
@@ -146,12 +146,12 @@
 
     async def _exchange_one(self, address: str) -> None:
         before = self.node.documents.revisions()
-        message = self.exchange.ask()
+        message = self.exchange.make_request()
         for _ in range(_MAX_MESSAGES):
             reply = await self.peers.exchange(address, message)
             if reply is None:
                 return
-            next_message = self.exchange.learn(reply, self.clock.monotonic())
+            next_message = self.exchange.handle_reply(reply, self.clock.monotonic())
             if next_message is None:
                 break
             message = next_message
--- a/sprucewinch/hall/peers/exchange.py
+++ b/sprucewinch/hall/peers/exchange.py
@@ -1,6 +1,6 @@
 """Anti-entropy between entry VMs: members and documents, of which each sends only newer versions.
 
-`Exchange` builds and answers the messages of a round, and `choose_partners` selects the VMs that
+`Exchange` makes and handles the messages of a round, and `choose_partners` selects the VMs that
 take part. Neither owns state: the members belong to `membership`, the documents to the node's
 `DocumentReplica`. Both reject versions that are not newer, so a lost or repeated message is
 harmless.
@@ -30,7 +30,7 @@
 
 
 class Exchange:
-    """Builds and answers the messages that distribute members and documents.
+    """Makes and handles the messages that distribute members and documents.
 
     Args:
         node: This VM's state.
@@ -39,16 +39,16 @@
     def __init__(self, node: Node) -> None:
         self.node = node
 
-    def ask(self) -> ExchangeRequest:
-        """Return a message with the versions held here and this VM's own entry."""
+    def make_request(self) -> ExchangeRequest:
+        """Return a request with the versions held here and this VM's own entry."""
         return ExchangeRequest(
             known=_known(self.node.membership),
             members=[self.node.own],
             revisions=_revisions(self.node.documents.revisions()),
         )
 
-    def answer(self, message: ExchangeRequest, now: float) -> ExchangeReply:
-        """Store what is newer in a message; return what is newer here and which keys to send."""
+    def handle_request(self, message: ExchangeRequest, now: float) -> ExchangeReply:
+        """Store what is newer in a request; return what is newer here and which keys to send."""
         self._store(message.members, message.documents, now)
         theirs = {row.key: row.revision for row in message.revisions}
         membership = self.node.membership
@@ -59,7 +59,7 @@
             wanted_documents=self.node.documents.older_than(theirs),
         )
 
-    def learn(self, reply: ExchangeReply, now: float) -> ExchangeRequest | None:
+    def handle_reply(self, reply: ExchangeReply, now: float) -> ExchangeRequest | None:
         """Store what is newer in a reply.
 
         Returns:
@@ -71,7 +71,7 @@
         documents = _documents(self.node.documents.select(reply.wanted_documents))
         if not members and not documents:
             return None
-        message = self.ask()
+        message = self.make_request()
         message.ClearField("members")
         message.members.extend([self.node.own, *(m for m in members if m is not self.node.own)])
         message.documents.extend(documents)
--- a/sprucewinch/hall/peers/frames.py
+++ b/sprucewinch/hall/peers/frames.py
@@ -13,7 +13,7 @@
 from ...net.request import Headers, Request
 from .peer_pb2 import Accepted, End, Frame, Head, Header, Open, Refused
 
-CHUNK = 65_536
+MAX_CHUNK_BYTES = 65_536
 """Most bytes of a body in one frame."""
 
 ReceiveFrame = Callable[[], Awaitable[Optional[Frame]]]
@@ -41,7 +41,7 @@
     )
 
 
-def request_of(opened: Open, body: Body, now: float) -> Request:
+def decode_request(opened: Open, body: Body, now: float) -> Request:
     """Return the request that an opening frame describes. `now` is monotonic time, in seconds."""
     return Request(
         request_id=opened.request_id,
@@ -49,14 +49,14 @@
         client_region=opened.client_region,
         method=opened.method,
         target=opened.target,
-        headers=headers_of(opened.headers),
+        headers=decode_headers(opened.headers),
         body=body,
         deadline=now + opened.deadline_ms / 1000,
         ticket=opened.ticket or None,
     )
 
 
-def headers_of(headers: object) -> Headers:
+def decode_headers(headers: object) -> Headers:
     """Return the headers of a frame as pairs of name and value."""
     return [(header.name, header.value) for header in headers]  # type: ignore[attr-defined]
 
@@ -89,7 +89,7 @@
     )
 
 
-def refusal_of(refused: Refused) -> Refusal:
+def decode_refusal(refused: Refused) -> Refusal:
     """Return the refusal that a frame carries; an unknown reason becomes `PEER_FAILED`."""
     try:
         reason = Reason(refused.reason)
@@ -100,9 +100,11 @@
     return Refusal(outcome, reason, refused.retry_after_ms)
 
 
-def split(chunk: bytes) -> list[Frame]:
+def chunk_frames(chunk: bytes) -> list[Frame]:
     """Return the frames of a piece of a body."""
-    return [Frame(chunk=chunk[i : i + CHUNK]) for i in range(0, len(chunk), CHUNK)]
+    return [
+        Frame(chunk=chunk[i : i + MAX_CHUNK_BYTES]) for i in range(0, len(chunk), MAX_CHUNK_BYTES)
+    ]
 
 
 class FrameBody(Body):
@@ -151,6 +153,6 @@
     body.consumed = True
     while (chunk := await body.next_chunk()) is not None:
         length += len(chunk)
-        for frame in split(chunk):
+        for frame in chunk_frames(chunk):
             yield frame
     yield end_frame(request_id, length)
--- a/sprucewinch/hall/peers/peer_client.py
+++ b/sprucewinch/hall/peers/peer_client.py
@@ -23,8 +23,8 @@
 from ...net.outcome import Reason, not_run, unknown
 from ...net.request import Request, Responder
 from ..requests.backend import Attempt, BrokenAnswerError
-from ..requests.handover import PeerLink
-from .frames import body_frames, headers_of, open_frame, refusal_of
+from ..requests.forwarding import PeerForwarder
+from .frames import body_frames, decode_headers, decode_refusal, open_frame
 from .peer_grpc import PeerStub
 from .peer_pb2 import ExchangeReply, ExchangeRequest, Frame, Member
 
@@ -40,7 +40,7 @@
 """Errors of a call to a VM that has ended, is frozen or cannot be reached."""
 
 
-class PeerClient(PeerLink):
+class PeerClient(PeerForwarder):
     """Client of other entry VMs; keeps the channels to each address.
 
     Args:
@@ -78,10 +78,10 @@
         self.bytes_received += reply.ByteSize()
         return reply
 
-    async def hand_on(
+    async def forward(
         self, member: Member, request: Request, responder: Responder, *, home: bool
     ) -> Attempt:
-        """Forward a request to another entry VM; see `PeerLink.hand_on`."""
+        """Forward a request to another entry VM; see `PeerForwarder.forward`."""
         remaining_s = request.deadline - self.clock.monotonic()
         if remaining_s <= 0:
             return Attempt(not_run(Reason.DEADLINE_PASSED))
@@ -195,7 +195,7 @@
             return
         kind = frame.WhichOneof("kind")
         if kind == "refused":
-            refusal = refusal_of(frame.refused)
+            refusal = decode_refusal(frame.refused)
             self.attempt = Attempt(refusal, sent=True)
         elif kind == "head":
             timeout.reschedule(None)
@@ -231,7 +231,7 @@
         return getattr(frame, kind).request_id == self.request.request_id
 
     async def _relay_answer(self, stream: Stream, head: Frame) -> None:
-        await self.responder.start(head.head.status, headers_of(head.head.headers))
+        await self.responder.start(head.head.status, decode_headers(head.head.headers))
         length = 0
         while (frame := await stream.recv_message()) is not None:
             if frame.WhichOneof("kind") == "chunk":
--- a/sprucewinch/hall/peers/peer_server.py
+++ b/sprucewinch/hall/peers/peer_server.py
@@ -24,11 +24,11 @@
 from .frames import (
     FrameBody,
     accepted_frame,
+    chunk_frames,
+    decode_request,
     end_frame,
     head_frame,
     refused_frame,
-    request_of,
-    split,
 )
 from .peer_grpc import PeerBase
 from .peer_pb2 import ExchangeReply, ExchangeRequest, Frame, Open
@@ -72,7 +72,7 @@
         if message is None:
             return
         before = self.exchange.node.documents.revisions()
-        reply = self.exchange.answer(message, self.clock.monotonic())
+        reply = self.exchange.handle_request(message, self.clock.monotonic())
         if self.exchange.node.documents.revisions() != before:
             self.changed()
         await stream.send_message(reply)
@@ -110,7 +110,7 @@
         async def request_rest() -> None:
             await stream.send_message(accepted_frame(opened.request_id))
 
-        request = request_of(opened, FrameBody(opened, stream.recv_message, request_rest), now)
+        request = decode_request(opened, FrameBody(opened, stream.recv_message, request_rest), now)
         if opened.home:
             return await self._run_home(request, responder)
         if node.in_flight.count > self.max_requests:
@@ -148,7 +148,7 @@
 
     async def write(self, chunk: bytes) -> None:
         self.length += len(chunk)
-        for frame in split(chunk):
+        for frame in chunk_frames(chunk):
             await self.stream.send_message(frame)
 
     async def finish(self) -> None:
--- a/sprucewinch/hall/requests/at_most_once.py
+++ b/sprucewinch/hall/requests/at_most_once.py
@@ -20,7 +20,7 @@
 from ...net.request import Request, Responder
 from ..node import Node
 from .backend import Attempt
-from .handover import PeerLink
+from .forwarding import PeerForwarder
 from .recorder import RecordingResponder
 from .tickets import Answer, Claim, Ticket, TicketBook, parse_ticket
 
@@ -44,7 +44,7 @@
         run: Runs a request whose ticket has been claimed.
     """
 
-    def __init__(self, node: Node, peers: PeerLink, clock: Clock, run: Run) -> None:
+    def __init__(self, node: Node, peers: PeerForwarder, clock: Clock, run: Run) -> None:
         self.node = node
         self.peers = peers
         self.clock = clock
@@ -125,7 +125,7 @@
         home = self.node.membership.find(ticket.vm)
         if home is None or home.incarnation != ticket.incarnation or home is self.node.own:
             return unknown(Reason.TICKET_HOME_LOST)
-        attempt = await self.peers.hand_on(home, request, responder, home=True)
+        attempt = await self.peers.forward(home, request, responder, home=True)
         if attempt.refusal is not None and not attempt.sent:
             return unknown(Reason.TICKET_HOME_LOST)
         return attempt.refusal
--- a/sprucewinch/hall/requests/dispatch.py
+++ b/sprucewinch/hall/requests/dispatch.py
@@ -14,13 +14,13 @@
 from ..node import Node
 from .at_most_once import AtMostOnce
 from .backend import Attempt, BackendClient
-from .handover import PeerLink
+from .forwarding import PeerForwarder
 from .local import LocalHall
 from .other_halls import OtherHalls
 from .retry_rule import RetryRule
 from .return_time import RETRY_AFTER_MS, ReturnTimes
 
-__all__ = ["Dispatcher", "PeerLink"]
+__all__ = ["Dispatcher", "PeerForwarder"]
 
 
 class Dispatcher:
@@ -33,7 +33,9 @@
         clock: Source of time.
     """
 
-    def __init__(self, node: Node, backend: BackendClient, peers: PeerLink, clock: Clock) -> None:
+    def __init__(
+        self, node: Node, backend: BackendClient, peers: PeerForwarder, clock: Clock
+    ) -> None:
         self.node = node
         self.retries = RetryRule(node)
         self.at_most_once = AtMostOnce(node, peers, clock, self._run_in_any_hall)
--- a/sprucewinch/hall/requests/handover.py
+++ b/sprucewinch/hall/requests/forwarding.py
@@ -1,6 +1,6 @@
 """The interface for forwarding a request to another entry VM.
 
-`other_halls` and `at_most_once` rely on `PeerLink` instead of the network client.
+`other_halls` and `at_most_once` rely on `PeerForwarder` instead of the network client.
 `peers.peer_client` implements it over gRPC, fakes implement it in tests. The module owns no state.
 """
 
@@ -11,11 +11,11 @@
 from .backend import Attempt
 
 
-class PeerLink(abc.ABC):
+class PeerForwarder(abc.ABC):
     """Forwards requests to other entry VMs."""
 
     @abc.abstractmethod
-    async def hand_on(
+    async def forward(
         self, member: Member, request: Request, responder: Responder, *, home: bool
     ) -> Attempt:
         """Forward a request.
--- a/sprucewinch/hall/requests/other_halls.py
+++ b/sprucewinch/hall/requests/other_halls.py
@@ -22,7 +22,7 @@
 from ..node import Node
 from ..peers.peer_pb2 import Member
 from .backend import Attempt
-from .handover import PeerLink
+from .forwarding import PeerForwarder
 from .retry_rule import RetryRule
 
 _MAX_FORWARDS = 2
@@ -39,7 +39,7 @@
         retries: Decides on retries.
     """
 
-    def __init__(self, node: Node, peers: PeerLink, clock: Clock, retries: RetryRule) -> None:
+    def __init__(self, node: Node, peers: PeerForwarder, clock: Clock, retries: RetryRule) -> None:
         self.node = node
         self.peers = peers
         self.clock = clock
@@ -62,7 +62,7 @@
         for member in self._candidates(request):
             if not self.retries.allowed(attempt, request):
                 break
-            attempt = await self.peers.hand_on(member, request, responder, home=False)
+            attempt = await self.peers.forward(member, request, responder, home=False)
         return attempt
 
     def _candidates(self, request: Request) -> Sequence[Member]:
--- a/tests/formats_own.py
+++ b/tests/formats_own.py
@@ -24,7 +24,7 @@
 from sprucewinch.hall.node import Node
 from sprucewinch.hall.requests.backend import Attempt
 from sprucewinch.hall.requests.callers import CallerApp
-from sprucewinch.hall.requests.dispatch import Dispatcher, PeerLink
+from sprucewinch.hall.requests.dispatch import Dispatcher, PeerForwarder
 from sprucewinch.hall.store.documents import Revisioned
 from sprucewinch.net.http_server import ListenerLimits, make_listener
 from sprucewinch.net.outcome import Reason, not_run
@@ -55,8 +55,8 @@
         return 1764000000.5
 
 
-class _NoPeers(PeerLink):
-    async def hand_on(self, member: Any, request: Any, responder: Any, *, home: bool) -> Attempt:
+class _NoPeers(PeerForwarder):
+    async def forward(self, member: Any, request: Any, responder: Any, *, home: bool) -> Attempt:
         return Attempt(not_run(Reason.NO_ROOM))
 
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -9,7 +9,7 @@
 from sprucewinch.hall.node import Node
 from sprucewinch.hall.requests.backend import Attempt
 from sprucewinch.hall.requests.callers import CallerApp
-from sprucewinch.hall.requests.dispatch import Dispatcher, PeerLink
+from sprucewinch.hall.requests.dispatch import Dispatcher, PeerForwarder
 from sprucewinch.hall.requests.tickets import parse_ticket
 from sprucewinch.net.outcome import Outcome, Reason, not_run
 from sprucewinch.net.request import Request, Responder
@@ -17,10 +17,10 @@
 from tests.manual_clock import ManualClock
 
 
-class NoPeers(PeerLink):
+class NoPeers(PeerForwarder):
     """Stands for other VMs, none of which has room."""
 
-    async def hand_on(self, member, request, responder, *, home) -> Attempt:
+    async def forward(self, member, request, responder, *, home) -> Attempt:
         return Attempt(not_run(Reason.NO_ROOM))
 
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -54,11 +54,11 @@
         if frozenset((a, b)) in self.cut:
             return
         one, other = Exchange(self.nodes[a]), Exchange(self.nodes[b])
-        following: ExchangeRequest | None = one.ask()
+        following: ExchangeRequest | None = one.make_request()
         for _ in range(2):
             if following is not None:
-                reply: ExchangeReply = wire(other.answer(wire(following), self.now))
-                following = one.learn(reply, self.now)
+                reply: ExchangeReply = wire(other.handle_request(wire(following), self.now))
+                following = one.handle_reply(reply, self.now)
 
     @rule(pair=st.permutations([0, 1, 2]))
     def two_exchange(self, pair: list[int]) -> None:
--- a/tests/test_formats_peers.py
+++ b/tests/test_formats_peers.py
@@ -9,15 +9,15 @@
 
 from sprucewinch.hall.peers import peer_pb2
 from sprucewinch.hall.peers.frames import (
-    CHUNK,
+    MAX_CHUNK_BYTES,
     accepted_frame,
+    chunk_frames,
+    decode_refusal,
+    decode_request,
     end_frame,
     head_frame,
     open_frame,
-    refusal_of,
     refused_frame,
-    request_of,
-    split,
 )
 from sprucewinch.hall.peers.peer_grpc import PeerBase
 from sprucewinch.net.outcome import Reason, not_run, unknown
@@ -32,7 +32,7 @@
 
 
 def handed_on() -> Request:
-    """Return the request that `OPEN` hands on, with 2.5 s left at 10 s."""
+    """Return the request that `OPEN` forwards, with 2.5 s left at 10 s."""
     headers = [("x-a", "1")]
     body = whole_body(b"abc")
     return Request("q1", "rates", "east", "POST", "/a?b=1", headers, body, 12.5, TICKET)
@@ -135,7 +135,7 @@
             REFUSED: refused_frame("q1", not_run(Reason.NO_ROOM, 250)),
             MAY_HAVE_RUN: refused_frame("q1", unknown(Reason.PEER_FAILED)),
             END: end_frame("q1", 3),
-            CHUNK_OF_BODY: split(b"abc")[0],
+            CHUNK_OF_BODY: chunk_frames(b"abc")[0],
         }
         for data, frame in frames.items():
             with self.subTest(data):
@@ -143,23 +143,23 @@
 
     def test_a_request_is_read_and_written_again(self) -> None:
         opened = decode("Frame", OPEN).open
-        request = request_of(opened, whole_body(opened.first_chunk), 10.0)
+        request = decode_request(opened, whole_body(opened.first_chunk), 10.0)
         again = open_frame(request, now=10.0, from_region="west", home=True)
         self.assertEqual(encode(again), OPEN)
 
     def test_a_refusal_is_read_and_written_again(self) -> None:
         for data in (REFUSED, MAY_HAVE_RUN):
-            refusal = refusal_of(decode("Frame", data).refused)
+            refusal = decode_refusal(decode("Frame", data).refused)
             self.assertEqual(encode(refused_frame("q1", refusal)), data)
 
     def test_a_reason_that_is_not_known_counts_as_a_failed_peer(self) -> None:
         data = b"*\x16\n\x02q1\x12\x07unknown\x1a\x07no-such"
-        refusal = refusal_of(decode("Frame", data).refused)
+        refusal = decode_refusal(decode("Frame", data).refused)
         self.assertEqual(encode(refused_frame("q1", refusal)), MAY_HAVE_RUN)
 
     def test_a_long_body_is_cut(self) -> None:
-        self.assertEqual(CHUNK, 65_536)
-        self.assertEqual([len(f.chunk) for f in split(b"x" * 70_000)], [65_536, 4_464])
+        self.assertEqual(MAX_CHUNK_BYTES, 65_536)
+        self.assertEqual([len(f.chunk) for f in chunk_frames(b"x" * 70_000)], [65_536, 4_464])
 
 
 class Messages(unittest.TestCase):
--- a/tests/test_leaving_marks.py
+++ b/tests/test_leaving_marks.py
@@ -15,10 +15,10 @@
 
 
 def exchange(asking: Node, answering: Node, now: float) -> None:
-    message = Exchange(asking).ask()
+    message = Exchange(asking).make_request()
     for _ in range(2):
-        reply = Exchange(answering).answer(message, now)
-        message = Exchange(asking).learn(reply, now)
+        reply = Exchange(answering).handle_request(message, now)
+        message = Exchange(asking).handle_reply(reply, now)
         if message is None:
             return
 
--- a/tests/test_peer_client.py
+++ b/tests/test_peer_client.py
@@ -91,7 +91,7 @@
         until = self.clock.monotonic() + _TIMEOUT_S
         request = Request("q1", "booking", "east", "POST", "/a", [], _Empty(), until, ticket)
         member = Member(peer_address=self.address)
-        call = self.client.hand_on(member, request, answer, home=False)
+        call = self.client.forward(member, request, answer, home=False)
         return asyncio.create_task(call)
 
     async def _fail_exchange(self) -> None:
--- a/tests/test_process_faults.py
+++ b/tests/test_process_faults.py
@@ -27,7 +27,7 @@
         """The first hall's server leaves, so operations are handed to the second hall."""
         near, far = self.vm(0), self.vm(1)
         await self.leave(self.pool("hall-1", "booking"))
-        with self.subTest("handed on, and answered"):
+        with self.subTest("forwarded, and answered"):
             status, headers = await self.book(near, "on", await self.ticket(near))
             self.assertEqual((status, headers["sprucewinch-outcome"]), (200, "answered"))
         with self.subTest("the peer freezes with it: unknown at the deadline, and never twice"):
--- a/tools/bench_core.py
+++ b/tools/bench_core.py
@@ -138,10 +138,10 @@
         def meet(one: Any = one, other: Any = other) -> int:
             one.membership.touch()
             other.membership.touch()
-            request = Exchange(one).ask().SerializeToString()
-            reply = Exchange(other).answer(ExchangeRequest.FromString(request), 0.0)
+            request = Exchange(one).make_request().SerializeToString()
+            reply = Exchange(other).handle_request(ExchangeRequest.FromString(request), 0.0)
             raw = reply.SerializeToString()
-            Exchange(one).learn(ExchangeReply.FromString(raw), 0.0)
+            Exchange(one).handle_reply(ExchangeReply.FromString(raw), 0.0)
             return len(request) + len(raw)
 
         meet()
