--- a/sprucewinch/hall/in_force.py
+++ b/sprucewinch/hall/in_force.py
@@ -19,7 +19,7 @@
 from .own_entry import LineLog
 from .planning.steering import Plan, Steering
 from .planning.topology import Topology
-from .requests.admissions import HallDispatch
+from .requests.admissions import HallAdmissions
 from .store.documents import CONFIGURATION_KEY, PLAN_PREFIX, Revisioned
 
 
@@ -27,7 +27,7 @@
     """The configuration and the policies that this VM currently applies.
 
     Args:
-        hall: Admissions of this VM's data hall.
+        admissions: Admissions of this VM's data hall.
         steering: Receives the plans.
         log: Called with a line for each configuration in force and each rejected document.
 
@@ -36,8 +36,8 @@
         policies: Loaded policies by name.
     """
 
-    def __init__(self, hall: HallDispatch, steering: Steering, log: LineLog) -> None:
-        self.hall = hall
+    def __init__(self, admissions: HallAdmissions, steering: Steering, log: LineLog) -> None:
+        self.admissions = admissions
         self.steering = steering
         self.log = log
         self.topology: Optional[Topology] = None
@@ -73,15 +73,15 @@
             for name, service in topology.services.items()
         }
         self.topology = topology
-        self.hall.apply(topology)
+        self.admissions.apply(topology)
         self.log(f"event=in-force revision={revision}")
 
     def label(self, service: str) -> Label:
         """Return the label of a service's metrics; all unknown services share one."""
         policy = self._policy_labels.get(service)
         if policy is None:
-            return Label("unknown", self.hall.hall, "none")
-        return Label(service, self.hall.hall, policy)
+            return Label("unknown", self.admissions.hall, "none")
+        return Label(service, self.admissions.hall, policy)
 
 
 def _policy_label(name: str, sources: dict[str, str]) -> str:
--- a/sprucewinch/hall/load_report.py
+++ b/sprucewinch/hall/load_report.py
@@ -9,7 +9,7 @@
 from .metrics import Label, Metrics, RateMeter
 from .peers.peer_pb2 import ServiceLoad
 from .requests.admission import Admission
-from .requests.admissions import HallDispatch
+from .requests.admissions import HallAdmissions
 
 _NO_LATENCY_MS = -1.0
 """Value of `ServiceLoad.latency_ms` when there is no measurement."""
@@ -25,7 +25,7 @@
     """
 
     def __init__(
-        self, admissions: HallDispatch, metrics: Metrics, label: Callable[[str], Label]
+        self, admissions: HallAdmissions, metrics: Metrics, label: Callable[[str], Label]
     ) -> None:
         self.admissions = admissions
         self.metrics = metrics
@@ -57,7 +57,7 @@
         """
         loads = {
             service: self._load(service, admission, now)
-            for service, admission in self.admissions.admissions.items()
+            for service, admission in self.admissions.by_service.items()
         }
         for (service, client_region), meter in self.arrivals.items():
             no_slots = ServiceLoad(service=service, latency_ms=_NO_LATENCY_MS)
@@ -68,7 +68,7 @@
     def _load(self, service: str, admission: Admission, now: float) -> ServiceLoad:
         capacity, in_use = admission.capacity(now), admission.in_use()
         if capacity:
-            self.metrics.room(self.label(service), max(0.0, 1.0 - in_use / capacity))
+            self.metrics.record_headroom(self.label(service), max(0.0, 1.0 - in_use / capacity))
         latency_ms = admission.latency_ms()
         return ServiceLoad(
             service=service,
--- a/sprucewinch/hall/loops.py
+++ b/sprucewinch/hall/loops.py
@@ -11,7 +11,7 @@
 from .. import log
 from .._supervise import Step, forever
 from ..clock import Clock
-from .node import LEAVING_S, Node
+from .node import LEAVING_REPORT_TTL_S, Node
 from .peers.exchange import Exchange, choose_partners
 from .peers.peer_client import PeerClient
 from .planning.plan_rounds import PlanRounds
@@ -27,7 +27,7 @@
 
 EXCHANGE_S = 1.0
 """Mean time between two exchanges with peers, in seconds. It must stay well below the 3 s of
-silence after which a VM is no longer live (`peers.membership.SILENT_S`)."""
+silence after which a VM is no longer live (`peers.membership.LIVENESS_TIMEOUT_S`)."""
 
 PLAN_S = 1.0
 """Mean time between two planning rounds, in seconds. docs/CAPACITY.md computes the number of writes
@@ -167,7 +167,7 @@
 
     async def _probe_loop(self) -> None:
         """Probe the backend servers of this hall, which report when they are leaving."""
-        admissions = self.node.hall.admissions.values()
+        admissions = self.node.admissions.by_service.values()
         targets = [(a, server) for a in admissions for server in list(a.servers)]
         await asyncio.gather(*(self._probe(a, server) for a, server in targets))
         await asyncio.sleep(PROBE_S)
@@ -175,7 +175,7 @@
     async def _probe(self, admission: Admission, server: str) -> None:
         report = await self.backend.probe(server)
         if report is not None and report.leaving:
-            admission.leaving(server, self.clock.monotonic() + LEAVING_S)
+            admission.mark_leaving(server, self.clock.monotonic() + LEAVING_REPORT_TTL_S)
 
 
 def _log_failure(step: Step, error: Exception) -> None:
--- a/sprucewinch/hall/metrics.py
+++ b/sprucewinch/hall/metrics.py
@@ -113,7 +113,7 @@
         if len(self.refusals) > _MAX_REFUSALS:
             del self.refusals[next(iter(self.refusals))]
 
-    def room(self, label: Label, headroom: float) -> None:
+    def record_headroom(self, label: Label, headroom: float) -> None:
         """Record the free fraction of the usable slots, in `[0, 1]`."""
         _histogram_of(self.headroom, label).record_value(
             max(_MIN_HISTOGRAM_VALUE, int(headroom * _HEADROOM_STEPS))
--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -23,16 +23,16 @@
 from .planning.regions import RegionTables
 from .planning.steering import Steering
 from .planning.topology import Topology
-from .requests.admissions import HallDispatch
-from .requests.tickets import TicketBook
+from .requests.admissions import HallAdmissions
+from .requests.tickets import TicketTable
 from .slots import SlotShare, member_list_digest
 from .store.documents import CONFIGURATION_KEY, DocumentReplica
 
-LEAVING_S = 10.0
+LEAVING_REPORT_TTL_S = 10.0
 """Time for which a backend server's report that it is leaving is valid, in seconds: ten intervals
 of `loops.PROBE_S`. With a shorter time a report would expire between probes."""
 
-_FORWARDED_LEAVING_S = LEAVING_S / 2
+_FORWARDED_REPORT_TTL_S = LEAVING_REPORT_TTL_S / 2
 """The same for a report that another VM forwards, in seconds. It is shorter, since the server has
 not reported to this VM itself."""
 
@@ -67,18 +67,18 @@
         self.rng = rng
         self.ticket_key = ticket_key
         self.started_at = self.ticked_at = now
-        self.tickets: Optional[TicketBook] = None
+        self.tickets: Optional[TicketTable] = None
         self.in_flight = InFlight()
         self.metrics = Metrics()
         self.membership = Membership(new_entry(settings, incarnation))
         self.entry = OwnEntry(self.membership, log)
         self.slots = SlotShare(member_id(self.own))
-        self.hall = HallDispatch(settings.hall, self.slots, rng)
+        self.admissions = HallAdmissions(settings.hall, self.slots, rng)
         self.steering = Steering()
         self.regions = RegionTables(settings.region, self.steering)
-        self.in_force = DocumentsInForce(self.hall, self.steering, log)
+        self.in_force = DocumentsInForce(self.admissions, self.steering, log)
         self.documents = DocumentReplica(self.in_force.accept)
-        self.load = LoadReport(self.hall, self.metrics, self.label)
+        self.load = LoadReport(self.admissions, self.metrics, self.label)
         self.drains = DrainTimer(self.metrics, log)
 
     @property
@@ -120,13 +120,13 @@
         draining_requests: dict[str, int] = {}
         if self.topology is not None:
             self.regions.tick(self.topology, self.membership.serving(now), now)
-            draining_requests = self.hall.held(self.topology, now)
+            draining_requests = self.admissions.draining_requests(self.topology, now)
             self.drains.update(draining_requests, now)
         self.entry.describe(
             revision=self.revision,
             in_flight=self.in_flight.count,
             loads=self.load.loads(now),
-            leaving_servers=self.hall.leaving_servers(now),
+            leaving_servers=self.admissions.leaving_servers(now),
             draining_requests=draining_requests,
         )
 
@@ -136,7 +136,7 @@
         if self.own.state != JOINING or not waited or self.topology is None:
             return
         self.entry.set_state(SERVING)
-        self.tickets = TicketBook(self.own.vm, self.own.incarnation, self.ticket_key)
+        self.tickets = TicketTable(self.own.vm, self.own.incarnation, self.ticket_key)
         self.slots.set_own_id(member_id(self.own))
 
     def _renew_slots(self, now: float) -> None:
@@ -152,8 +152,10 @@
         self.entry.set_hall_view(member_list_digest(holders))
         for member in self.membership.of_hall(now):
             if member is not self.own:
-                self.hall.mark_heard_leaving(member.leaving_servers, now + _FORWARDED_LEAVING_S)
-        self.hall.serve_waiting(now)
+                self.admissions.mark_leaving_by_peer(
+                    member.leaving_servers, now + _FORWARDED_REPORT_TTL_S
+                )
+        self.admissions.serve_waiting(now)
 
     def label(self, service: str) -> Label:
         """Return the label of a service's metrics; see `DocumentsInForce.label`."""
--- a/sprucewinch/hall/own_entry.py
+++ b/sprucewinch/hall/own_entry.py
@@ -93,15 +93,15 @@
         member.held.clear()
         for key, requests in draining_requests.items():
             member.held[key] = requests
-        self.membership.touch()
+        self.membership.increment_version()
 
     def leave(self) -> None:
         """Announce that this VM accepts no new callers."""
         if self.member.state != GONE:
             self.set_state(LEAVING)
-            self.membership.touch()
+            self.membership.increment_version()
 
     def finish(self) -> None:
         """Announce that this VM holds no slots any more."""
         self.set_state(GONE)
-        self.membership.touch()
+        self.membership.increment_version()
--- a/sprucewinch/hall/peers/exchange.py
+++ b/sprucewinch/hall/peers/exchange.py
@@ -79,7 +79,7 @@
 
     def _store(self, members: Sequence[Member], documents: Sequence[Document], now: float) -> None:
         for member in members:
-            self.node.membership.observe(member, now)
+            self.node.membership.update(member, now)
         for document in documents:
             self.node.documents.offer(Revisioned(document.key, document.revision, document.value))
 
--- a/sprucewinch/hall/peers/membership.py
+++ b/sprucewinch/hall/peers/membership.py
@@ -11,7 +11,7 @@
 from ..slots import member_list_digest
 from .peer_pb2 import GONE, JOINING, LEAVING, SERVING, Member
 
-SILENT_S = 3.0
+LIVENESS_TIMEOUT_S = 3.0
 """Time without a newer entry after which a member is not live, in seconds: three rounds of exchange
 of 1 s. Together with the 1.5 s of `slots.MEMBER_LIST_TTL_S` it stays below the 5 s of
 `slots.TAKEOVER_DELAY_S`."""
@@ -44,8 +44,8 @@
     """The table of members.
 
     Args:
-        own: This entry VM's own entry; `touch` increments its version.
-        silent_s: Time without a newer entry after which a member is not live, in seconds.
+        own: This entry VM's own entry; `increment_version` changes its version.
+        liveness_timeout_s: Time without a newer entry after which a member is not live, in seconds.
 
     Attributes:
         records: Newest entry of every other member, by VM name.
@@ -53,18 +53,18 @@
         superseded: True once another process of this VM's name has a higher incarnation.
     """
 
-    def __init__(self, own: Member, *, silent_s: float = SILENT_S) -> None:
+    def __init__(self, own: Member, *, liveness_timeout_s: float = LIVENESS_TIMEOUT_S) -> None:
         self.own = own
-        self.silent_s = silent_s
+        self.liveness_timeout_s = liveness_timeout_s
         self.records: dict[str, MemberRecord] = {}
         self.hall_records: dict[str, MemberRecord] = {}
         self.superseded = False
 
-    def touch(self) -> None:
+    def increment_version(self) -> None:
         """Increment the version of this VM's own entry, so that other VMs replace theirs."""
         self.own.version += 1
 
-    def observe(self, member: Member, now: float) -> bool:
+    def update(self, member: Member, now: float) -> bool:
         """Store a member's entry if it is newer.
 
         Args:
@@ -75,7 +75,7 @@
             True when it was newer. False otherwise, and for any entry with this VM's own name.
         """
         if member.vm == self.own.vm:
-            self._observe_own_name(member)
+            self._update_own_incarnation(member)
             return False
         known = self.records.get(member.vm)
         if known is not None and version_of(member) <= version_of(known.member):
@@ -90,7 +90,7 @@
             self.hall_records.pop(member.vm, None)
         return True
 
-    def _observe_own_name(self, member: Member) -> None:
+    def _update_own_incarnation(self, member: Member) -> None:
         """Resolve a conflict with another process of this VM's name: the higher incarnation wins.
 
         A process that is still joining takes a higher incarnation, since its clock may be slow. One
@@ -116,7 +116,7 @@
         return [self.own, *self._live_of(self.hall_records, now)]
 
     def _live_of(self, records: dict[str, MemberRecord], now: float) -> list[Member]:
-        oldest = now - self.silent_s
+        oldest = now - self.liveness_timeout_s
         return [r.member for r in records.values() if r.received_at >= oldest]
 
     def slot_holders(self, now: float) -> tuple[str, ...]:
--- a/sprucewinch/hall/peers/view.py
+++ b/sprucewinch/hall/peers/view.py
@@ -1,8 +1,8 @@
 """Snapshots for planning: the load reports of all members, aggregated by region.
 
-`View` sums the loads by service and region and records the age of the oldest report of each region.
-It takes the reports from `membership`, and drains, distances and links from the topology. A view is
-built in each planning round and keeps nothing between rounds.
+`MeasuresView` sums the loads by service and region and records the age of the oldest report of each
+region. It takes the reports from `membership`, and drains, distances and links from the topology. A
+view is built in each planning round and keeps nothing between rounds.
 """
 
 from collections.abc import Iterable
@@ -60,7 +60,7 @@
 _NO_REPORT = _Sum()
 
 
-class View:
+class MeasuresView:
     """The reports of all members, aggregated in one pass for the callers of one region.
 
     Args:
--- a/sprucewinch/hall/planning/plan_rounds.py
+++ b/sprucewinch/hall/planning/plan_rounds.py
@@ -18,7 +18,7 @@
 from ..node import Node
 from ..peers.membership import member_id
 from ..peers.peer_pb2 import SERVING
-from ..peers.view import View
+from ..peers.view import MeasuresView
 from ..store.documents import PLAN_PREFIX, Revisioned
 from ..store.store import Store, Written
 from ..store.store_reader import StoreReader
@@ -85,7 +85,7 @@
             await self._start_planner(key, region)
         assert self._planner is not None
         now = self.clock.monotonic()
-        view = View(topology, self.node.membership, region, now)
+        view = MeasuresView(topology, self.node.membership, region, now)
         snapshots = {service: view.snapshot(service) for service in topology.services}
         plan = self._planner.propose(topology, self.node.policies, snapshots, now)
         if plan is not None:
--- a/sprucewinch/hall/requests/admission.py
+++ b/sprucewinch/hall/requests/admission.py
@@ -49,8 +49,8 @@
 
     `in_use` counts the slots that requests of this VM hold. `latency_ms` is the moving average of
     the latency in milliseconds, None until a request was answered. `paused_until`, `leaving_until`,
-    `heard_leaving_until` and `warm_from` are monotonic times in seconds. The cold period begins at
-    `warm_from` and lasts `COLD_PERIOD_S`.
+    `reported_leaving_until` and `cold_from` are monotonic times in seconds. The cold period begins
+    at `cold_from` and lasts `COLD_PERIOD_S`.
 
     Args:
         address: `IP:PORT`.
@@ -59,13 +59,13 @@
 
     __slots__ = (
         "address",
-        "heard_leaving_until",
+        "reported_leaving_until",
         "in_use",
         "latency_ms",
         "leaving_until",
         "paused_until",
         "service",
-        "warm_from",
+        "cold_from",
     )
 
     def __init__(self, address: str, service: str) -> None:
@@ -74,8 +74,8 @@
         self.in_use = 0
         self.paused_until = 0.0
         self.leaving_until = 0.0
-        self.heard_leaving_until = 0.0
-        self.warm_from = float("-inf")
+        self.reported_leaving_until = 0.0
+        self.cold_from = float("-inf")
         self.latency_ms: Optional[float] = None
 
     def is_open(self, now: float) -> bool:
@@ -84,13 +84,13 @@
 
     def is_leaving(self, now: float) -> bool:
         """Return whether a mark as leaving, of either kind, has not ended yet."""
-        return max(self.leaving_until, self.heard_leaving_until) > now
+        return max(self.leaving_until, self.reported_leaving_until) > now
 
-    def slot_limit(self, usable: int, now: float) -> int:
+    def slot_limit(self, usable_slots: int, now: float) -> int:
         """Return how many slots this VM may use now: the usable ones, fewer while it is cold."""
-        if now - self.warm_from >= COLD_PERIOD_S:
-            return usable
-        return min(usable, _COLD_SLOTS)
+        if now - self.cold_from >= COLD_PERIOD_S:
+            return usable_slots
+        return min(usable_slots, _COLD_SLOTS)
 
     def record_latency(self, latency_ms: float) -> None:
         """Record the latency of a complete answer, in milliseconds."""
@@ -105,15 +105,15 @@
     def mark_failed(self, now: float) -> None:
         """Pause the server after it could not be reached; it is cold afterwards."""
         self.paused_until = now + FAIL_PAUSE_S
-        self.warm_from = self.paused_until
+        self.cold_from = self.paused_until
 
     def mark_leaving(self, until: float) -> None:
         """Mark the server as leaving until a time, after its own report or the platform's list."""
         self.leaving_until = max(self.leaving_until, until)
 
-    def mark_heard_leaving(self, until: float) -> None:
+    def mark_leaving_by_peer(self, until: float) -> None:
         """Mark the server as leaving until a time, after the report of another VM."""
-        self.heard_leaving_until = max(self.heard_leaving_until, until)
+        self.reported_leaving_until = max(self.reported_leaving_until, until)
 
 
 class Slot:
@@ -134,25 +134,25 @@
     """Allocates the slots of one service that this entry VM may use.
 
     A server is marked as leaving after its own report to this VM or its entry in the platform's
-    list (`leaving`), or after the report of another VM (`heard_leaving`). A marked server gets no
-    new request. Only marks of the first kind are reported to other VMs: if two VMs reported marks
-    that they have from each other, they would renew them without end.
+    list (`mark_leaving`), or after the report of another VM (`mark_leaving_by_peer`). A marked
+    server gets no new request. Only marks of the first kind are reported to other VMs: if two VMs
+    reported marks that they have from each other, they would renew them without end.
 
     Args:
-        usable: Returns the usable slots of a backend server (`IP:PORT`) at a monotonic time in
-            seconds.
+        usable_slots: Returns the usable slots of a backend server (`IP:PORT`) at a monotonic time
+            in seconds.
         rng: Source of randomness for ties.
         max_waiting: Maximum number of requests that wait for a slot.
     """
 
     def __init__(
         self,
-        usable: Callable[[str, float], int],
+        usable_slots: Callable[[str, float], int],
         rng: random.Random,
         *,
         max_waiting: int = MAX_WAITING_REQUESTS,
     ) -> None:
-        self.usable = usable
+        self.usable_slots = usable_slots
         self.rng = rng
         self.max_waiting = max_waiting
         self.servers: dict[str, ServerState] = {}
@@ -166,7 +166,7 @@
 
     def capacity(self, now: float) -> int:
         """Return the number of usable slots of all open servers at this time."""
-        return sum(self.usable(s.address, now) for s in self._open_servers(now))
+        return sum(self.usable_slots(s.address, now) for s in self._open_servers(now))
 
     def in_use(self) -> int:
         """Return the number of slots in use."""
@@ -227,7 +227,7 @@
                 slot.released = True
                 slot.server.in_use -= 1
 
-    def leaving(self, address: str, until: float) -> None:
+    def mark_leaving(self, address: str, until: float) -> None:
         """Mark a server as leaving, after its own report or its entry in the platform's list.
 
         Args:
@@ -239,11 +239,11 @@
         if server is not None:
             server.mark_leaving(until)
 
-    def heard_leaving(self, address: str, until: float) -> None:
-        """Mark a server that another VM reports as leaving; arguments as for `leaving`."""
+    def mark_leaving_by_peer(self, address: str, until: float) -> None:
+        """Mark a server that another VM reports as leaving; arguments as for `mark_leaving`."""
         server = self.servers.get(address)
         if server is not None:
-            server.mark_heard_leaving(until)
+            server.mark_leaving_by_peer(until)
 
     def leaving_servers(self, now: float) -> list[str]:
         """Return the addresses of the servers that are to be reported to other VMs as leaving."""
@@ -260,7 +260,7 @@
         best: Optional[ServerState] = None
         lowest_key = (1.0, 0.0)
         for server in servers:
-            slot_limit = server.slot_limit(self.usable(server.address, now), now)
+            slot_limit = server.slot_limit(self.usable_slots(server.address, now), now)
             if server.in_use >= slot_limit:
                 continue
             key = (server.in_use / slot_limit, self.rng.random())
--- a/sprucewinch/hall/requests/at_most_once.py
+++ b/sprucewinch/hall/requests/at_most_once.py
@@ -22,7 +22,7 @@
 from .backend import Attempt
 from .forwarding import PeerForwarder
 from .recorder import RecordingResponder
-from .tickets import Answer, Claim, Ticket, TicketBook, parse_ticket
+from .tickets import Answer, Claim, Ticket, TicketTable, parse_ticket
 
 Run = Callable[[Request, Responder], Awaitable[Attempt]]
 """Runs a request, passes its answer to the responder, and returns the result."""
@@ -130,7 +130,7 @@
             return unknown(Reason.TICKET_HOME_LOST)
         return attempt.refusal
 
-    def _tickets(self) -> TicketBook:
+    def _tickets(self) -> TicketTable:
         assert self.node.tickets is not None
         return self.node.tickets
 
--- a/sprucewinch/hall/requests/local.py
+++ b/sprucewinch/hall/requests/local.py
@@ -10,7 +10,7 @@
 from ...clock import Clock
 from ...net.outcome import Reason, Refusal, not_run
 from ...net.request import Request, Responder
-from ..node import LEAVING_S, Node
+from ..node import LEAVING_REPORT_TTL_S, Node
 from ._slot_wait import wait_for_slot
 from .admission import Admission, Slot
 from .backend import Attempt, BackendClient
@@ -47,7 +47,7 @@
         Raises:
             BrokenAnswerError: When an answer broke off after its start was passed on.
         """
-        admission = self.node.hall.find(request.service)
+        admission = self.node.admissions.find(request.service)
         if admission is None:
             return Attempt(not_run(Reason.NO_BACKEND_SERVER))
         attempt = Attempt(not_run(Reason.NO_ROOM))
@@ -96,7 +96,7 @@
     ) -> None:
         server = slot.server
         if attempt.leaving:
-            admission.leaving(server.address, now + LEAVING_S)
+            admission.mark_leaving(server.address, now + LEAVING_REPORT_TTL_S)
         if attempt.shed:
             server.mark_shed(now)
             self.node.metrics.counters["shed"] += 1
--- a/sprucewinch/hall/requests/return_time.py
+++ b/sprucewinch/hall/requests/return_time.py
@@ -50,7 +50,7 @@
         return refusal._replace(retry_after_ms=schedule.retry_after_ms(now, rate_per_s))
 
     def _slots_freed_per_s(self, service: str, now: float) -> float:
-        admission = self.node.hall.find(service)
+        admission = self.node.admissions.find(service)
         capacity = admission.capacity(now) if admission else 0
         latency_ms = admission.latency_ms() if admission else None
         return capacity / ((latency_ms or _DEFAULT_REQUEST_S * 1000) / 1000)
--- a/sprucewinch/hall/requests/tickets.py
+++ b/sprucewinch/hall/requests/tickets.py
@@ -153,7 +153,7 @@
             claim.answer = None
 
 
-class TicketBook:
+class TicketTable:
     """Issues tickets and keeps the outcome of each.
 
     Args:
--- a/sprucewinch/hall/slots.py
+++ b/sprucewinch/hall/slots.py
@@ -26,8 +26,8 @@
 
 TAKEOVER_DELAY_S = 5.0
 """Time before the slots of a dropped VM are claimed, in seconds: the 3 s of silence after which the
-dropped VM drops this one too (`peers.membership.SILENT_S`), plus `MEMBER_LIST_TTL_S`, plus a margin
-of 0.5 s, which is one round of `loops.TICK_S`."""
+dropped VM drops this one too (`peers.membership.LIVENESS_TIMEOUT_S`), plus `MEMBER_LIST_TTL_S`,
+plus a margin of 0.5 s, which is one round of `loops.TICK_S`."""
 
 MEMBER_LIST_TTL_S = 1.5
 """Time for which a list of VMs is valid without being renewed, in seconds: three rounds of
@@ -143,7 +143,7 @@
     def _claim_owned(self) -> None:
         self._held = self._owned_slots()
 
-    def usable(self, server: str, now: float) -> int:
+    def usable_slots(self, server: str, now: float) -> int:
         """Return the number of slots of a backend server that may be used now."""
         if now - self._renewed_at > self.member_list_ttl_s:
             return 0
--- a/sprucewinch/hall/store/store_reader.py
+++ b/sprucewinch/hall/store/store_reader.py
@@ -121,7 +121,7 @@
         )
         leaving = [r.address for r in listing if r.kind == "backend" and r.leaving]
         until = self.clock.monotonic() + _LISTING_TTL_POLLS * POLL_INTERVAL_S
-        self.node.hall.mark_leaving(leaving, until)
+        self.node.admissions.mark_leaving(leaving, until)
 
     def _is_watcher(self) -> bool:
         """Return whether this VM watches for its hall: it is the first live VM by name."""
--- a/sprucewinch/operators/report.py
+++ b/sprucewinch/operators/report.py
@@ -11,7 +11,7 @@
 from ..errors import ConfigurationError
 from ..hall.node import Node
 from ..hall.peers.peer_pb2 import Member, State
-from ..hall.peers.view import View
+from ..hall.peers.view import MeasuresView
 from ..hall.planning.lookup import first_entry_vm
 from ..hall.planning.planner import guard_limits
 from ..hall.planning.steering import Plan
@@ -105,7 +105,9 @@
     place = node.lookups.place(block, service)
     if isinstance(place, Refusal):
         return {"block": block, "service": service, "refused": place.reason.value}
-    measured = View(node.topology, node.membership, place.client_region, now).snapshot(service)
+    measured = MeasuresView(node.topology, node.membership, place.client_region, now).snapshot(
+        service
+    )
     return {
         "block": block,
         "service": service,
@@ -189,7 +191,7 @@
 def _comparison(
     node: Node, topology: Topology, service: str, name: str, client_region: str, now: float
 ) -> dict[str, Any]:
-    measured = View(topology, node.membership, client_region, now).snapshot(service)
+    measured = MeasuresView(topology, node.membership, client_region, now).snapshot(service)
     current: Shares = node.steering.shares(client_region, service)
     wanted = node.policies[name].weights(measured)
     row: dict[str, Any] = {"policy": name, "client_region": client_region}
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -91,7 +91,7 @@
     def server_leaves(self, server: str, seconds: float) -> None:
         until = self.now + seconds
         self.left_until[server] = max(until, self.left_until.get(server, 0.0))
-        self.admission.leaving(server, until)
+        self.admission.mark_leaving(server, until)
 
     @rule(server=st.sampled_from(SERVERS))
     def server_drains(self, server: str) -> None:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -153,14 +153,14 @@
 
     def test_newer_entries_replace_older_ones_only(self) -> None:
         table = self.table()
-        self.assertTrue(table.observe(self.member("a", 2, 3), 0.0))
-        self.assertFalse(table.observe(self.member("a", 2, 2), 1.0))
-        self.assertFalse(table.observe(self.member("a", 1, 9), 1.0))
-        self.assertTrue(table.observe(self.member("a", 3, 1), 1.0))
+        self.assertTrue(table.update(self.member("a", 2, 3), 0.0))
+        self.assertFalse(table.update(self.member("a", 2, 2), 1.0))
+        self.assertFalse(table.update(self.member("a", 1, 9), 1.0))
+        self.assertTrue(table.update(self.member("a", 3, 1), 1.0))
 
     def test_silent_members_are_not_live_and_then_dropped(self) -> None:
         table = self.table()
-        table.observe(self.member("a", state=SERVING), 0.0)
+        table.update(self.member("a", state=SERVING), 0.0)
         self.assertEqual(len(table.live(3.0)), 2)
         self.assertEqual(len(table.live(3.1)), 1)
         self.assertIsNotNone(table.find("a"))
@@ -169,20 +169,20 @@
 
     def test_older_process_of_the_same_name_is_superseded(self) -> None:
         table = self.table()
-        table.observe(self.member("me", 4), 0.0)
+        table.update(self.member("me", 4), 0.0)
         self.assertFalse(table.superseded)
-        table.observe(self.member("me", 6), 0.0)
+        table.update(self.member("me", 6), 0.0)
         self.assertTrue(table.superseded)
 
     def test_new_process_with_a_slow_clock_takes_a_higher_incarnation(self) -> None:
         table = self.table(JOINING)
-        table.observe(self.member("me", 9), 0.0)
+        table.update(self.member("me", 9), 0.0)
         self.assertEqual(table.own.incarnation, 10)
         self.assertFalse(table.superseded)
 
     def test_view_is_confirmed_only_when_all_holders_list_the_same(self) -> None:
         table = self.table()
-        table.observe(self.member("a", state=SERVING, hall_view="else"), 0.0)
+        table.update(self.member("a", state=SERVING, hall_view="else"), 0.0)
         self.assertFalse(table.view_confirmed(0.0))
         view = table.slot_holders(0.0)
         self.assertEqual(view, ("a#1", "me#5"))
@@ -191,7 +191,7 @@
         own = node()
         for index in range(20):
             hall = "van-1" if index < 3 else "kel-1"
-            own.membership.observe(
+            own.membership.update(
                 self.member(f"m{index}", hall=hall, peer_address=f"127.0.0.1:{index + 1}"), 0.0
             )
         partners = choose_partners(own, random.Random(1), 0.0, others=2)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -30,7 +30,7 @@
 from sprucewinch.gateway.state.replica import Delta, Item, Removal
 from sprucewinch.gateway.state.store_view import StoreView
 from sprucewinch.hall.planning.steering import Plan
-from sprucewinch.hall.requests.tickets import TicketBook, parse_ticket
+from sprucewinch.hall.requests.tickets import TicketTable, parse_ticket
 from sprucewinch.hall.store.documents import (
     AUDIT_PREFIX,
     CONFIGURATION_KEY,
@@ -110,9 +110,9 @@
     return msgspec.json.encode(plan)
 
 
-def ticket_book(incarnation: int) -> TicketBook:
+def ticket_table(incarnation: int) -> TicketTable:
     """Return the tickets of an entry VM with a known secret."""
-    return TicketBook("vm-a", incarnation, b"k" * 32)
+    return TicketTable("vm-a", incarnation, b"k" * 32)
 
 
 def peer_app(*deltas: Delta) -> DeltaApp:
@@ -342,7 +342,7 @@
     ISSUED = ("vm-a:18f:0:book:94bea9a85f57672fb892", "vm-a:18f:1:book:51895ce5d52580c7dcce")
 
     def test_texts(self) -> None:
-        self.assertEqual(tuple(ticket_book(0x18F).issue("book", 2, 0.0)), self.ISSUED)
+        self.assertEqual(tuple(ticket_table(0x18F).issue("book", 2, 0.0)), self.ISSUED)
 
     def test_read_and_written_again(self) -> None:
         for text in self.ISSUED:
--- a/tests/test_formats_own.py
+++ b/tests/test_formats_own.py
@@ -326,7 +326,7 @@
         metrics.answered(label, 0.01)
         metrics.answered(label, 0.02)
         metrics.refused(label, "no-room")
-        metrics.room(label, 0.25)
+        metrics.record_headroom(label, 0.25)
         metrics.drained("server:x", 1.5)
         self.assertEqual(json.dumps(metrics.report()), MEASURES)
         merged = merge_reports([metrics.report()])
--- a/tests/test_leaving_marks.py
+++ b/tests/test_leaving_marks.py
@@ -3,9 +3,9 @@
 import unittest
 
 from sprucewinch.config.configuration import drain_key
-from sprucewinch.hall.node import LEAVING_S, Node
+from sprucewinch.hall.node import LEAVING_REPORT_TTL_S, Node
 from sprucewinch.hall.peers.exchange import Exchange
-from sprucewinch.hall.peers.membership import SILENT_S
+from sprucewinch.hall.peers.membership import LIVENESS_TIMEOUT_S
 
 from . import fakes
 
@@ -33,12 +33,14 @@
         ]
         for node in self.nodes:
             fakes.configure(node)
-        self.service, admission = next(iter(self.nodes[0].hall.admissions.items()))
+        self.service, admission = next(iter(self.nodes[0].admissions.by_service.items()))
         self.server = next(iter(admission.servers))
 
     def report(self) -> None:
         """Let the first VM hear the report, by a probe or with an answer."""
-        self.nodes[0].hall.admissions[self.service].leaving(self.server, self.now + LEAVING_S)
+        self.nodes[0].admissions.by_service[self.service].mark_leaving(
+            self.server, self.now + LEAVING_REPORT_TTL_S
+        )
 
     def step(self) -> None:
         self.now += STEP_S
@@ -54,7 +56,7 @@
 
     def gives_slots(self) -> list[bool]:
         """Return for each VM whether it gives new requests to the server."""
-        states = (n.hall.admissions[self.service].servers[self.server] for n in self.nodes)
+        states = (n.admissions.by_service[self.service].servers[self.server] for n in self.nodes)
         return [state.is_open(self.now) for state in states]
 
     def listed(self) -> list[bool]:
@@ -66,19 +68,19 @@
     def test_what_the_platform_lists_at_one_vm_reaches_all(self) -> None:
         hall = Hall()
         hall.pass_time(20.0)
-        hall.nodes[0].hall.mark_leaving([hall.server], hall.now + LEAVING_S)
+        hall.nodes[0].admissions.mark_leaving([hall.server], hall.now + LEAVING_REPORT_TTL_S)
         hall.pass_time(2.0)
         self.assertEqual(hall.gives_slots(), [False, False, False])
-        hall.pass_time(3 * LEAVING_S)
+        hall.pass_time(3 * LEAVING_REPORT_TTL_S)
         self.assertEqual(hall.gives_slots(), [True, True, True])
 
     def test_a_single_report_ends_at_all_vms(self) -> None:
         hall = Hall()
         hall.pass_time(20.0)
         hall.report()
-        hall.pass_time(LEAVING_S / 2)
+        hall.pass_time(LEAVING_REPORT_TTL_S / 2)
         self.assertEqual(hall.gives_slots(), [False, False, False])
-        hall.pass_time(LEAVING_S / 2 + SILENT_S + LEAVING_S)
+        hall.pass_time(LEAVING_REPORT_TTL_S / 2 + LIVENESS_TIMEOUT_S + LEAVING_REPORT_TTL_S)
         self.assertEqual(hall.gives_slots(), [True, True, True])
         self.assertEqual(hall.listed(), [False, False, False])
 
@@ -86,7 +88,7 @@
         hall = Hall()
         hall.pass_time(20.0)
         hall.report()
-        hall.pass_time(LEAVING_S / 2)
+        hall.pass_time(LEAVING_REPORT_TTL_S / 2)
         self.assertEqual(hall.listed(), [True, False, False])
 
     def test_a_server_that_still_leaves_stays_marked_at_all_vms(self) -> None:
@@ -103,7 +105,7 @@
         hall = Hall()
         hall.pass_time(20.0)
         hall.report()
-        hall.pass_time(LEAVING_S / 2)
+        hall.pass_time(LEAVING_REPORT_TTL_S / 2)
         for node in hall.nodes:
             self.assertIn(drain_key("server", hall.server), dict(node.own.held))
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -10,7 +10,7 @@
         for milliseconds in range(1, 101):
             metrics.answered(label, milliseconds / 1000)
         metrics.refused(label, "no-room")
-        metrics.room(label, 0.25)
+        metrics.record_headroom(label, 0.25)
         metrics.drained("server:x", 1.5)
         report = metrics.report()
         self.assertEqual(report["latency_ms"][0]["count"], 100)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -11,7 +11,7 @@
 POOL = Pool(hall="h", service="s", servers=("127.0.0.1:1", "127.0.0.1:2"), slots=4)
 SETTINGS = settings(max_examples=100, stateful_step_count=40, deadline=None)
 STEP_S = 0.5
-SILENT_S = 3.0
+LIVENESS_TIMEOUT_S = 3.0
 
 
 class _Vm:
@@ -26,7 +26,7 @@
         self.frozen = False
 
     def members(self, now: float) -> tuple[str, ...]:
-        live = [n for n, (at, _) in self.heard.items() if now - at <= SILENT_S]
+        live = [n for n, (at, _) in self.heard.items() if now - at <= LIVENESS_TIMEOUT_S]
         joined = [self.name] if now - self.started >= self.share.takeover_delay_s else []
         return tuple(sorted(live + joined))
 
@@ -105,7 +105,7 @@
     @invariant()
     def check(self) -> None:
         for server in POOL.servers:
-            used = [v.share.usable(server, self.now) for v in self.vms if not v.frozen]
+            used = [v.share.usable_slots(server, self.now) for v in self.vms if not v.frozen]
             assert sum(used) <= POOL.slots, used
 
 
@@ -125,7 +125,7 @@
 class NoExpiryShare(SlotShare):
     """A wrong version: still uses its old list after a pause."""
 
-    def usable(self, server: str, now: float) -> int:
+    def usable_slots(self, server: str, now: float) -> int:
         return sum(self._held.get(server, ()))
 
 
@@ -163,16 +163,16 @@
         for step in range(12):
             now = step * STEP_S
             share.renew(("a",), (POOL,), now, confirmed=True)
-            held = share.usable(POOL.servers[0], now)
+            held = share.usable_slots(POOL.servers[0], now)
             self.assertEqual(held, 4 if now >= share.takeover_delay_s else 0)
 
     def test_member_that_finished_is_not_waited_for(self) -> None:
         share = SlotShare("a")
         for step in range(12):
             share.renew(("a", "b"), (POOL,), step * STEP_S, confirmed=True)
-        self.assertEqual(share.usable(POOL.servers[0], 5.5), 2)
+        self.assertEqual(share.usable_slots(POOL.servers[0], 5.5), 2)
         share.renew(("a",), (POOL,), 6.0, confirmed=True, finished=frozenset("b"))
-        self.assertEqual(share.usable(POOL.servers[0], 6.0), 4)
+        self.assertEqual(share.usable_slots(POOL.servers[0], 6.0), 4)
 
     def test_server_that_is_added_is_used_at_once_by_its_owner(self) -> None:
         share = SlotShare("a")
@@ -180,4 +180,4 @@
             share.renew(("a",), (POOL,), step * STEP_S, confirmed=True)
         more = Pool(hall="h", service="s", servers=(*POOL.servers, "127.0.0.1:3"), slots=4)
         share.renew(("a",), (more,), 6.0, confirmed=True)
-        self.assertEqual(share.usable("127.0.0.1:3", 6.0), 4)
+        self.assertEqual(share.usable_slots("127.0.0.1:3", 6.0), 4)
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -5,15 +5,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sprucewinch.hall.requests.tickets import Answer, Claim, TicketBook, parse_ticket
+from sprucewinch.hall.requests.tickets import Answer, Claim, TicketTable, parse_ticket
 from sprucewinch.net.outcome import Outcome, Reason, Refusal
 
 KEY = b"k" * 32
 SETTINGS = settings(max_examples=100, stateful_step_count=40, deadline=None)
 
 
-def book(vm: str = "a", incarnation: int = 1, **options: float) -> TicketBook:
-    return TicketBook(vm, incarnation, KEY, lifetime_s=10, retention_s=20, **options)
+def table(vm: str = "a", incarnation: int = 1, **options: float) -> TicketTable:
+    return TicketTable(vm, incarnation, KEY, lifetime_s=10, retention_s=20, **options)
 
 
 class OneRun(RuleBasedStateMachine):
@@ -24,26 +24,26 @@
     against the run of one that was refused so. A VM may run an operation long after claiming it.
     """
 
-    book_class = TicketBook
+    table_class = TicketTable
     new_incarnation_on_restart = True
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.incarnations = Counter({"a": 1, "b": 1})
-        self.books = {vm: self.make(vm) for vm in "ab"}
+        self.tables = {vm: self.make(vm) for vm in "ab"}
         self.tickets: list[str] = []
-        self.pending: list[tuple[TicketBook, Claim, str]] = []
+        self.pending: list[tuple[TicketTable, Claim, str]] = []
         self.runs: Counter[str] = Counter()
         self.reported_not_run: set[str] = set()
 
-    def make(self, vm: str) -> TicketBook:
+    def make(self, vm: str) -> TicketTable:
         number = self.incarnations[vm] if self.new_incarnation_on_restart else 1
-        return self.book_class(vm, number, KEY, lifetime_s=10, retention_s=20, max_answer_bytes=64)
+        return self.table_class(vm, number, KEY, lifetime_s=10, retention_s=20, max_answer_bytes=64)
 
     @rule(vm=st.sampled_from("ab"))
     def issue(self, vm: str) -> None:
-        issued = self.books[vm].issue("booking", 2, self.now)
+        issued = self.tables[vm].issue("booking", 2, self.now)
         assert not isinstance(issued, Refusal)
         self.tickets += issued
 
@@ -54,7 +54,7 @@
         text = self.tickets[-1 - index % len(self.tickets)]
         ticket = parse_ticket(text)
         assert ticket is not None
-        home = self.books[ticket.vm]
+        home = self.tables[ticket.vm]
         if not home.is_home(ticket):
             return  # The home is gone, so the outcome is unknown.
         result = home.claim(ticket, "booking", "same", self.now)
@@ -70,7 +70,7 @@
         text = self.tickets[-1 - index % len(self.tickets)]
         ticket = parse_ticket(text)
         assert ticket is not None
-        home = self.books[ticket.vm]
+        home = self.tables[ticket.vm]
         if home.is_home(ticket) and home.close(ticket, self.now):
             self.reported_not_run.add(text)
 
@@ -92,7 +92,7 @@
     def restart(self, vm: str) -> None:
         """The old process is only suspended: it may still run the operations that it claimed."""
         self.incarnations[vm] += 1
-        self.books[vm] = self.make(vm)
+        self.tables[vm] = self.make(vm)
 
     @rule(seconds=st.floats(0.1, 40))
     def time_passes(self, seconds: float) -> None:
@@ -111,7 +111,7 @@
 TestOneRun = OneRun.TestCase
 
 
-class BookDroppingRefusals(TicketBook):
+class TableDroppingRefusals(TicketTable):
     """A wrong version that drops the claims it refused, so that a repeat may run."""
 
     def settle(self, claim: Claim, outcome: Outcome, answer: Answer | None = None) -> None:
@@ -128,8 +128,8 @@
         machine.arrive(0)
         return machine
 
-    def test_book_that_drops_refusals(self) -> None:
-        machine = self.machine(book_class=BookDroppingRefusals)
+    def test_table_that_drops_refusals(self) -> None:
+        machine = self.machine(table_class=TableDroppingRefusals)
         machine.settle(0, "refused")
         machine.arrive(0)
         machine.settle(0, "runs")
@@ -146,7 +146,7 @@
         with self.assertRaises(AssertionError):
             machine.at_most_one_run()
 
-    def test_same_steps_hold_with_the_real_book(self) -> None:
+    def test_same_steps_hold_with_the_real_table(self) -> None:
         machine = self.machine()
         machine.settle(0, "refused")
         machine.arrive(0)
@@ -156,32 +156,32 @@
         self.assertEqual(machine.pending, [])
 
 
-class TicketBookCases(unittest.TestCase):
-    def claim(self, tickets: TicketBook, text: str, now: float = 0.0, fingerprint: str = "same"):
+class TicketTableCases(unittest.TestCase):
+    def claim(self, tickets: TicketTable, text: str, now: float = 0.0, fingerprint: str = "same"):
         return tickets.claim(parse_ticket(text), "booking", fingerprint, now)
 
     def test_repeat_gets_the_same_answer(self) -> None:
-        tickets = book()
+        tickets = table()
         [text] = tickets.issue("booking", 1, 0.0)
         answer = Answer(200, (("a", "b"),), b"done")
         tickets.settle(self.claim(tickets, text), Outcome.ANSWERED, answer)
         self.assertEqual(self.claim(tickets, text), answer)
 
     def test_repeat_while_running_is_unknown(self) -> None:
-        tickets = book()
+        tickets = table()
         [text] = tickets.issue("booking", 1, 0.0)
         self.claim(tickets, text)
         self.assertEqual(self.claim(tickets, text).reason, Reason.ALREADY_RUNNING)
 
     def test_another_request_under_the_same_ticket_gets_no_answer(self) -> None:
-        tickets = book()
+        tickets = table()
         [text] = tickets.issue("booking", 1, 0.0)
         tickets.settle(self.claim(tickets, text), Outcome.ANSWERED, Answer(200, (), b"mine"))
         refusal = self.claim(tickets, text, fingerprint="other")
         self.assertEqual(refusal, Refusal(Outcome.UNKNOWN, Reason.TICKET_REUSED))
 
     def test_forged_and_misdirected_tickets(self) -> None:
-        tickets = book()
+        tickets = table()
         [text] = tickets.issue("booking", 1, 0.0)
         for forged in (text[:-1] + "x", text.replace(":0:", ":1:"), text.replace("booking", "x")):
             with self.subTest(forged):
@@ -190,7 +190,7 @@
             self.assertIsNone(parse_ticket(junk))
 
     def test_expired_ticket_never_runs(self) -> None:
-        tickets = book()
+        tickets = table()
         [text] = tickets.issue("booking", 1, 0.0)
         first = self.claim(tickets, text, 11.0)
         self.assertEqual(first, Refusal(Outcome.NOT_RUN, Reason.TICKET_EXPIRED))
@@ -198,7 +198,7 @@
         self.assertEqual(later, Refusal(Outcome.UNKNOWN, Reason.TICKET_EXPIRED))
 
     def test_full_table_refuses_to_issue(self) -> None:
-        tickets = book(max_tickets=3)
+        tickets = table(max_tickets=3)
         self.assertEqual(len(tickets.issue("booking", 3, 0.0)), 3)
         refusal = tickets.issue("booking", 1, 1.0)
         self.assertEqual(refusal.reason, Reason.TICKET_TABLE_FULL)
@@ -206,7 +206,7 @@
         self.assertEqual(len(tickets.issue("booking", 1, 30.0)), 1)
 
     def test_kept_answers_are_bounded(self) -> None:
-        tickets = book(max_answer_bytes=10)
+        tickets = table(max_answer_bytes=10)
         texts = tickets.issue("booking", 3, 0.0)
         for text in texts:
             tickets.settle(self.claim(tickets, text), Outcome.ANSWERED, Answer(200, (), b"12345"))
--- a/tools/bench_core.py
+++ b/tools/bench_core.py
@@ -24,7 +24,7 @@
 from sprucewinch.config.loading import decode_document, encode_document
 from sprucewinch.hall.peers.exchange import Exchange, choose_partners
 from sprucewinch.hall.peers.peer_pb2 import ExchangeReply, ExchangeRequest
-from sprucewinch.hall.peers.view import View
+from sprucewinch.hall.peers.view import MeasuresView
 from sprucewinch.hall.planning.planner import Planner
 from sprucewinch.hall.planning.steering import Steering
 from sprucewinch.hall.planning.topology import Topology
@@ -136,8 +136,8 @@
         other.own.vm = "vm-peer"
 
         def meet(one: Any = one, other: Any = other) -> int:
-            one.membership.touch()
-            other.membership.touch()
+            one.membership.increment_version()
+            other.membership.increment_version()
             request = Exchange(one).make_request().SerializeToString()
             reply = Exchange(other).handle_request(ExchangeRequest.FromString(request), 0.0)
             raw = reply.SerializeToString()
@@ -172,7 +172,7 @@
         planner.adopt(None, made.topology, -60.0)
 
         def plan(made: Any = made, planner: Planner = planner) -> None:
-            view = View(made.topology, made.membership, "region-00", 0.0)
+            view = MeasuresView(made.topology, made.membership, "region-00", 0.0)
             measured = {service: view.snapshot(service) for service in made.topology.services}
             planner.propose(made.topology, made.policies, measured, 0.0)
 
@@ -187,7 +187,7 @@
         made = node(_sized(vms=vms, regions=52, halls=52, services=24), blocks=False)
 
         def view(made: Any = made) -> Any:
-            return View(made.topology, made.membership, "region-00", 0.0)
+            return MeasuresView(made.topology, made.membership, "region-00", 0.0)
 
         points.append((vms, seconds(view) * 1000))
     return fit("adding up members for a plan, ms", "entry VMs", points)
--- a/tools/synthetic.py
+++ b/tools/synthetic.py
@@ -134,6 +134,6 @@
     document = Document(1, configuration(size, blocks=blocks))
     made.documents.offer(Revisioned(CONFIGURATION_KEY, 1, encode_document(document)))
     for number in range(1, size.vms):
-        made.membership.observe(member(size, number, rng), now)
+        made.membership.update(member(size, number, rng), now)
     made.tick(now)
     return made
