--- a/sprucewinch/gateway/following/store_follower.py
+++ b/sprucewinch/gateway/following/store_follower.py
@@ -201,7 +201,7 @@
         )
         most_s = _MAX_RANDOM_BACKOFF_S if retry_soon else _MAX_RANDOM_BACKOFF_OTHERS_S
         random_s = backoff_s(
-            self._failures, self.timing.rng, base_s=_BASE_RANDOM_BACKOFF_S, most_s=most_s
+            self._failures, self.timing.rng, base_s=_BASE_RANDOM_BACKOFF_S, max_s=most_s
         )
         return _FIXED_BACKOFF_S + random_s
 
--- a/sprucewinch/gateway/membership/registrar.py
+++ b/sprucewinch/gateway/membership/registrar.py
@@ -77,6 +77,6 @@
     def _backoff_s(self, failures: int) -> float:
         """Return the pause after a number of consecutive failures, in seconds."""
         random_s = backoff_s(
-            failures, self.timing.rng, base_s=_BASE_RANDOM_BACKOFF_S, most_s=_MAX_RANDOM_BACKOFF_S
+            failures, self.timing.rng, base_s=_BASE_RANDOM_BACKOFF_S, max_s=_MAX_RANDOM_BACKOFF_S
         )
         return _FIXED_BACKOFF_S + random_s
--- a/sprucewinch/gateway/quotas/leases.py
+++ b/sprucewinch/gateway/quotas/leases.py
@@ -19,7 +19,7 @@
 from collections.abc import Iterable
 from typing import Optional
 
-from ...retry import ReturnSchedule
+from ...retry import RetryAfterSchedule
 from .bucket import GRANT_RETURNABLE_S, GRANT_VALID_S
 from .owners import Owner
 
@@ -67,7 +67,7 @@
 
     __slots__ = ("_sent", "_used", "exhausted_until", "given", "returns")
 
-    def __init__(self, returns: ReturnSchedule) -> None:
+    def __init__(self, returns: RetryAfterSchedule) -> None:
         self.returns = returns
         self._used: deque[float] = deque()
         self.given: deque[LeaseGrant] = deque()
--- a/sprucewinch/gateway/quotas/quotas.py
+++ b/sprucewinch/gateway/quotas/quotas.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Optional
 
-from ...retry import ReturnSchedule
+from ...retry import RetryAfterSchedule
 from ..timing import Timing
 from .exchange import QuotaExchange
 from .leases import LeaseGrant, QuotaLease, asking_groups
@@ -247,10 +247,10 @@
     def _lease(self, name: str) -> QuotaLease:
         lease = self.leases.get(name)
         if lease is None:
-            returns = ReturnSchedule(
+            returns = RetryAfterSchedule(
                 self.timing.rng,
-                least_ms=_MIN_RETRY_AFTER_S * _MS_PER_S,
-                most_ms=_MAX_RETRY_AFTER_S * _MS_PER_S,
+                min_ms=_MIN_RETRY_AFTER_S * _MS_PER_S,
+                max_ms=_MAX_RETRY_AFTER_S * _MS_PER_S,
             )
             lease = self.leases[name] = QuotaLease(returns)
         return lease
--- a/sprucewinch/hall/loops.py
+++ b/sprucewinch/hall/loops.py
@@ -11,15 +11,15 @@
 from .. import log
 from .._supervise import Step, forever
 from ..clock import Clock
-from .node import LEAVING_S, Node
+from .node import LEAVING_REPORT_TTL_S, Node
 from .peers.exchange import Exchange, choose_partners
 from .peers.peer_client import PeerClient
 from .planning.plan_rounds import PlanRounds
 from .requests.admission import Admission
 from .requests.backend import BackendClient
 from .store.documents import CONFIGURATION_KEY, Revisioned
-from .store.store import Platform
-from .store.store_reader import PlatformReader
+from .store.store import Store
+from .store.store_reader import StoreReader
 
 TICK_S = 0.5
 """Time between two rounds of the node, in seconds; `slots.MEMBER_LIST_TTL_S` and
@@ -27,7 +27,7 @@
 
 EXCHANGE_S = 1.0
 """Mean time between two exchanges with peers, in seconds. It must stay well below the 3 s of
-silence after which a VM is no longer live (`peers.membership.SILENT_S`)."""
+silence after which a VM is no longer live (`peers.membership.LIVENESS_TIMEOUT_S`)."""
 
 PLAN_S = 1.0
 """Mean time between two planning rounds, in seconds. docs/CAPACITY.md computes the number of writes
@@ -59,7 +59,7 @@
 
     Args:
         node: This VM's state.
-        platform: Client of the store.
+        store: Client of the store.
         peers: Client of other entry VMs.
         backend: Client of backend servers.
         clock: Source of time.
@@ -69,22 +69,22 @@
     def __init__(
         self,
         node: Node,
-        platform: Platform,
+        store: Store,
         peers: PeerClient,
         backend: BackendClient,
         clock: Clock,
         rng: random.Random,
     ) -> None:
         self.node = node
-        self.platform = platform
+        self.store = store
         self.peers = peers
         self.backend = backend
         self.clock = clock
         self.rng = rng
         self.exchange = Exchange(node)
         self._changed = asyncio.Event()
-        self.reader = PlatformReader(node, platform, clock, rng, self.changed)
-        self.plans = PlanRounds(node, platform, self.reader, clock, self.changed)
+        self.reader = StoreReader(node, store, clock, rng, self.changed)
+        self.plans = PlanRounds(node, store, self.reader, clock, self.changed)
         self._tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
@@ -116,7 +116,7 @@
         counters = self.node.metrics.counters
         counters["peer_bytes_sent"] = self.peers.bytes_sent
         counters["peer_bytes_received"] = self.peers.bytes_received
-        counters["platform_calls"] = self.platform.calls
+        counters["platform_calls"] = self.store.calls
         await asyncio.sleep(TICK_S)
 
     async def _exchange_loop(self) -> None:
@@ -145,17 +145,17 @@
         await asyncio.gather(*(self._exchange_one(address) for address in addresses))
 
     async def _exchange_one(self, address: str) -> None:
-        before = self.node.shelf.revisions()
-        message = self.exchange.ask()
+        before = self.node.documents.revisions()
+        message = self.exchange.make_request()
         for _ in range(_MAX_MESSAGES):
             reply = await self.peers.exchange(address, message)
             if reply is None:
                 return
-            next_message = self.exchange.learn(reply, self.clock.monotonic())
+            next_message = self.exchange.handle_reply(reply, self.clock.monotonic())
             if next_message is None:
                 break
             message = next_message
-        if self.node.shelf.revisions() != before:
+        if self.node.documents.revisions() != before:
             self.changed()
 
     async def _plan_loop(self) -> None:
@@ -167,7 +167,7 @@
 
     async def _probe_loop(self) -> None:
         """Probe the backend servers of this hall, which report when they are leaving."""
-        admissions = self.node.hall.admissions.values()
+        admissions = self.node.admissions.by_service.values()
         targets = [(a, server) for a in admissions for server in list(a.servers)]
         await asyncio.gather(*(self._probe(a, server) for a, server in targets))
         await asyncio.sleep(PROBE_S)
@@ -175,7 +175,7 @@
     async def _probe(self, admission: Admission, server: str) -> None:
         report = await self.backend.probe(server)
         if report is not None and report.leaving:
-            admission.leaving(server, self.clock.monotonic() + LEAVING_S)
+            admission.mark_leaving(server, self.clock.monotonic() + LEAVING_REPORT_TTL_S)
 
 
 def _log_failure(step: Step, error: Exception) -> None:
--- a/sprucewinch/hall/peers/peer_server.py
+++ b/sprucewinch/hall/peers/peer_server.py
@@ -18,17 +18,17 @@
 from ...net.request import Headers, Request, Responder
 from ..requests.backend import BrokenAnswerError
 from ..requests.dispatch import Dispatcher
-from ..requests.return_time import RETRY_AFTER_MS
+from ..requests.retry_after import DEFAULT_RETRY_AFTER_MS
 from ..requests.tickets import parse_ticket
 from .exchange import Exchange
 from .frames import (
     FrameBody,
     accepted_frame,
+    chunk_frames,
+    decode_request,
     end_frame,
     head_frame,
     refused_frame,
-    request_of,
-    split,
 )
 from .peer_grpc import PeerBase
 from .peer_pb2 import ExchangeReply, ExchangeRequest, Frame, Open
@@ -71,9 +71,9 @@
         message = await stream.recv_message()
         if message is None:
             return
-        before = self.exchange.node.shelf.revisions()
-        reply = self.exchange.answer(message, self.clock.monotonic())
-        if self.exchange.node.shelf.revisions() != before:
+        before = self.exchange.node.documents.revisions()
+        reply = self.exchange.handle_request(message, self.clock.monotonic())
+        if self.exchange.node.documents.revisions() != before:
             self.changed()
         await stream.send_message(reply)
 
@@ -110,13 +110,13 @@
         async def request_rest() -> None:
             await stream.send_message(accepted_frame(opened.request_id))
 
-        request = request_of(opened, FrameBody(opened, stream.recv_message, request_rest), now)
+        request = decode_request(opened, FrameBody(opened, stream.recv_message, request_rest), now)
         if opened.home:
             return await self._run_home(request, responder)
         if node.in_flight.count > self.max_requests:
-            return not_run(Reason.OVERLOADED_VM, RETRY_AFTER_MS)
+            return not_run(Reason.OVERLOADED_VM, DEFAULT_RETRY_AFTER_MS)
         if not node.cross_link(opened.from_region, now):
-            return not_run(Reason.LINK_FULL, RETRY_AFTER_MS)
+            return not_run(Reason.LINK_FULL, DEFAULT_RETRY_AFTER_MS)
         attempt = await self.dispatcher.run_here(request, responder)
         return attempt.refusal
 
@@ -148,7 +148,7 @@
 
     async def write(self, chunk: bytes) -> None:
         self.length += len(chunk)
-        for frame in split(chunk):
+        for frame in chunk_frames(chunk):
             await self.stream.send_message(frame)
 
     async def finish(self) -> None:
--- a/sprucewinch/operators/port.py
+++ b/sprucewinch/operators/port.py
@@ -28,7 +28,7 @@
     WriteUnknownError,
 )
 from ..hall.node import Node
-from ..hall.store.store import Platform
+from ..hall.store.store import Store
 from ._messages import error_response
 from ._read_handlers import ReadHandlers
 from ._write_handlers import OnCommitted, WriteHandlers
@@ -54,7 +54,7 @@
     Args:
         settings: The daemon's settings.
         node: This VM's view of the fleet.
-        platform: Client of the platform's store.
+        store: Client of the platform's store.
         clock: Source of time.
         on_committed: Called with each document that this VM has written.
     """
@@ -63,13 +63,13 @@
         self,
         settings: Settings,
         node: Node,
-        platform: Platform,
+        store: Store,
         clock: Clock,
         on_committed: OnCommitted,
     ) -> None:
         self.token = settings.operators_token.encode()
-        self.read_handlers = ReadHandlers(node, platform, clock)
-        self.write_handlers = WriteHandlers(node, ChangeWriter(platform, clock), on_committed)
+        self.read_handlers = ReadHandlers(node, store, clock)
+        self.write_handlers = WriteHandlers(node, ChangeWriter(store, clock), on_committed)
 
     def routes(self) -> Starlette:
         """Return the ASGI application."""
--- a/sprucewinch/operators/writer.py
+++ b/sprucewinch/operators/writer.py
@@ -34,7 +34,7 @@
     WriteUnknownError,
 )
 from ..hall.store.documents import AUDIT_PREFIX, CONFIGURATION_KEY
-from ..hall.store.store import Entry, Mismatch, Platform
+from ..hall.store.store import Entry, Store, VersionMismatch
 from .changes import Change
 
 MAX_AUDIT_RECORDS = 200
@@ -96,19 +96,19 @@
     """Writes changes by compare-and-swap, each with its audit record.
 
     Args:
-        platform: Client of the platform's store.
+        store: Client of the platform's store.
         clock: Source of time.
         new_operation: Returns a unique identifier for a change.
     """
 
     def __init__(
         self,
-        platform: Platform,
+        store: Store,
         clock: Clock,
         *,
         new_operation: Callable[[], str] = lambda: uuid.uuid4().hex,
     ) -> None:
-        self.platform = platform
+        self.store = store
         self.clock = clock
         self.new_operation = new_operation
 
@@ -172,7 +172,7 @@
             PlatformError: When the platform does not answer.
         """
         operation = self.new_operation()
-        entry = await self.platform.get(CONFIGURATION_KEY)
+        entry = await self.store.get(CONFIGURATION_KEY)
         current = _decode_stored(entry)
         if current.revision >= in_force.revision:
             raise ConflictError(
@@ -183,10 +183,10 @@
         document = msgspec.structs.replace(
             in_force, revision=in_force.revision + 1, audit=(*in_force.audit, record)
         )
-        result = await self.platform.put(
+        result = await self.store.put(
             CONFIGURATION_KEY, encode_document(document), entry.version if entry else 0
         )
-        if isinstance(result, Mismatch):
+        if isinstance(result, VersionMismatch):
             raise ConflictError(
                 "the platform's configuration changed during the restore",
                 "check the change with: sprucewinch audit; then try again",
@@ -195,7 +195,7 @@
 
     async def _read_entry(self, operation: str, unresolved: bool) -> Optional[Entry]:
         try:
-            return await self.platform.get(CONFIGURATION_KEY)
+            return await self.store.get(CONFIGURATION_KEY)
         except PlatformError:
             if unresolved:
                 raise _write_unknown(operation) from None
@@ -229,11 +229,13 @@
                     f"at most {_MAX_DOCUMENT_BYTES} can be stored",
                     "retire policies or shorten lists",
                 )
-            result = await self.platform.put(CONFIGURATION_KEY, value, expected)
+            result = await self.store.put(CONFIGURATION_KEY, value, expected)
         except WriteUnknownError:
             # This is no error yet: the next attempt reads back whether the write took effect.
             return _WriteResult.UNKNOWN
-        return _WriteResult.OVERTAKEN if isinstance(result, Mismatch) else _WriteResult.WRITTEN
+        return (
+            _WriteResult.OVERTAKEN if isinstance(result, VersionMismatch) else _WriteResult.WRITTEN
+        )
 
     async def _archive(self, document: Document) -> Document:
         """Copy the oldest audit records to an archive key before removing them here."""
@@ -244,7 +246,7 @@
             document.audit[_ARCHIVE_BATCH_RECORDS:],
         )
         key = f"{AUDIT_PREFIX}{oldest[0].revision:012d}"
-        await self.platform.put(key, msgspec.json.encode(oldest), 0)
+        await self.store.put(key, msgspec.json.encode(oldest), 0)
         return msgspec.structs.replace(document, audit=rest)
 
 
--- a/tests/test_formats_own.py
+++ b/tests/test_formats_own.py
@@ -244,7 +244,7 @@
         self.problem(stale.operate(*drain), 409, "StaleStoreError")
         lost = OwnVm(Lost()).configure(DOCUMENT, 7)
         self.problem(lost.operate(*drain), 502, "WriteUnknownError")
-        vm.platform.down = True
+        vm.store.down = True
         self.problem(vm.operate(*drain), 503, "PlatformError")
 
     def test_a_call_without_token(self) -> None:
@@ -326,7 +326,7 @@
         metrics.answered(label, 0.01)
         metrics.answered(label, 0.02)
         metrics.refused(label, "no-room")
-        metrics.room(label, 0.25)
+        metrics.record_headroom(label, 0.25)
         metrics.drained("server:x", 1.5)
         self.assertEqual(json.dumps(metrics.report()), MEASURES)
         merged = merge_reports([metrics.report()])
