--- a/sprucewinch/gateway/requests/app.py
+++ b/sprucewinch/gateway/requests/app.py
@@ -86,7 +86,7 @@
         self.counters = counters or NoEvents()
         self.in_flight = 0
         self.stopping = False
-        self.giving_up = False
+        self.aborting = False
         self._serving: set[asyncio.Task] = set()
 
     @property
@@ -106,7 +106,7 @@
 
     def abort_all(self) -> None:
         """Answer every request that is still in flight now, as the process ends."""
-        self.giving_up = True
+        self.aborting = True
         for task in self._serving:
             task.cancel()
 
@@ -146,7 +146,7 @@
             exchange.request = request
             return refusal or await self._run_while_caller_stays(request, exchange.body, task)
         except asyncio.CancelledError:
-            if not self.giving_up:
+            if not self.aborting:
                 raise
             task.uncancel()
             exchange.request = request
--- a/tests/test_formats_crashes.py
+++ b/tests/test_formats_crashes.py
@@ -46,9 +46,9 @@
         self.assertEqual(decode_own(Item(KEY, ITEM, 1)), request())
 
     def test_an_item_that_cannot_be_read_names_its_field(self) -> None:
-        spoilt = ITEM.replace(b'"trials":1', b'"trials":"x"')
+        unreadable = ITEM.replace(b'"trials":1', b'"trials":"x"')
         with self.assertRaisesRegex(MalformedItemError, "trials"):
-            decode_own(Item(KEY, spoilt, 1))
+            decode_own(Item(KEY, unreadable, 1))
 
     def test_an_item_whose_names_are_no_digits_is_not_taken_up(self) -> None:
         for name, wrong in ((b'"0102"', b'"01x2"'), (b'"ff"', b'"fx"'), (b'"ff"', b'""')):
--- a/tests/test_soak_backend_servers.py
+++ b/tests/test_soak_backend_servers.py
@@ -69,7 +69,7 @@
 
 
 class UnreadableEntries(unittest.TestCase):
-    def test_a_server_writes_its_spoilt_entry_anew_while_it_runs(self) -> None:
+    def test_a_server_replaces_its_unreadable_entry_while_it_runs(self) -> None:
         async def main(loop: VirtualLoop) -> None:
             store = StoreStandIn(loop)
             servers = _servers(store)
