--- a/sprucewinch/gateway/regions/share_target.py
+++ b/sprucewinch/gateway/regions/share_target.py
@@ -2,7 +2,7 @@
 
 Question: which part of the callers of one service may run in which region, before the shift cap
 limits how fast that is reached. Owns nothing and has no state. Relies on `steering`: a `Policy`
-wants weights, the guard (`grant`) limits them.
+wants weights, the guard (`limit_shares`) limits them.
 
 Inputs: a snapshot (capacity in slots, load in requests, latency and distance in milliseconds, age
 of figures in seconds, demand in requests a second), the shares in force, the former target.
@@ -19,7 +19,7 @@
 
 from typing import NamedTuple, Optional
 
-from ...steering.guard import GuardLimits, grant
+from ...steering.guard import GuardLimits, limit_shares
 from ...steering.measures import Snapshot
 from ...steering.placement import Shares
 from ...steering.policy import Policy, PolicyFault
@@ -59,5 +59,5 @@
     wanted = policy.weights(snapshot)
     if isinstance(wanted, PolicyFault):
         return ShareTarget(former or current, (f"{_FAULT_NOTE}{wanted.problem}",))
-    granted = grant(wanted, current, snapshot, limits)
+    granted = limit_shares(wanted, current, snapshot, limits)
     return ShareTarget(granted.shares, granted.notes)
--- a/sprucewinch/gateway/regions/shares.py
+++ b/sprucewinch/gateway/regions/shares.py
@@ -24,7 +24,7 @@
 from ...steering.guard import GuardLimits
 from ...steering.measures import RegionMeasures, Snapshot
 from ...steering.placement import Shares, make_shares
-from ...steering.shift import ShiftCap, ShiftLimiter
+from ...steering.shift import ShiftLimit, ShiftLimiter
 from ..servers.backend_registry import BackendRegistry
 from .policies import PolicyTable
 from .region_reports import RegionReports
@@ -95,7 +95,7 @@
         self.regions = regions
         self.home = home
         self.order = tuple(dict.fromkeys(regions.values()))
-        self.cap = ShiftCap(shift_cap * _CAP_SAFETY, SHIFT_WINDOW_S, 0.0)
+        self.cap = ShiftLimit(shift_cap * _CAP_SAFETY, SHIFT_WINDOW_S, 0.0)
         self.limits = GuardLimits(planners=max(1, len(self.order)))
         self.limiters: dict[str, ShiftLimiter] = {}
         self.targets: dict[str, Shares] = {}
--- a/sprucewinch/gateway/requests/choice/server_order.py
+++ b/sprucewinch/gateway/requests/choice/server_order.py
@@ -73,7 +73,7 @@
             self._generation = self.registry.generation
             self._kept.clear()
         block = block_key(key, service)
-        region = self.shares.shares(service, now).region_at(block)
+        region = self.shares.shares(service, now).region_of(block)
         at = (service, key, f"{region}|{'|'.join(allowed)}")
         ranking = self._kept.get(at)
         if ranking is None:
--- a/sprucewinch/hall/in_force.py
+++ b/sprucewinch/hall/in_force.py
@@ -2,8 +2,8 @@
 
 `DocumentsInForce` owns the topology, the loaded policies and their labels. It relies on
 `DocumentReplica` to offer only newer documents, and hands a configuration to the admissions and a
-plan to `Steering`. A document that cannot be used changes nothing and is logged with its key and
-problem.
+plan to `SharesInForce`. A document that cannot be used changes nothing and is logged with its key
+and problem.
 """
 
 from typing import Optional
@@ -17,7 +17,7 @@
 from ..steering.policy import Policy, ProgramPolicy, shipped_policies
 from .metrics import Label
 from .own_entry import LineLog
-from .planning.steering import Plan, Steering
+from .planning.shares_in_force import Plan, SharesInForce
 from .planning.topology import Topology
 from .requests.admissions import HallAdmissions
 from .store.documents import CONFIGURATION_KEY, PLAN_PREFIX, Revisioned
@@ -28,7 +28,7 @@
 
     Args:
         admissions: Admissions of this VM's data hall.
-        steering: Receives the plans.
+        shares_in_force: Receives the plans.
         log: Called with a line for each configuration in force and each rejected document.
 
     Attributes:
@@ -36,9 +36,11 @@
         policies: Loaded policies by name.
     """
 
-    def __init__(self, admissions: HallAdmissions, steering: Steering, log: LineLog) -> None:
+    def __init__(
+        self, admissions: HallAdmissions, shares_in_force: SharesInForce, log: LineLog
+    ) -> None:
         self.admissions = admissions
-        self.steering = steering
+        self.shares_in_force = shares_in_force
         self.log = log
         self.topology: Optional[Topology] = None
         self.policies: dict[str, Policy] = {}
@@ -50,7 +52,7 @@
             if document.key == CONFIGURATION_KEY:
                 self._apply(decode_document(document.value), document.revision)
             elif document.key.startswith(PLAN_PREFIX):
-                self.steering.offer(msgspec.json.decode(document.value, type=Plan))
+                self.shares_in_force.set_plan(msgspec.json.decode(document.value, type=Plan))
             else:
                 return False
         except (ConfigurationError, PolicyError, msgspec.MsgspecError) as error:
--- a/sprucewinch/hall/node.py
+++ b/sprucewinch/hall/node.py
@@ -20,8 +20,8 @@
 from .peers.membership import Membership, member_id
 from .peers.peer_pb2 import JOINING, SERVING, Member
 from .planning.lookup import LookupTable
-from .planning.regions import RegionTables
-from .planning.steering import Steering
+from .planning.region_tables import RegionTables
+from .planning.shares_in_force import SharesInForce
 from .planning.topology import Topology
 from .requests.admissions import HallAdmissions
 from .requests.tickets import TicketTable
@@ -74,9 +74,9 @@
         self.entry = OwnEntry(self.membership, log)
         self.slots = SlotShare(member_id(self.own))
         self.admissions = HallAdmissions(settings.hall, self.slots, rng)
-        self.steering = Steering()
-        self.regions = RegionTables(settings.region, self.steering)
-        self.in_force = DocumentsInForce(self.admissions, self.steering, log)
+        self.shares_in_force = SharesInForce()
+        self.regions = RegionTables(settings.region, self.shares_in_force)
+        self.in_force = DocumentsInForce(self.admissions, self.shares_in_force, log)
         self.documents = DocumentReplica(self.in_force.accept)
         self.load = LoadReport(self.admissions, self.metrics, self.label)
         self.drains = DrainTimer(self.metrics, log)
--- a/sprucewinch/hall/planning/links.py
+++ b/sprucewinch/hall/planning/links.py
@@ -4,15 +4,15 @@
 number of entry VMs that share it and the time (monotonic seconds), and does no I/O.
 
 The limit is a token bucket whose rate is the link's limit divided by the number of entry VMs of the
-receiving region. The largest number seen within `HOLD_S` counts, so that a VM that learns of a new
-peer late, or drops one early, does not use the peer's part. Division needs no agreement between
-VMs; a shared counter would cost a call for each request. A request that finds no token is refused
-as `link-full`. The tests are in `tests.test_retry`.
+receiving region. The largest number seen within `COUNT_HOLD_S` counts, so that a VM that learns of
+a new peer late, or drops one early, does not use the peer's part. Division needs no agreement
+between VMs; a shared counter would cost a call for each request. A request that finds no token is
+refused as `link-full`. The tests are in `tests.test_retry`.
 """
 
 from collections import deque
 
-HOLD_S = 10.0
+COUNT_HOLD_S = 10.0
 """Time for which a larger number of entry VMs still counts: longer than the 3 s without a heartbeat
 after which a peer counts as gone."""
 
@@ -27,14 +27,14 @@
     """One entry VM's part of a link's limit: a token bucket with a part of the link's rate.
 
     Args:
-        hold_s: Time for which a larger number of entry VMs still counts, in seconds.
+        count_hold_s: Time for which a larger number of entry VMs still counts, in seconds.
         burst_s: Capacity of the bucket, as the time in seconds in which the rate fills it.
     """
 
-    __slots__ = ("_vm_counts", "_refilled_at", "_tokens", "burst_s", "hold_s", "rate_per_s")
+    __slots__ = ("_vm_counts", "_refilled_at", "_tokens", "burst_s", "count_hold_s", "rate_per_s")
 
-    def __init__(self, *, hold_s: float = HOLD_S, burst_s: float = BURST_S) -> None:
-        self.hold_s = hold_s
+    def __init__(self, *, count_hold_s: float = COUNT_HOLD_S, burst_s: float = BURST_S) -> None:
+        self.count_hold_s = count_hold_s
         self.burst_s = burst_s
         self.rate_per_s = 0.0
         self._vm_counts: deque[tuple[float, int]] = deque()
@@ -50,7 +50,7 @@
             now: Monotonic time, in seconds.
         """
         self._refill(now)
-        while self._vm_counts and self._vm_counts[0][0] < now - self.hold_s:
+        while self._vm_counts and self._vm_counts[0][0] < now - self.count_hold_s:
             self._vm_counts.popleft()
         while self._vm_counts and self._vm_counts[-1][1] <= sharers:
             self._vm_counts.pop()
@@ -58,7 +58,7 @@
         self.rate_per_s = limit_per_s / self._vm_counts[0][1]
         self._tokens = min(self._tokens, self._max_tokens())
 
-    def take(self, now: float) -> bool:
+    def take_token(self, now: float) -> bool:
         """Take the token of one request; return False when there is none."""
         self._refill(now)
         if self._tokens < _TOKENS_PER_REQUEST:
--- a/sprucewinch/hall/planning/lookup.py
+++ b/sprucewinch/hall/planning/lookup.py
@@ -1,8 +1,8 @@
 """Look-ups: which entry VMs a caller uses for a service, and in which order.
 
 Owns the encoded answers and a bounded cache of callers' keys; relies on `Topology` for regions and
-distances (milliseconds), on `Steering` for the shares in force, and on the caller for the VMs that
-serve. A new table is built when the configuration or the serving VMs change.
+distances (milliseconds), on `SharesInForce` for the shares in force, and on the caller for the VMs
+that serve. A new table is built when the configuration or the serving VMs change.
 
 The caller's address gives its client region and its block; the block's key and the shares give the
 region. The answer names VMs of that region first, rotated by a byte of the key so that blocks are
@@ -23,7 +23,7 @@
 from ...net.outcome import Reason, Refusal, not_run
 from ...steering.placement import block_key
 from ..peers.peer_pb2 import Member
-from .steering import Steering
+from .shares_in_force import SharesInForce
 from .topology import Topology
 
 MAX_ENTRY_VMS = 4
@@ -94,13 +94,15 @@
 
     Args:
         topology: The configuration in force.
-        steering: Shares in force at this VM.
+        shares_in_force: Shares in force at this VM.
         members: Entry VMs that callers may be sent to.
     """
 
-    def __init__(self, topology: Topology, steering: Steering, members: Sequence[Member]) -> None:
+    def __init__(
+        self, topology: Topology, shares_in_force: SharesInForce, members: Sequence[Member]
+    ) -> None:
         self.topology = topology
-        self.steering = steering
+        self.shares_in_force = shares_in_force
         self._by_region = self._entry_vms_by_region(members)
         self._answers: dict[tuple[str, str, str], list[bytes]] = {}
         self._keys: dict[tuple[str, str], tuple[str, bytes]] = {}
@@ -118,7 +120,7 @@
         place = self.place(client, service)
         if isinstance(place, Refusal):
             return place
-        self.steering.answered_regions.add(place.client_region)
+        self.shares_in_force.answered_regions.add(place.client_region)
         key = (place.client_region, service, place.region)
         answers = self._answers.get(key)
         if answers is None:
@@ -139,8 +141,8 @@
                 self._keys.clear()
             self._keys[(client, service)] = cached
         client_region, key = cached
-        shares = self.steering.shares(client_region, service)
-        return BlockPlacement(client_region, key, shares.region_at(key))
+        shares = self.shares_in_force.shares(client_region, service)
+        return BlockPlacement(client_region, key, shares.region_of(key))
 
     def _locate(self, client: str, service: str) -> Union[tuple[str, bytes], Refusal]:
         """Return a client's region and key, which change only with the configuration."""
--- a/sprucewinch/hall/planning/plan_rounds.py
+++ b/sprucewinch/hall/planning/plan_rounds.py
@@ -24,7 +24,7 @@
 from ..store.store_reader import StoreReader
 from .planner import Planner
 from .planner_lease import LEASE_DURATION_S, LeaseRenewal, is_candidate
-from .steering import Plan
+from .shares_in_force import Plan
 
 
 class PlanRounds:
@@ -115,13 +115,13 @@
         if entry is not None:
             newest = msgspec.json.decode(entry.value, type=Plan)
             self.reader.apply([entry])
-        followed = self.node.steering.plans.get(region)
+        followed = self.node.shares_in_force.plans.get(region)
         if followed is not None and (newest is None or followed.revision > newest.revision):
             newest = followed
         self.reader.versions[key] = entry.version if entry else 0
         self._planner = Planner(region, member_id(self.node.own))
         assert self.node.topology is not None
-        self._planner.adopt(newest, self.node.topology, self.clock.monotonic())
+        self._planner.start_from(newest, self.node.topology, self.clock.monotonic())
         log.state(f"event=planner region={region} plan={newest.revision if newest else 0}")
 
     async def _write_plan(self, key: str, plan: Plan) -> None:
--- a/sprucewinch/hall/planning/planner.py
+++ b/sprucewinch/hall/planning/planner.py
@@ -5,9 +5,9 @@
 seconds), and does no I/O: `plan_rounds` reads and writes the store.
 
 For each service, the policy turns the snapshot into weights; a policy that fails keeps the shares
-in force and is noted as a fault. The guard grants what free slots, links and drains allow. A change
-below `_DEAD_BAND` is dropped, unless callers leave a region entirely. The shift cap bounds the
-step, and a step counts against the cap once the store has confirmed its write.
+in force and is noted as a fault. The guard limits the shares to what free slots, links and drains
+allow. A change below `_DEAD_BAND` is dropped, unless callers leave a region entirely. The shift cap
+bounds the step, and a step counts against the cap once the store has confirmed its write.
 
 One planner for each client region costs at most one write a second. If each VM planned by itself,
 callers that ask two VMs would be sent back and forth (docs/DESIGN.md, "Who plans").
@@ -21,13 +21,13 @@
 from collections.abc import Mapping
 from typing import NamedTuple, Optional
 
-from ...steering.guard import GuardLimits, grant
+from ...steering.guard import GuardLimits, limit_shares
 from ...steering.measures import Snapshot
 from ...steering.placement import Shares, make_shares, moved_part
 from ...steering.policy import Policy, PolicyFault
 from ...steering.shift import ShiftLimiter
 from ._share_history import ShareHistory
-from .steering import Plan
+from .shares_in_force import Plan
 from .topology import Topology
 
 _DEAD_BAND = 0.005
@@ -78,7 +78,7 @@
         self.histories: dict[str, ShareHistory] = {}
         self.fault_counts: dict[str, int] = {}
 
-    def adopt(self, plan: Optional[Plan], topology: Topology, now: float) -> None:
+    def start_from(self, plan: Optional[Plan], topology: Topology, now: float) -> None:
         """Start from the plan that the store holds; the shift cap counts as spent now.
 
         Args:
@@ -136,9 +136,9 @@
             self.fault_counts[service] = self.fault_counts.get(service, 0) + 1
             wanted = current.as_dict()
         measured = self._with_history(service, topology, snapshot, current, now)
-        granted = grant(wanted, current, measured, guard_limits(topology))
-        target = current if _within_dead_band(current, granted.shares) else granted.shares
-        return _ServiceDraft(limiter.propose(target, now).as_dict(), granted.notes, fault)
+        limited = limit_shares(wanted, current, measured, guard_limits(topology))
+        target = current if _within_dead_band(current, limited.shares) else limited.shares
+        return _ServiceDraft(limiter.propose(target, now).as_dict(), limited.notes, fault)
 
     def confirm(self, plan: Plan, topology: Topology, now: float) -> None:
         """Record that the store has accepted a plan.
--- a/sprucewinch/hall/planning/regions.py
+++ b/sprucewinch/hall/planning/region_tables.py
@@ -1,7 +1,8 @@
 """Tables that follow the configuration and the serving VMs: look-ups and link allowances.
 
 Owns the look-up table and this VM's allowance on the link from each other region. Relies on
-`Steering` for the shares in force and on the caller for the topology, the members and the time.
+`SharesInForce` for the shares in force and on the caller for the topology, the members and the
+time.
 """
 
 from collections.abc import Sequence
@@ -11,7 +12,7 @@
 from ..peers.peer_pb2 import Member
 from .links import RateAllowance
 from .lookup import LookupTable
-from .steering import Steering
+from .shares_in_force import SharesInForce
 from .topology import Topology
 
 _RETRY_AFTER_MS = 1000
@@ -24,16 +25,16 @@
 
     Args:
         region: This VM's region.
-        steering: Shares in force here.
+        shares_in_force: Shares in force here.
 
     Attributes:
         lookups: Look-up table; None before the first configuration.
         link_allowances: Allowance on the link from each other region.
     """
 
-    def __init__(self, region: str, steering: Steering) -> None:
+    def __init__(self, region: str, shares_in_force: SharesInForce) -> None:
         self.region = region
-        self.steering = steering
+        self.shares_in_force = shares_in_force
         self.lookups: Optional[LookupTable] = None
         self.link_allowances: dict[str, RateAllowance] = {}
         self._serving_when_built: list[tuple[str, int, str]] = []
@@ -46,7 +47,7 @@
             serving: Entry VMs that callers may be sent to.
             now: Monotonic time, in seconds.
         """
-        self.steering.tick(topology, now)
+        self.shares_in_force.tick(topology, now)
         self._rebuild_lookups(topology, serving)
         sharers = sum(member.region == self.region for member in serving)
         for region in topology.order:
@@ -63,7 +64,7 @@
             or serving_keys != self._serving_when_built
         ):
             self._serving_when_built = serving_keys
-            self.lookups = LookupTable(topology, self.steering, serving)
+            self.lookups = LookupTable(topology, self.shares_in_force, serving)
 
     def lookup(self, client: str, service: str) -> Union[bytes, Refusal]:
         """Answer a look-up; see `LookupTable.answer`."""
@@ -79,4 +80,4 @@
         if from_region == self.region:
             return True
         allowance = self.link_allowances.get(from_region)
-        return allowance is None or allowance.take(now)
+        return allowance is None or allowance.take_token(now)
--- a/sprucewinch/hall/planning/steering.py
+++ b/sprucewinch/hall/planning/shares_in_force.py
@@ -43,7 +43,7 @@
     service: str
 
 
-class Steering:
+class SharesInForce:
     """Shares in force at this entry VM.
 
     Targets are computed when a plan or the configuration changes; a tick moves only the shares that
@@ -64,7 +64,7 @@
         self._topology: Optional[Topology] = None
         self._replanned: set[str] = set()
 
-    def offer(self, plan: Plan) -> None:
+    def set_plan(self, plan: Plan) -> None:
         """Store a newer plan of a client region; the next tick applies it."""
         self.plans[plan.client_region] = plan
         self._replanned.add(plan.client_region)
--- a/sprucewinch/hall/planning/topology.py
+++ b/sprucewinch/hall/planning/topology.py
@@ -11,7 +11,7 @@
 
 from ...config.configuration import Configuration, Document, Pool, Service, drain_key
 from ...steering.placement import BlockTable, Shares, make_shares
-from ...steering.shift import ShiftCap
+from ...steering.shift import ShiftLimit
 
 _UNLINKED_DISTANCE_MS = 1000.0
 """One-way distance between regions without a link: above that of any real link, so that such a
@@ -107,12 +107,12 @@
             return frozenset(servers)
         return frozenset(s for s in servers if drain_key("server", s) in self.drained)
 
-    def shift_limit(self, service: str) -> ShiftCap:
+    def shift_limit(self, service: str) -> ShiftLimit:
         """Return the shift cap of a service: its own, or else that of the configuration."""
         service_cap = self.services[service].shift_cap
         shift = self.configuration.shift
         cap = shift.cap if service_cap is None else service_cap
-        return ShiftCap(cap, shift.window_s, self.configuration.lookup.ttl_ms / 1000)
+        return ShiftLimit(cap, shift.window_s, self.configuration.lookup.ttl_ms / 1000)
 
     def shares_of(self, weights: Mapping[str, float], default: str) -> Shares:
         """Return shares over this configuration's regions.
--- a/sprucewinch/operators/report.py
+++ b/sprucewinch/operators/report.py
@@ -14,10 +14,10 @@
 from ..hall.peers.view import MeasuresView
 from ..hall.planning.lookup import first_entry_vm
 from ..hall.planning.planner import guard_limits
-from ..hall.planning.steering import Plan
+from ..hall.planning.shares_in_force import Plan
 from ..hall.planning.topology import Topology
 from ..net.outcome import Refusal
-from ..steering.guard import grant
+from ..steering.guard import limit_shares
 from ..steering.measures import Snapshot
 from ..steering.placement import Shares
 from ..steering.policy import PolicyFault
@@ -82,7 +82,7 @@
 def _largest_shares(node: Node, region: str) -> dict[str, float]:
     """Return the largest share that any client region still gives a region, by service."""
     left: dict[str, float] = {}
-    for key, limiter in node.steering.limiters.items():
+    for key, limiter in node.shares_in_force.limiters.items():
         share = limiter.current.share(region)
         left[key.service] = round(max(left.get(key.service, 0.0), share), _SHARE_DIGITS)
     return left
@@ -117,8 +117,10 @@
         "entry_vm": _entry_vm(node, block, service),
         "policy": node.topology.services[service].policy,
         "revision": node.revision,
-        **_plan_fields(node.steering.plans.get(place.client_region), service),
-        "regions": _region_rows(node.steering.shares(place.client_region, service), measured),
+        **_plan_fields(node.shares_in_force.plans.get(place.client_region), service),
+        "regions": _region_rows(
+            node.shares_in_force.shares(place.client_region, service), measured
+        ),
     }
 
 
@@ -192,12 +194,12 @@
     node: Node, topology: Topology, service: str, name: str, client_region: str, now: float
 ) -> dict[str, Any]:
     measured = MeasuresView(topology, node.membership, client_region, now).snapshot(service)
-    current: Shares = node.steering.shares(client_region, service)
+    current: Shares = node.shares_in_force.shares(client_region, service)
     wanted = node.policies[name].weights(measured)
     row: dict[str, Any] = {"policy": name, "client_region": client_region}
     if isinstance(wanted, PolicyFault):
         return {**row, "fault": wanted.problem}
-    granted = grant(wanted, current, measured, guard_limits(topology))
+    granted = limit_shares(wanted, current, measured, guard_limits(topology))
     total = sum(wanted.values())
     return {
         **row,
--- a/sprucewinch/steering/guard.py
+++ b/sprucewinch/steering/guard.py
@@ -16,9 +16,9 @@
 only delay that overload. The guard refuses no requests: the regions do that, as they know their
 slots exactly.
 
-The notes of `Granted` name the limits that took effect; `sprucewinch explain` and `compare` print
-them as `limits`, and `/state` of the routed path lists them by service. Nothing is logged, since a
-limit may take effect in every round. The tests are `tests.test_guard` (`GrantedShares`,
+The notes of `LimitedShares` name the limits that took effect; `sprucewinch explain` and `compare`
+print them as `limits`, and `/state` of the routed path lists them by service. Nothing is logged,
+since a limit may take effect in every round. The tests are `tests.test_guard` (`GrantedShares`,
 `NoDecisionOverloads`) and `tests.test_gateway_policies`.
 """
 
@@ -40,7 +40,7 @@
 
 _MIN_SLOT_S = 1e-4
 """Lower bound of the time for which a request is assumed to hold a slot. Without it, a region whose
-measured latency is 0 could be granted any number of requests."""
+measured latency is 0 could be given any number of requests."""
 
 
 class GuardLimits(NamedTuple):
@@ -62,11 +62,11 @@
     planners: int = 1
 
 
-class Granted(NamedTuple):
-    """The shares that the guard grants, and the limits that took effect.
+class LimitedShares(NamedTuple):
+    """The shares that the guard allows, and the limits that took effect.
 
     Args:
-        shares: Granted shares, before the shift cap.
+        shares: Shares within the limits, before the shift cap.
         notes: `limit:region` for each limit that took effect; the limit is `drained`, `stale`,
             `link`, `ceiling`, `headroom` or `warm-up`.
     """
@@ -75,10 +75,10 @@
     notes: tuple[str, ...]
 
 
-def grant(
+def limit_shares(
     wanted: Mapping[str, float], current: Shares, snapshot: Snapshot, limits: GuardLimits
-) -> Granted:
-    """Turn wanted weights into granted shares.
+) -> LimitedShares:
+    """Turn wanted weights into shares within the limits.
 
     Args:
         wanted: Weights by region from a policy; finite, 0 or more, not all 0.
@@ -87,7 +87,7 @@
         limits: Limits of the guard.
 
     Returns:
-        The granted shares and the limits that took effect.
+        The limited shares and the limits that took effect.
     """
     current_shares = current.as_dict()
     weights, drained = _without_unusable(_normalized(wanted, snapshot), current_shares, snapshot)
@@ -101,7 +101,7 @@
     fitted = _fit_to_bounds(
         weights, current_shares, {region: bound.share for region, bound in bounds.items()}
     )
-    return Granted(make_shares(snapshot.order, fitted), (*drained, *limited))
+    return LimitedShares(make_shares(snapshot.order, fitted), (*drained, *limited))
 
 
 def weights_problem(wanted: object, order: tuple[str, ...]) -> Optional[str]:
--- a/sprucewinch/steering/placement.py
+++ b/sprucewinch/steering/placement.py
@@ -81,7 +81,7 @@
         """Return the shares by region."""
         return dict(zip(self.regions, self.weights, strict=True))
 
-    def region_at(self, key: bytes) -> str:
+    def region_of(self, key: bytes) -> str:
         """Return the region of a block or object.
 
         Args:
--- a/sprucewinch/steering/shift.py
+++ b/sprucewinch/steering/shift.py
@@ -1,7 +1,7 @@
 """The shift cap: how fast callers of one service may be moved between regions.
 
 A `ShiftLimiter` decides how far the shares may go towards a target now. It takes the shares in
-force and the wanted ones, the monotonic time in seconds, and a `ShiftCap` (part of the callers,
+force and the wanted ones, the monotonic time in seconds, and a `ShiftLimit` (part of the callers,
 seconds). It owns the moves that it made within the last window and reads no clock.
 
 Within any window, plus the time for which callers cache answers, at most the cap moves; moves back
@@ -30,7 +30,7 @@
 callers after 80 rounds; with ten, and placement by rendezvous hashing, it was empty after 66."""
 
 
-class ShiftCap(NamedTuple):
+class ShiftLimit(NamedTuple):
     """The shift cap of one service.
 
     Args:
@@ -71,14 +71,16 @@
 
     __slots__ = ("_moves", "current", "limit")
 
-    def __init__(self, start: Shares, limit: ShiftCap, *, spent_at: Optional[float] = None) -> None:
+    def __init__(
+        self, start: Shares, limit: ShiftLimit, *, spent_at: Optional[float] = None
+    ) -> None:
         self.current = start
         self.limit = limit
         self._moves: deque[_Move] = deque()
         if spent_at is not None:
             self._moves.append(_Move(spent_at, limit.cap))
 
-    def set_limit(self, limit: ShiftCap) -> None:
+    def set_limit(self, limit: ShiftLimit) -> None:
         """Apply a changed cap at once; earlier moves still count.
 
         While earlier moves are kept, the window may only grow, so that none is dropped before its
@@ -86,7 +88,7 @@
         """
         if self._moves:
             window_s = max(limit.window_s, self.limit.window_s)
-            limit = ShiftCap(limit.cap, window_s, max(limit.ttl_s, self.limit.ttl_s))
+            limit = ShiftLimit(limit.cap, window_s, max(limit.ttl_s, self.limit.ttl_s))
         self.limit = limit
 
     def allowance(self, now: float) -> float:
@@ -151,7 +153,7 @@
     from rich.table import Table
 
     east, west = (make_shares(("east", "west"), {region: 1.0}) for region in ("east", "west"))
-    limiter = ShiftLimiter(east, ShiftCap(cap=0.25, window_s=10.0, ttl_s=2.0))
+    limiter = ShiftLimiter(east, ShiftLimit(cap=0.25, window_s=10.0, ttl_s=2.0))
     table = Table("second", "east", "west", title="a whole region moved under a cap of 25% in 10 s")
     for second in range(0, 60, 5):
         for tenth in range(50):
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -29,7 +29,7 @@
 )
 from sprucewinch.gateway.state.replica import Delta, Item, Removal
 from sprucewinch.gateway.state.store_view import StoreView
-from sprucewinch.hall.planning.steering import Plan
+from sprucewinch.hall.planning.shares_in_force import Plan
 from sprucewinch.hall.requests.tickets import TicketTable, parse_ticket
 from sprucewinch.hall.store.documents import (
     AUDIT_PREFIX,
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -8,7 +8,7 @@
 from sprucewinch.hall.planning import planner as planning
 from sprucewinch.hall.planning.planner import Planner
 from sprucewinch.hall.planning.topology import Topology
-from sprucewinch.steering.guard import GuardLimits, grant, weights_problem
+from sprucewinch.steering.guard import GuardLimits, limit_shares, weights_problem
 from sprucewinch.steering.measures import RegionMeasures, Snapshot
 from sprucewinch.steering.placement import make_shares
 from sprucewinch.steering.policy import Policy, PolicyFault
@@ -39,7 +39,7 @@
     at_home = make_shares(ORDER, {HOME: 1.0})
 
     def granted(self, wanted: dict, measured: Snapshot, limits: GuardLimits = LIMITS):
-        return grant(wanted, self.at_home, measured, limits)
+        return limit_shares(wanted, self.at_home, measured, limits)
 
     def test_wanted_shares_are_granted_when_slots_are_free(self) -> None:
         granted = self.granted({HOME: 8, OTHER: 1, THIRD: 1}, snapshot())
@@ -97,7 +97,7 @@
     )
     def test_shares_always_add_up(self, wanted, current, measures, demand) -> None:
         measured = snapshot(demand, **dict(zip(NAMES, measures, strict=True)))
-        shares = grant(wanted, make_shares(ORDER, current), measured, LIMITS).shares
+        shares = limit_shares(wanted, make_shares(ORDER, current), measured, LIMITS).shares
         self.assertAlmostEqual(sum(shares.as_dict().values()), 1.0)
         self.assertTrue(all(share >= -1e-9 for share in shares.as_dict().values()))
 
@@ -128,7 +128,7 @@
         self.now = 0.0
         self.planners = {c: Planner(c, "me") for c in ORDER}
         for planner in self.planners.values():
-            planner.adopt(None, self.topology, -60.0)
+            planner.start_from(None, self.topology, -60.0)
         self.policies = {c: _ScriptedPolicy() for c in ORDER}
         self.loads: deque[dict[str, float]] = deque(maxlen=lag + 1)
         self.most = self.load()
@@ -257,7 +257,7 @@
     def test_new_planner_moves_nothing_within_its_first_window(self) -> None:
         fleet = Fleet(500.0, 0)
         planner = fleet.planners[HOME]
-        planner.adopt(planner.confirmed, fleet.topology, 0.0)
+        planner.start_from(planner.confirmed, fleet.topology, 0.0)
         for _ in range(11):
             fleet.round([{OTHER: 1.0}] * 3)
         self.assertEqual(planner.limiters["rates"].current.share(HOME), 1.0)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -57,7 +57,7 @@
             for allowance, vm_count in zip(allowances, entry_vms, strict=True):
                 if step % 50 == 0:
                     allowance.renew(100.0, vm_count, now)
-                count += sum(allowance.take(now) for _ in range(5))
+                count += sum(allowance.take_token(now) for _ in range(5))
         return count
 
     def test_all_vms_together_keep_to_the_limit(self) -> None:
@@ -65,7 +65,7 @@
         self.assertLessEqual(self.count_taken(allowances, [4] * 4, 10), 100 * 10 + 4 * 25)
 
     def test_vm_that_sees_a_peer_go_waits_before_it_takes_more(self) -> None:
-        allowance = RateAllowance(hold_s=10.0)
+        allowance = RateAllowance(count_hold_s=10.0)
         allowance.renew(100.0, 4, 0.0)
         allowance.renew(100.0, 1, 5.0)
         self.assertEqual(allowance.rate_per_s, 25.0)
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
 from sprucewinch.steering.placement import Shares, block_key, make_shares, moved_part, step_towards
-from sprucewinch.steering.shift import ShiftCap, ShiftLimiter
+from sprucewinch.steering.shift import ShiftLimit, ShiftLimiter
 
 ORDER = ("east", "west", "north")
 WEIGHTS = st.fixed_dictionaries(
@@ -17,11 +17,11 @@
 deviations of that count."""
 
 SETTINGS = settings(max_examples=30, stateful_step_count=30, deadline=None)
-LIMIT = ShiftCap(cap=0.2, window_s=10.0, ttl_s=2.0)
+LIMIT = ShiftLimit(cap=0.2, window_s=10.0, ttl_s=2.0)
 
 
 def regions_of_blocks(shares: Shares) -> list[str]:
-    return [shares.region_at(key) for key in BLOCKS]
+    return [shares.region_of(key) for key in BLOCKS]
 
 
 def moved_fraction(old: list[str], new: list[str]) -> float:
--- a/tools/bench_core.py
+++ b/tools/bench_core.py
@@ -26,7 +26,7 @@
 from sprucewinch.hall.peers.peer_pb2 import ExchangeReply, ExchangeRequest
 from sprucewinch.hall.peers.view import MeasuresView
 from sprucewinch.hall.planning.planner import Planner
-from sprucewinch.hall.planning.steering import Steering
+from sprucewinch.hall.planning.shares_in_force import SharesInForce
 from sprucewinch.hall.planning.topology import Topology
 from sprucewinch.steering.placement import BlockTable
 from tools.synthetic import TARGET, TODAY, Size, client_blocks, configuration, member, node
@@ -169,7 +169,7 @@
         size = _sized(regions=52, halls=52, services=services, vms=104)
         made = node(size, blocks=False)
         planner = Planner("region-00", "me")
-        planner.adopt(None, made.topology, -60.0)
+        planner.start_from(None, made.topology, -60.0)
 
         def plan(made: Any = made, planner: Planner = planner) -> None:
             view = MeasuresView(made.topology, made.membership, "region-00", 0.0)
@@ -248,9 +248,9 @@
         made = node(size, blocks=False)
 
         def shares(made: Any = made) -> Any:
-            steering = Steering()
-            steering.tick(made.topology, 0.0)
-            return steering
+            shares_in_force = SharesInForce()
+            shares_in_force.tick(made.topology, 0.0)
+            return shares_in_force
 
         points.append((regions * services, memory_of(shares)))
     return fit("bytes of shares in force", "client regions x services", points)
