--- a/sprucewinch/daemon.py
+++ b/sprucewinch/daemon.py
@@ -107,7 +107,7 @@
         self.peer_listener = self._peer_listener()
         self.server_tasks: list[asyncio.Task] = []
         stop_signals = (signal.SIGTERM, signal.SIGINT)
-        self.signals = ProcessSignals(dict.fromkeys(stop_signals, self._signalled))
+        self.signals = ProcessSignals(dict.fromkeys(stop_signals, self._on_stop_signal))
 
     async def run(self) -> None:
         """Serve until a signal or a newer process ends the daemon, then finish all requests.
@@ -155,7 +155,7 @@
         while not all(server.started for server in self.servers.values()):
             await asyncio.sleep(_START_POLL_S)
 
-    def _signalled(self) -> None:
+    def _on_stop_signal(self) -> None:
         if self.stopping.is_set():
             log.state("event=stop-repeated note='already stopping; requests are finished first'")
         self.stopping.set()
--- a/sprucewinch/hall/peers/peer_server.py
+++ b/sprucewinch/hall/peers/peer_server.py
@@ -126,7 +126,7 @@
         ticket = parse_ticket(request.ticket or "")
         if tickets is None or ticket is None or not tickets.is_home(ticket):
             return unknown(Reason.TICKET_HOME_LOST)
-        return await self.dispatcher.enter(request, responder)
+        return await self.dispatcher.run(request, responder)
 
 
 class _FrameResponder(Responder):
--- a/sprucewinch/hall/requests/at_most_once.py
+++ b/sprucewinch/hall/requests/at_most_once.py
@@ -50,7 +50,7 @@
         self.clock = clock
         self.run = run
 
-    async def enter(self, request: Request, responder: Responder) -> Optional[Refusal]:
+    async def run_once(self, request: Request, responder: Responder) -> Optional[Refusal]:
         """Run an operation once, or answer as its earlier run was answered.
 
         Returns:
--- a/sprucewinch/hall/requests/callers.py
+++ b/sprucewinch/hall/requests/callers.py
@@ -215,7 +215,7 @@
 
         disconnect.add_done_callback(cancel)
         try:
-            return await self.dispatcher.enter(request, responder)
+            return await self.dispatcher.run(request, responder)
         except asyncio.CancelledError:
             if disconnect.done() and not disconnect.cancelled() and not responder.finished:
                 request_task.uncancel()
--- a/sprucewinch/hall/requests/dispatch.py
+++ b/sprucewinch/hall/requests/dispatch.py
@@ -43,7 +43,7 @@
         self.other_halls = OtherHalls(node, peers, clock, self.retries)
         self.retry_after_times = RetryAfterTimes(node, clock)
 
-    async def enter(self, request: Request, responder: Responder) -> Optional[Refusal]:
+    async def run(self, request: Request, responder: Responder) -> Optional[Refusal]:
         """Run a request of a caller, or one forwarded to this VM as the home of its ticket.
 
         Returns:
@@ -62,7 +62,7 @@
             return self.with_certain_outcome(not_run(Reason.NO_SUCH_SERVICE), request.ticket)
         if service.repeatable:
             return (await self._run_in_any_hall(request, responder)).refusal
-        return await self.at_most_once.enter(request, responder)
+        return await self.at_most_once.run_once(request, responder)
 
     def with_certain_outcome(self, refusal: Refusal, ticket: Optional[str]) -> Refusal:
         """Return a refusal whose outcome holds for the ticket, too; see `AtMostOnce`."""
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -63,7 +63,7 @@
 
 
 class FakeStore(Store):
-    """The platform's service in memory; `fault` is asked before and after every call."""
+    """The store in memory; `fault` is asked before and after every call."""
 
     def __init__(self) -> None:
         self.version = 0
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -148,7 +148,7 @@
     def __init__(self) -> None:
         self.returned = False
 
-    async def enter(self, request: Request, responder: Responder) -> None:
+    async def run(self, request: Request, responder: Responder) -> None:
         await responder.start(200, [("content-length", "2")])
         await responder.write(b"ok")
         await responder.finish()
--- a/tests/test_formats_own_lines.py
+++ b/tests/test_formats_own_lines.py
@@ -86,7 +86,7 @@
 
 def signal_to(running: Daemon) -> None:
     """Tell a daemon to stop."""
-    running._signalled()
+    running._on_stop_signal()
 
 
 class _Kept(logging.Handler):
