--- a/sprucewinch/gateway/regions/share_target.py
+++ b/sprucewinch/gateway/regions/share_target.py
@@ -2,9 +2,9 @@
 
 The target says which fraction of the callers of a service each region should serve; the shift cap
 then limits how fast it is reached (`shares`). The module has no state. It relies on `steering`: a
-`Policy` returns weights, and the guard (`grant`) limits them. Its inputs are the shares in force,
-the previous target and a snapshot: capacity in slots, load in requests, latency and distance in
-milliseconds, age of the measurements in seconds, demand in requests a second.
+`Policy` returns weights, and the guard (`limit_shares`) limits them. Its inputs are the shares in
+force, the previous target and a snapshot: capacity in slots, load in requests, latency and distance
+in milliseconds, age of the measurements in seconds, demand in requests a second.
 
 The policy in force turns the snapshot into weights, and the guard turns these into a target that no
 policy can override. If a policy fails, the previous target stays, or the shares in force if there
@@ -18,7 +18,7 @@
 
 from typing import NamedTuple, Optional
 
-from ...steering.guard import GuardLimits, grant
+from ...steering.guard import GuardLimits, limit_shares
 from ...steering.measures import Snapshot
 from ...steering.placement import Shares
 from ...steering.policy import Policy, PolicyFault
@@ -58,5 +58,5 @@
     wanted = policy.weights(snapshot)
     if isinstance(wanted, PolicyFault):
         return ShareTarget(previous_target or current, (f"{_FAULT_NOTE}{wanted.problem}",))
-    granted = grant(wanted, current, snapshot, limits)
+    granted = limit_shares(wanted, current, snapshot, limits)
     return ShareTarget(granted.shares, granted.notes)
--- a/sprucewinch/gateway/regions/shares.py
+++ b/sprucewinch/gateway/regions/shares.py
@@ -25,7 +25,7 @@
 from ...steering.guard import GuardLimits
 from ...steering.measures import RegionMeasures, Snapshot
 from ...steering.placement import Shares, make_shares
-from ...steering.shift import ShiftCap, ShiftLimiter
+from ...steering.shift import ShiftLimit, ShiftLimiter
 from ..servers.backend_registry import BackendRegistry
 from .policies import PolicyTable
 from .region_reports import RegionReports
@@ -97,7 +97,7 @@
         self.regions = regions
         self.home = home
         self.region_order = tuple(dict.fromkeys(regions.values()))
-        self.shift_cap = ShiftCap(shift_cap * _SHIFT_CAP_SAFETY_FACTOR, SHIFT_WINDOW_S, 0.0)
+        self.shift_cap = ShiftLimit(shift_cap * _SHIFT_CAP_SAFETY_FACTOR, SHIFT_WINDOW_S, 0.0)
         self.guard_limits = GuardLimits(planners=max(1, len(self.region_order)))
         self.limiters: dict[str, ShiftLimiter] = {}
         self.targets: dict[str, Shares] = {}
--- a/sprucewinch/operators/report.py
+++ b/sprucewinch/operators/report.py
@@ -14,10 +14,10 @@
 from ..hall.peers.view import MeasuresView
 from ..hall.planning.lookup import first_entry_vm
 from ..hall.planning.planner import guard_limits
-from ..hall.planning.steering import Plan
+from ..hall.planning.shares_in_force import Plan
 from ..hall.planning.topology import Topology
 from ..net.outcome import Refusal
-from ..steering.guard import grant
+from ..steering.guard import limit_shares
 from ..steering.measures import Snapshot
 from ..steering.placement import Shares
 from ..steering.policy import PolicyFault
@@ -95,7 +95,7 @@
 def _largest_shares_by_service(node: Node, region: str) -> dict[str, float]:
     """Return the largest share that any client region still sends to a region, by service."""
     largest_shares: dict[str, float] = {}
-    for key, limiter in node.steering.limiters.items():
+    for key, limiter in node.shares_in_force.limiters.items():
         share = limiter.current.share(region)
         largest_shares[key.service] = round(
             max(largest_shares.get(key.service, 0.0), share), _SHARE_DIGITS
@@ -132,8 +132,10 @@
         "entry_vm": _entry_vm(node, block, service),
         "policy": node.topology.services[service].policy,
         "revision": node.revision,
-        **_plan_fields(node.steering.plans.get(place.client_region), service),
-        "regions": _region_rows(node.steering.shares(place.client_region, service), snapshot),
+        **_plan_fields(node.shares_in_force.plans.get(place.client_region), service),
+        "regions": _region_rows(
+            node.shares_in_force.shares(place.client_region, service), snapshot
+        ),
     }
 
 
@@ -209,12 +211,12 @@
     node: Node, topology: Topology, service: str, name: str, client_region: str, now: float
 ) -> dict[str, Any]:
     snapshot = MeasuresView(topology, node.membership, client_region, now).snapshot(service)
-    current_shares: Shares = node.steering.shares(client_region, service)
+    current_shares: Shares = node.shares_in_force.shares(client_region, service)
     wanted_weights = node.policies[name].weights(snapshot)
     row: dict[str, Any] = {"policy": name, "client_region": client_region}
     if isinstance(wanted_weights, PolicyFault):
         return {**row, "fault": wanted_weights.problem}
-    granted = grant(wanted_weights, current_shares, snapshot, guard_limits(topology))
+    granted = limit_shares(wanted_weights, current_shares, snapshot, guard_limits(topology))
     total = sum(wanted_weights.values())
     return {
         **row,
