--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,6 +1,7 @@
-"""Stand-ins for the systems around sprucewinch, for tests, the demo and the soak.
+"""Stand-ins for the systems around sprucewinch, used by tests, the demo and the soak.
 
-Owns fakes of the store, the platform's service, backend servers and links, and a virtual clock.
-The product never imports it. For the platform read `consortium_store` and `scripted_server`, for
-the own interface `platform` and `backend`.
+The package holds fakes of the store, the platform's service, backend servers and network links, and
+an event loop on a virtual clock. The product never imports it. `consortium_store` and
+`scripted_server` stand in for the consortium's platform, `platform` and `backend` for the systems
+behind sprucewinch's own interface.
 """
--- a/standins/consortium_store.py
+++ b/standins/consortium_store.py
@@ -1,8 +1,8 @@
 """The consortium's metadata store in memory, with faults on demand.
 
-Behaves as the platform documents: one counter of revisions, listings in pages, watches that wait,
-changes under conditions, leases, and the ways in which it fails: down, slow, lost and late
-answers, forgotten history, machines that are turned away.
+The store behaves as the platform documents: one revision counter, paginated listings, long-polling
+watches, conditional transactions and leases. It can fail in the documented ways: unavailable, slow,
+answers lost or writes applied late, compacted history, and single clients refused.
 """
 
 import asyncio
@@ -17,23 +17,22 @@
 from .resets import reset
 
 PAGE = 500
-"""Most items of one page of a listing, as the platform documents."""
+"""Maximum number of items in one page of a listing, as the platform documents."""
 
 LATE_S = 2.0
-"""Seconds by which a late write is done later. A guess, never measured."""
+"""Seconds by which a write is delayed under `Fault.LATE`."""
 
-_LEASES = "/sprucewinch/kv-lease"
-_KEEP = "/sprucewinch/kv-keep/"
-_END = "/sprucewinch/kv-lease-end/"
+_LEASE_PATH = "/sprucewinch/kv-lease"
+_LEASE_RENEW_PREFIX = "/sprucewinch/kv-keep/"
+_LEASE_END_PREFIX = "/sprucewinch/kv-lease-end/"
 _MS_PER_S = 1000
-"""Milliseconds in a second."""
 
-_ANSWER_S = 0.004
-"""Seconds for one call without a fault. A guess, never measured."""
+_RESPONSE_TIME_S = 0.004
+"""Response time of one call without a fault, in seconds."""
 
 
 class Fault(enum.Enum):
-    """Fault of the store."""
+    """Fault that the store shows its clients."""
 
     NONE = "none"
     BUSY = "503 to all"
@@ -46,11 +45,11 @@
 
 
 class Lease:
-    """A lease that ends unless it is renewed.
+    """A lease that expires unless it is renewed.
 
     Args:
-        ttl_s: How long it lasts, in seconds.
-        timer: Ends it.
+        ttl_s: Time to live from the grant or the last renewal, in seconds.
+        timer: Revokes the lease when it expires.
     """
 
     __slots__ = ("timer", "ttl_s")
@@ -61,11 +60,11 @@
 
 
 class StoreStandIn:
-    """The store.
+    """The store: its items, history, leases and faults.
 
     Args:
-        loop: The loop, virtual or real.
-        page: Most items of one page.
+        loop: Event loop, virtual or real.
+        page: Maximum number of items in one page of a listing.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, *, page: int = PAGE) -> None:
@@ -86,12 +85,12 @@
         """Return the protocol of one connection, for a listener of the loop.
 
         Args:
-            machine: Name under which its calls meet faults of their own.
+            machine: Name of the client, by which `faults_by_machine` gives it a fault of its own.
         """
-        return _Call(self, machine)
+        return _StoreConnection(self, machine)
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write a value as the operator or a backend server would; returns its revision."""
+        """Write a value, as an operator or a backend server would, and return its revision."""
         self.revision += 1
         made = self.items.get(key, {"made": self.revision})["made"]
         text = base64.b64encode(value).decode()
@@ -103,17 +102,17 @@
             "lease": lease,
         }
         self.items[key] = item
-        self._tell(item)
+        self._append_event(item)
         return self.revision
 
     def remove(self, key: str) -> None:
         """Remove a key."""
         self.revision += 1
         del self.items[key]
-        self._tell({"TlsKey": key, "Revision": self.revision, "gone": True})
+        self._append_event({"TlsKey": key, "Revision": self.revision, "gone": True})
 
     def revoke(self, number: int) -> None:
-        """End a lease; its keys go with it."""
+        """End a lease and remove the keys that are attached to it."""
         lease = self.leases.pop(number, None)
         if lease is not None:
             lease.timer.cancel()
@@ -121,29 +120,29 @@
             self.remove(key)
 
     def forget(self) -> None:
-        """Drop the history; watches that wait are cut with 410."""
+        """Drop the event history; waiting watches are answered with status 410."""
         self.floor = self.revision
         self.events = []
-        self._wake()
+        self._notify_watches()
 
-    def _tell(self, event: dict[str, Any]) -> None:
+    def _append_event(self, event: dict[str, Any]) -> None:
         self.events.append(event)
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
     def fault_of(self, machine: str) -> Fault:
-        """Return the fault that a machine's calls meet."""
+        """Return the fault in force for a client: its own, or that of the whole store."""
         return self.faults_by_machine.get(machine, self.fault)
 
     async def answer(
         self, machine: str, method: str, path: str, query: dict[str, str], body: bytes
     ) -> Any:
-        """Return status and body of a call, or None for none."""
+        """Return the status and body of a call, or None if it gets no answer."""
         self.calls.append((path, query))
-        await asyncio.sleep(_ANSWER_S + self.slow_s)
+        await asyncio.sleep(_RESPONSE_TIME_S + self.slow_s)
         fault = self.fault_of(machine)
         if fault in (Fault.SILENT, Fault.RESET):
             return None
@@ -159,20 +158,20 @@
 
     def _write(self, fault: Fault, path: str, body: bytes) -> Any:
         if fault is Fault.LATE:
-            self.loop.call_later(LATE_S, self._carry_out, path, body)
+            self.loop.call_later(LATE_S, self._apply, path, body)
             return None
-        answer = self._carry_out(path, body)
+        answer = self._apply(path, body)
         return None if fault is Fault.LOST else answer
 
-    def _carry_out(self, path: str, body: bytes) -> tuple[int, dict[str, Any]]:
+    def _apply(self, path: str, body: bytes) -> tuple[int, dict[str, Any]]:
         if path == "/sprucewinch/kv-txn":
-            return self._change(msgspec.json.decode(body))
-        if path == _LEASES:
+            return self._transact(msgspec.json.decode(body))
+        if path == _LEASE_PATH:
             return self._grant(msgspec.json.decode(body)["ttl"])
-        if path.startswith(_KEEP):
-            return self._keep(int(path.removeprefix(_KEEP)))
-        if path.startswith(_END):
-            self.revoke(int(path.removeprefix(_END)))
+        if path.startswith(_LEASE_RENEW_PREFIX):
+            return self._renew(int(path.removeprefix(_LEASE_RENEW_PREFIX)))
+        if path.startswith(_LEASE_END_PREFIX):
+            self.revoke(int(path.removeprefix(_LEASE_END_PREFIX)))
             return 200, {}
         return 404, {}
 
@@ -184,7 +183,7 @@
         self.leases[number] = Lease(ttl_s, timer)
         return 200, {"lease": number, "ttl": ttl}
 
-    def _keep(self, number: int) -> tuple[int, dict[str, Any]]:
+    def _renew(self, number: int) -> tuple[int, dict[str, Any]]:
         lease = self.leases.get(number)
         if lease is None:
             return 404, {}
@@ -216,7 +215,7 @@
             except TimeoutError:
                 continue
 
-    def _change(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+    def _transact(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         for row in body["ExpectedRevision"]:
             held = self.items.get(row["TlsKey"])
             if (held["Revision"] if held else 0) != row["Revision"]:
@@ -231,8 +230,8 @@
         return 200, {"Revision": self.revision}
 
 
-class _Call(asyncio.Protocol):
-    """One connection at the store."""
+class _StoreConnection(asyncio.Protocol):
+    """Server side of one HTTP connection to the store."""
 
     def __init__(self, store: StoreStandIn, machine: str) -> None:
         self.store = store
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,7 +1,7 @@
-"""Stand-in for a link: a byte relay that can cut, reset, delay and freeze what goes through it.
+"""Stand-in for a network link: a TCP relay that can cut, reset, delay and freeze connections.
 
-Owns the connections on both sides and the faults of the link. Passes bytes on unchanged, an orderly
-end as an orderly end and a reset as a reset. Tests: `tests/test_standins_relay.py`.
+Owns the connections on both sides and the faults of the link. Forwards bytes unchanged, an end of
+stream as an end of stream and a reset as a reset. Its tests are in `tests/test_standins_relay.py`.
 """
 
 import asyncio
@@ -9,15 +9,15 @@
 from .resets import reset
 
 _PIECE_BYTES = 65_536
-"""Bytes that are passed on in one piece at most. A guess, never measured."""
+"""Maximum number of bytes forwarded in one piece."""
 
 
 class Relay:
-    """Relays connections from one loopback port to another.
+    """Relays TCP connections from one loopback port to another.
 
     Args:
-        port: Port that is listened on.
-        target: Port that is connected to.
+        port: Port on which the relay listens.
+        target: Port to which the relay connects.
     """
 
     def __init__(self, port: int, target: int) -> None:
@@ -28,14 +28,14 @@
         self.is_cut = False
         self.passed = 0
         self._writers: set[asyncio.StreamWriter] = set()
-        self._served: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task] = set()
         self._to_target = asyncio.Event()
         self._to_caller = asyncio.Event()
         self.thaw()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
     async def stop(self) -> None:
@@ -44,7 +44,7 @@
             self._server.close()
         self.cut()
         self.thaw()
-        await asyncio.gather(*self._served, return_exceptions=True)
+        await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def cut(self) -> None:
         """Close all connections and refuse new ones until `mend`."""
@@ -53,7 +53,7 @@
             writer.transport.abort()
 
     def refuse(self) -> None:
-        """Close all connections and listen no more, as when the process behind it has ended."""
+        """Close all connections and stop listening, as if the target process had ended."""
         if self._server is not None:
             self._server.close()
         self.cut()
@@ -63,16 +63,16 @@
         self.is_cut = False
 
     def reset(self) -> None:
-        """Reset all connections; new ones are accepted."""
+        """Reset all connections; new ones are still accepted."""
         for writer in list(self._writers):
             reset(writer.transport)
 
     def freeze(self, *, to_target: bool = True, to_caller: bool = True) -> None:
-        """Hold back bytes until `thaw`; connections stay open.
+        """Hold bytes back until `thaw`; connections stay open.
 
         Args:
-            to_target: Hold back what goes to the target.
-            to_caller: Hold back what comes from there.
+            to_target: Hold back bytes sent to the target.
+            to_caller: Hold back bytes sent by the target.
         """
         if to_target:
             self._to_target.clear()
@@ -80,15 +80,15 @@
             self._to_caller.clear()
 
     def thaw(self) -> None:
-        """Let bytes through again."""
+        """Forward bytes again, those held back first."""
         self._to_target.set()
         self._to_caller.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._served.add(task)
-        task.add_done_callback(self._served.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         if self.is_cut:
             writer.transport.abort()
             return
--- a/standins/resets.py
+++ b/standins/resets.py
@@ -1,7 +1,7 @@
-"""Resets of connections.
+"""Connection resets.
 
-Closing a real socket ends its connection in order, so a reset has to be asked for. Owns how that is
-done for real sockets and for connections in memory; used by all stand-ins.
+Closing a real socket ends its connection with a FIN, so a reset has to be requested explicitly.
+This module does so for real sockets and for connections in memory; all stand-ins use it.
 """
 
 import asyncio
@@ -10,18 +10,18 @@
 import struct
 
 _LINGER_NONE = struct.pack("ii", 1, 0)
-"""Socket option that discards unsent bytes: on, for 0 s."""
+"""`SO_LINGER` switched on with a time of 0 s: closing discards unsent bytes and sends a reset."""
 
 
 def reset(transport: asyncio.WriteTransport) -> None:
-    """Reset a connection, so that its peer does not take it for an orderly end.
+    """Reset a connection, so that its peer sees an error instead of an end of stream.
 
     Args:
-        transport: Its own end; one in memory is aborted.
+        transport: The local end; a connection in memory is only aborted.
     """
     raw = transport.get_extra_info("socket")
     if raw is not None:
-        # Silence is right: the option fails only on a socket that is already closed.
+        # The option fails only on a socket that is already closed, so the error is ignored.
         with contextlib.suppress(OSError):
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NONE)
     transport.abort()
--- a/tests/test_standins_relay.py
+++ b/tests/test_standins_relay.py
@@ -1,4 +1,4 @@
-"""The relay: what it does to a real connection is what its name says."""
+"""Tests of the relay's faults on real connections: freeze, reset, cut and mend."""
 
 import asyncio
 import contextlib
@@ -8,7 +8,7 @@
 
 
 class RelayCase(unittest.IsolatedAsyncioTestCase):
-    """A server that echoes lines, behind a relay."""
+    """A server that echoes lines, reached through a relay."""
 
     async def asyncSetUp(self) -> None:
         self.server = await asyncio.start_server(self._echo, "127.0.0.1", 0)
@@ -20,19 +20,19 @@
         self.relay = Relay(port, target)
         await self.relay.start()
         self.addAsyncCleanup(self.relay.stop)
-        self.heard: list[bytes] = []
+        self.received: list[bytes] = []
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
         self.addCleanup(self.writer.close)
 
     async def _echo(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError):
             while line := await reader.readline():
-                self.heard.append(line)
+                self.received.append(line)
                 writer.write(line)
         writer.close()
 
-    async def _said(self) -> bytes:
-        """Say a line; returns what comes back, or nothing when nothing comes soon."""
+    async def _echoed(self) -> bytes:
+        """Send a line and return its echo, or nothing if none arrives within 0.3 s."""
         self.writer.write(b"line\n")
         try:
             async with asyncio.timeout(0.3):
@@ -41,22 +41,22 @@
             return b""
 
     async def test_bytes_pass_both_ways(self) -> None:
-        self.assertEqual(await self._said(), b"line\n")
+        self.assertEqual(await self._echoed(), b"line\n")
 
     async def test_a_frozen_relay_holds_bytes_until_it_thaws(self) -> None:
         self.relay.freeze()
-        self.assertEqual((await self._said(), self.heard), (b"", []))
+        self.assertEqual((await self._echoed(), self.received), (b"", []))
         self.relay.thaw()
         async with asyncio.timeout(5):
             self.assertEqual(await self.reader.readline(), b"line\n")
 
     async def test_one_way_frozen_lets_the_other_way_pass(self) -> None:
-        await self._said()
+        await self._echoed()
         self.relay.freeze(to_target=False)
-        self.assertEqual((await self._said(), len(self.heard)), (b"", 2))
+        self.assertEqual((await self._echoed(), len(self.received)), (b"", 2))
 
     async def test_a_reset_is_no_orderly_end(self) -> None:
-        await self._said()
+        await self._echoed()
         self.relay.reset()
         with self.assertRaises(ConnectionResetError):
             async with asyncio.timeout(5):
@@ -71,7 +71,7 @@
         self.relay.mend()
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.addCleanup(self.writer.close)
-        self.assertEqual(await self._said(), b"line\n")
+        self.assertEqual(await self._echoed(), b"line\n")
 
 
 if __name__ == "__main__":
--- a/tests/test_standins_store.py
+++ b/tests/test_standins_store.py
@@ -1,4 +1,4 @@
-"""The store's stand-in against the consortium's pages: leases, conditions, history."""
+"""Tests that the store's stand-in keeps to the consortium's pages: leases, conditions, history."""
 
 import asyncio
 import base64
@@ -16,7 +16,7 @@
 
 
 class Client:
-    """Calls a stand-in without a network."""
+    """Calls the stand-in directly, without a network."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.store = StoreStandIn(loop)
@@ -26,7 +26,7 @@
         return await self.store.answer("", "POST", f"/sprucewinch/{path}", {}, body)
 
     async def write(self, key: str, *, expected: int | None = None, lease: int = 0) -> int:
-        """Write a key; returns the status."""
+        """Write a key and return the HTTP status."""
         rows = [] if expected is None else [{"TlsKey": key, "Revision": expected}]
         put = [{"TlsKey": key, "Value": _text(b"x"), "lease": lease}]
         table = {"ExpectedRevision": rows, "put": put, "Remove": []}
