--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,8 +1,8 @@
-"""Stand-in for backend servers of the own interface: slots, cold start, leaving, record of runs.
+"""Stand-in for backend servers of sprucewinch's own interface.
 
-Owns servers that read, work and answer with a digest of what arrived, so that callers can check
-each answer. The record of runs is read over HTTP under `/stand-in/`. Several servers share
-a process.
+Each server has slots, a cold start and a leaving state. It reads a request, works for a while and
+answers with a digest of what arrived, so that callers can check each answer. Tests read the record
+of runs over HTTP under `/stand-in/`. Several servers share a process.
 """
 
 import asyncio
@@ -15,25 +15,24 @@
 import fire
 from aiohttp import web
 
-_PROBE_S = 0.001
-"""Seconds for an answer about load. A guess, never measured."""
+_PROBE_RESPONSE_S = 0.001
+"""Response time of a load probe, in seconds."""
 
 _PIECE_BYTES = 65_536
-"""Bytes that are read or written in one piece. A guess, never measured."""
+"""Maximum number of bytes read or written in one piece."""
 
 _MS_PER_S = 1000
-"""Milliseconds in a second."""
 
 
 class BackendStandIn:
     """One backend server.
 
     Args:
-        name: Its name.
-        slots: Requests it runs at once.
-        work_ms: Mean time of one request.
-        cold_s: Time after its start in which it is slower.
-        seed: Seed of its times.
+        name: Name of the server, which is also its address.
+        slots: Number of requests that run at once.
+        work_ms: Mean time of one request, in milliseconds.
+        cold_s: Time after the start in which requests take twice as long, in seconds.
+        seed: Seed of the random request times.
     """
 
     def __init__(
@@ -54,33 +53,33 @@
         self.in_use = 0
         self.most_in_use = 0
         self.leaving = False
-        self.lie: Any = None
+        self.reported_in_use: Any = None
         self.runs: Counter[str] = Counter()
         self.counters: Counter[str] = Counter()
 
     def app(self) -> web.Application:
-        """Return the web application."""
+        """Return the web application with the server's routes."""
         app = web.Application(client_max_size=0)
         app.add_routes(
             [
                 web.get("/load", self.load),
                 web.get("/stand-in/runs", self.show_runs),
                 web.post("/stand-in/leaving", self.set_leaving),
-                web.post("/stand-in/lie", self.set_lie),
+                web.post("/stand-in/lie", self.set_reported_load),
                 web.route("*", "/{path:.*}", self.run),
             ]
         )
         return app
 
     async def load(self, _request: web.Request) -> web.Response:
-        """Report load; may lie."""
-        await asyncio.sleep(_PROBE_S)
-        in_use = self.in_use if self.lie is None else self.lie
+        """Report the requests in progress, or the value that overrides them."""
+        await asyncio.sleep(_PROBE_RESPONSE_S)
+        in_use = self.in_use if self.reported_in_use is None else self.reported_in_use
         return web.json_response({"leaving": self.leaving, "in_use": in_use})
 
     async def run(self, request: web.Request) -> web.StreamResponse:
-        """Run one request: read its body, work, and answer with a digest of what arrived."""
-        refused = self._refusal()
+        """Run one request; refuse it with status 503 when leaving or without a free slot."""
+        refused = self._refusal_reason()
         if refused:
             self.counters[refused] += 1
             headers = {"sprucewinch-not-run": refused}
@@ -92,7 +91,7 @@
         finally:
             self.in_use -= 1
 
-    def _refusal(self) -> str:
+    def _refusal_reason(self) -> str:
         if self.leaving:
             return "leaving"
         return "shed" if self.in_use >= self.slots else ""
@@ -140,7 +139,7 @@
         return response
 
     async def show_runs(self, _request: web.Request) -> web.Response:
-        """Return how often each operation ran, and counters."""
+        """Return how often each operation ran, the counters and the slots in use."""
         counts = {
             "runs": dict(self.runs),
             "counters": dict(self.counters),
@@ -150,18 +149,18 @@
         return web.json_response(counts)
 
     async def set_leaving(self, request: web.Request) -> web.Response:
-        """Begin or end leaving."""
+        """Set or clear the leaving state."""
         self.leaving = bool((await request.json())["leaving"])
         return web.json_response({})
 
-    async def set_lie(self, request: web.Request) -> web.Response:
-        """Set the load that is reported; null for the truth."""
-        self.lie = (await request.json())["in_use"]
+    async def set_reported_load(self, request: web.Request) -> web.Response:
+        """Override the reported load; null reports the actual load again."""
+        self.reported_in_use = (await request.json())["in_use"]
         return web.json_response({})
 
 
 async def start(standins: list[BackendStandIn]) -> list[web.AppRunner]:
-    """Start backend servers, each on the address that is its name."""
+    """Start backend servers, each listening on the address in its name."""
     runners = []
     for standin in standins:
         host, _, port = standin.name.rpartition(":")
@@ -173,7 +172,7 @@
 
 
 def parse_pools(text: str, seed: int) -> list[BackendStandIn]:
-    """Return backend servers from `work_ms,slots,address,address...`, joined by `|`."""
+    """Return the backend servers of pools `work_ms,slots,address,address...`, joined by `|`."""
     standins = []
     for pool in filter(None, text.split("|")):
         work_ms, slots, *addresses = pool.split(",")
@@ -188,8 +187,8 @@
     """Run backend servers on loopback, several in one process.
 
     Args:
-        pools: Servers, as `parse_pools` takes them.
-        seed: Seed of the times.
+        pools: Pools in the format of `parse_pools`.
+        seed: Seed of the random request times.
     """
 
     async def run() -> None:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,8 @@
-"""Stand-in for the service that the own interface needs: values, leases, watches, list of VMs.
+"""Stand-in for the platform service behind sprucewinch's own interface.
 
-Owns the service in memory, its rate limits, and faults that tests set over HTTP under `/stand-in/`.
-The consortium's store is another one: see `consortium_store`.
+Serves values, leases, watches and the list of VMs from memory, and applies rate limits and the
+faults that tests set over HTTP under `/stand-in/`. The consortium's store is a different service:
+see `consortium_store`.
 """
 
 import asyncio
@@ -13,10 +14,10 @@
 from aiohttp import web
 
 _RATE_WINDOW_S = 1.0
-"""Seconds over which calls are counted against the limits, which are a second's."""
+"""Window of the rate limits, in seconds: the limits are per second."""
 
 _MAX_BODY_BYTES = 2 << 20
-"""Largest body of a call, in bytes: above the megabyte that a value may have."""
+"""Maximum body size of a call, in bytes; above the 1 MB that a value may have."""
 
 
 class _Value:
@@ -32,8 +33,8 @@
 
     Args:
         vms: Rows of the list of VMs.
-        writes_per_s: Writes allowed in a second.
-        reads_per_s: Reads allowed in a second; a waiting watch counts as one.
+        writes_per_s: Rate limit of writes, in calls a second.
+        reads_per_s: Rate limit of reads, in calls a second; a watch counts as one read.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         self.changed = asyncio.Condition()
 
     def app(self) -> web.Application:
-        """Return the web application."""
+        """Return the web application with the service's routes."""
         app = web.Application(client_max_size=_MAX_BODY_BYTES)
         app.add_routes(
             [
@@ -74,7 +75,7 @@
         return app
 
     async def _admit(self, kind: str) -> None:
-        """Count a call, and apply outage, slowness and the rate limit."""
+        """Count a call, and apply the outage, the delay and the rate limit in force."""
         self.calls[kind] += 1
         if self.faults.get("down"):
             raise web.HTTPServiceUnavailable(text="{}")
@@ -95,7 +96,7 @@
         return web.json_response(self._row(key))
 
     async def put(self, request: web.Request) -> web.Response:
-        """Write one value by compare-and-swap."""
+        """Write one value if its version is the expected one, else answer with status 409."""
         await self._admit("write")
         key = request.match_info["key"]
         expected = int(request.query["expected"])
@@ -116,7 +117,7 @@
         return web.json_response({"version": self.version})
 
     async def watch(self, request: web.Request) -> web.Response:
-        """Wait for newer values under a prefix."""
+        """Return newer values under a prefix, waiting up to `wait_s` seconds for one."""
         await self._admit("read")
         prefix, after = request.query["prefix"], int(request.query["after"])
         wait_s = float(request.query["wait_s"])
@@ -139,7 +140,7 @@
         return {"key": key, "version": held.version, "value": value}
 
     async def lease(self, request: web.Request) -> web.Response:
-        """Take or renew a lease."""
+        """Grant or renew a lease, unless another holder has it."""
         await self._admit("write")
         name, holder = request.match_info["name"], request.query["holder"]
         now = time.monotonic()
@@ -150,7 +151,7 @@
         return web.json_response({"held": held})
 
     async def release(self, request: web.Request) -> web.Response:
-        """Give a lease up."""
+        """Release a lease if the caller holds it."""
         await self._admit("write")
         name = request.match_info["name"]
         if self.leases.get(name, ("", 0.0))[0] == request.query["holder"]:
@@ -175,7 +176,7 @@
         return web.json_response({})
 
     async def rewind(self, request: web.Request) -> web.Response:
-        """Show an older value of a key, as a service does that was restored from a copy."""
+        """Serve an older value of a key, as after a restore from a backup."""
         key = request.query["key"]
         older = self.history[key][-1 - int(request.query["steps"])]
         self.version += 1
@@ -183,7 +184,7 @@
         return web.json_response({})
 
     async def show_calls(self, _request: web.Request) -> web.Response:
-        """Return how many calls there were."""
+        """Return the number of calls, by kind."""
         return web.json_response(self.calls)
 
 
@@ -191,7 +192,7 @@
     """Run the stand-in on loopback.
 
     Args:
-        port: Port.
+        port: Port to listen on.
         vms: Peer addresses of entry VMs, separated by semicolons.
     """
     addresses = [address for address in vms.split(";") if address]
--- a/standins/scripted_server.py
+++ b/standins/scripted_server.py
@@ -1,8 +1,8 @@
-"""A backend server in memory that answers as a script says.
+"""A scripted backend server in memory.
 
-Owns one incarnation with its runs, and the script of its spoilt answers. Speaks HTTP/1.1 as the
-consortium's platform documents its backend servers: slots, ids of
-incarnations, answers that say that a request did not run, and every kind of spoilt answer.
+Owns one incarnation with the requests that it ran, and the script of its defective answers. Speaks
+HTTP/1.1 as the consortium's platform documents its backend servers: slots, incarnation ids, answers
+that say that a request was not run, and every kind of defective answer.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class Spoil(enum.Enum):
-    """How an answer is spoilt."""
+    """Defect of an answer."""
 
     NONE = "none"
     TWICE = "a second answer right after it"
@@ -35,14 +35,15 @@
 
 
 class Run:
-    """One request that was run.
+    """One request that the server ran.
 
     Args:
-        request_id: Its id.
+        request_id: Id of the request.
         method: HTTP method.
         target: Path and query.
-        body: Its body.
-        at: Virtual time, in seconds.
+        body: Body of the request.
+        headers: Headers of the request, by lower-case name.
+        at: Time of the loop when the run began, in seconds.
     """
 
     __slots__ = ("at", "body", "headers", "method", "request_id", "target")
@@ -59,15 +60,15 @@
 
 
 class Answered(NamedTuple):
-    """One answer, and what the server stated of itself in it.
+    """One answer, and what the server stated about itself in it.
 
     Args:
-        at: When it was written, in seconds.
-        request_id: The request.
+        at: Time of the loop when the answer was written, in seconds.
+        request_id: Id of the request.
         status: HTTP status.
-        limit_per_s: Requests a second that it takes; None for no limit.
-        leaving: True when it leaves.
-        rest_s: Rest that it asked for, in seconds; None for none.
+        limit_per_s: Stated limit in requests a second; None for no limit.
+        leaving: True when the server stated that it is leaving.
+        rest_s: Stated `Retry-After`, in seconds; None if the answer had none.
     """
 
     at: float
@@ -82,18 +83,19 @@
     """One incarnation of a backend server.
 
     Args:
-        loop: The loop, virtual or real.
-        server_id: Its id.
+        loop: Event loop, virtual or real.
+        server_id: Id of the incarnation.
         work_s: Time of one run, in seconds.
-        slots: Requests that it runs at once; beyond, it refuses.
+        slots: Number of requests that run at once; further ones are refused as not run.
 
     Attributes:
-        arrived: When each request arrived, and its id.
-        answered: All its answers.
-        says: Headers that it adds to all its answers, those to probes too.
-        turns_away: Returns whether it turns the next request away, with `rest` as Retry-After.
-        turns_probes_away: True when it does so with probes.
-        rest: What it asks for then; empty for none.
+        arrived: Arrival time and id of each request.
+        answered: All answers that the server wrote.
+        says: Headers added to every answer, those to probes included.
+        turns_away: Returns True to refuse the next request with status 503 and `rest` as
+            `Retry-After`.
+        turns_probes_away: True to refuse probes in the same way.
+        rest: Value of `Retry-After` in those refusals; empty for none.
     """
 
     def __init__(
@@ -118,7 +120,7 @@
         self.cancelled = 0
         self.answer_bytes = b"the whole answer"
         self.answer_of: Optional[Callable[[Run], bytes]] = None
-        self.on_run: Callable[[Run], None] = _nothing
+        self.on_run: Callable[[Run], None] = _ignore_run
         self.cold_ms: Optional[int] = None
         self.cold_until = 0.0
         self.cold_factor = 2.0
@@ -126,46 +128,46 @@
         self.turns_probes_away = False
         self.misdirected_not_run = False
         self.says: dict[str, str] = {}
-        self.turns_away: Callable[[], bool] = _never
+        self.turns_away: Callable[[], bool] = _refuse_none
         self.rest = ""
         self.open: set[asyncio.Transport] = set()
 
     def accept(self) -> asyncio.Protocol:
         """Return the protocol of one connection, for a listener of the loop."""
-        return _Served(self)
+        return _ServerConnection(self)
 
     def answer_to(self, run: Run) -> bytes:
         """Return the body of a run's answer."""
         return self.answer_bytes if self.answer_of is None else self.answer_of(run)
 
     def note_answer(self, request_id: str, status: int, *, rests: bool) -> None:
-        """Keep an answer with what it states."""
+        """Record an answer together with what it states."""
         limit = self.says.get("Server-Limit")
         answer = Answered(
             self.loop.time(),
             request_id,
             status,
-            _number(limit),
+            _parse_number(limit),
             self.says.get("Server-Leaving") == "1",
-            _number(self.rest) if rests else None,
+            _parse_number(self.rest) if rests else None,
         )
         self.answered.append(answer)
 
     def next_spoil(self) -> Spoil:
-        """Return how the next answer is spoilt."""
+        """Take the next defect from the script; `Spoil.NONE` when the script is used up."""
         return self.spoils.pop(0) if self.spoils else Spoil.NONE
 
     def turn_cold(self, seconds: float) -> None:
-        """Be slow for some seconds, as after a start, and say so when asked."""
+        """Be slow for some seconds, as after a start, and report the time left to probes."""
         self.cold_until = self.loop.time() + seconds
 
-    def cold_left_ms(self) -> Optional[int]:
-        """Return what it says of its warm-up; None when it says nothing."""
+    def warmup_left_ms(self) -> Optional[int]:
+        """Return the warm-up time reported to probes, in milliseconds; None to report nothing."""
         left = max(0.0, self.cold_until - self.loop.time())
         return int(left * 1000) if left else self.cold_ms
 
     def work_now_s(self) -> float:
-        """Return the time of a run that begins now, in seconds."""
+        """Return the duration of a run that begins now, in seconds."""
         cold = self.loop.time() < self.cold_until
         return self.work_s * (self.cold_factor if cold else 1.0)
 
@@ -175,29 +177,29 @@
             reset(transport)
 
 
-def _number(text: Optional[str]) -> Optional[float]:
-    """Return a decimal number; None for a text that is none."""
+def _parse_number(text: Optional[str]) -> Optional[float]:
+    """Return the decimal number in a text, or None if it is none."""
     return float(text) if text and text.replace(".", "", 1).isdigit() else None
 
 
-def _never() -> bool:
-    """Turn no request away."""
+def _refuse_none() -> bool:
+    """Refuse no request."""
     return False
 
 
-def _nothing(_run: Run) -> None:
+def _ignore_run(_run: Run) -> None:
     """Do nothing when a run begins."""
 
 
-class _Served(asyncio.Protocol):
-    """One connection at a scripted server."""
+class _ServerConnection(asyncio.Protocol):
+    """Server side of one HTTP connection to a scripted server."""
 
     def __init__(self, server: ScriptedServer) -> None:
         self.server = server
         self.parser = httptools.HttpRequestParser(self)
         self.transport: Optional[asyncio.Transport] = None
         self.task: Optional[asyncio.Task] = None
-        self.owed = b""
+        self.delayed_answer = b""
         self._begin()
 
     def _begin(self) -> None:
@@ -232,15 +234,15 @@
     def on_message_complete(self) -> None:
         if self.target == HEALTH_PATH.encode():
             self._begin()
-            self._tell_health()
+            self._answer_probe()
             return
-        self._take_request()
+        self._handle_request()
 
-    def _tell_health(self) -> None:
+    def _answer_probe(self) -> None:
         server = self.server
         server.probes += 1
         extra = f"X-Instance-Id: {server.server_id}\r\n"
-        left_ms = server.cold_left_ms()
+        left_ms = server.warmup_left_ms()
         if left_ms is not None:
             extra += f"X-Warmup-Remaining-Ms: {left_ms}\r\n"
         if server.turns_probes_away:
@@ -248,7 +250,7 @@
             return
         self._write(200, "", b"", extra=extra)
 
-    def _take_request(self) -> None:
+    def _handle_request(self) -> None:
         server = self.server
         server.arrivals.append(server.loop.time())
         request_id = self.headers.get("x-request-id", "")
@@ -291,14 +293,14 @@
         assert self.transport is not None
         body = self.server.answer_to(run)
         whole = self._encode(200, run.request_id, body)
-        owed, self.owed = self.owed, b""
+        delayed_answer, self.delayed_answer = self.delayed_answer, b""
         if spoil is Spoil.NONE:
-            self.transport.write(owed + whole)
+            self.transport.write(delayed_answer + whole)
         elif spoil is Spoil.TWICE:
-            self.transport.write(owed + whole + whole)
+            self.transport.write(delayed_answer + whole + whole)
         elif spoil is Spoil.TWICE_LATE:
-            self.transport.write(owed + whole)
-            self.owed = whole
+            self.transport.write(delayed_answer + whole)
+            self.delayed_answer = whole
         elif spoil is Spoil.FAILED:
             self.transport.write(self._encode(500, run.request_id, b"it failed"))
         elif spoil is Spoil.UNSIGNED:
@@ -308,9 +310,9 @@
         elif spoil is Spoil.NOT_HTTP:
             self.transport.write(b"\x00\x01 this is no answer\r\n\r\n")
         else:
-            self._break_off(run, spoil, whole)
+            self._answer_and_disconnect(run, spoil, whole)
 
-    def _break_off(self, run: Run, spoil: Spoil, whole: bytes) -> None:
+    def _answer_and_disconnect(self, run: Run, spoil: Spoil, whole: bytes) -> None:
         assert self.transport is not None
         body = self.server.answer_to(run)
         unframed = self._encode(200, run.request_id, body, framed=False)
--- a/standins/virtual.py
+++ b/standins/virtual.py
@@ -1,8 +1,8 @@
 """An event loop on a virtual clock with a network in memory.
 
-Time stands still while code runs and jumps to the next timer when nothing is left to do, so that
-a test of seconds takes milliseconds and always takes the same course. Owns the loop, its clock and
-connections in memory; code under test sees them as asyncio's own.
+Virtual time stands still while code runs and advances to the next timer when no callback is ready,
+so that a test of several seconds runs in milliseconds and is deterministic. Owns the loop, its
+clock and the connections in memory, which the code under test uses as if they were asyncio's own.
 """
 
 import asyncio
@@ -16,18 +16,18 @@
 
 Factory = Callable[[], asyncio.Protocol]
 
-_START_S = 1000.0
-"""Virtual time at the start, in seconds: not 0, so that a time of 0 is far in the past."""
+_START_TIME_S = 1000.0
+"""Virtual time at the start, in seconds; not 0, so that a time of 0 is far in the past."""
 
-_SILENT_S = 3600
-"""Seconds for which a silent listener leaves a connection unanswered, longer than any test."""
+_SILENCE_S = 3600
+"""Seconds for which a silent listener leaves a connection unanswered; longer than any test."""
 
 _PIECE_BYTES = 16_384
-"""Bytes that one connection puts on a link at a time, so that connections share it in turn."""
+"""Bytes that a connection puts on a link at a time, so that connections take turns."""
 
 
 class _InstantSelector(selectors.DefaultSelector):
-    """Never waits; counts how long it would have waited."""
+    """Selector that never waits and adds up the time for which it would have waited."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,22 +36,23 @@
     def select(self, timeout: Optional[float] = None) -> list:
         if timeout is None:
             raise RuntimeError(
-                "no timer and no task is left: a test waits for an event that cannot come"
+                "virtual loop has no timer and no ready task left: the test waits for an event "
+                "that cannot occur; set a timer or end the wait"
             )
         self.skipped_s += max(0.0, timeout)
         return super().select(0)
 
 
 class Listener:
-    """Accepts connections at an address.
+    """Accepts connections in memory at an address.
 
     Args:
-        factory: Makes the protocol of an accepted connection.
-        link: Link of the machine that listens; None for one without a limit.
+        factory: Creates the protocol of an accepted connection.
+        link: Network link of the listening VM; None for unlimited bandwidth.
 
     Attributes:
-        silent: True while connections stay unanswered.
-        late_s: How much later than others a connection comes up, in seconds.
+        silent: True while connection attempts stay unanswered.
+        late_s: Additional time to establish a connection, in seconds.
     """
 
     def __init__(self, factory: Factory, link: Optional[Link] = None) -> None:
@@ -66,8 +67,8 @@
 
     Args:
         loop: The loop.
-        delay_s: Time that bytes take to the other end, in seconds.
-        link: Link of this end's machine; None for one without a limit.
+        delay_s: One-way latency to the other end, in seconds.
+        link: Network link of this end's VM; None for unlimited bandwidth.
     """
 
     def __init__(self, loop: "VirtualLoop", delay_s: float, link: Optional[Link] = None) -> None:
@@ -87,17 +88,17 @@
         if self.closing:
             return
         if not self.limited:
-            self._later(self._peer_receives, bytes(data))
+            self._call_after_delay(self._deliver_to_peer, bytes(data))
             return
         self.unsent += data
         self._send_piece()
 
     def close(self) -> None:
-        """End in order: the other end reads everything first."""
+        """Close the connection; the other end receives everything already written first."""
         self._end(None)
 
     def abort(self) -> None:
-        """Reset: the other end gets an error, and what is not yet sent is lost."""
+        """Reset the connection: the other end gets an error, and unsent bytes are lost."""
         self.unsent.clear()
         self._end(ConnectionResetError("reset by peer"))
 
@@ -106,7 +107,7 @@
         return self.closing
 
     def get_write_buffer_size(self) -> int:
-        """Return the bytes that wait for a link; 0 without links."""
+        """Return the number of bytes that wait for a link; 0 without links."""
         return len(self.unsent)
 
     def get_extra_info(self, _name: str, default: Any = None) -> Any:
@@ -119,16 +120,16 @@
     def resume_reading(self) -> None:
         """Do nothing: bytes are handed over as they come."""
 
-    def _later(self, action: Callable, *arguments: Any) -> None:
+    def _call_after_delay(self, action: Callable, *arguments: Any) -> None:
         self.loop.call_later(self.delay_s, action, *arguments)
 
     @property
     def limited(self) -> bool:
-        """True when a link limits what this end sends."""
+        """Whether a link limits the bandwidth of what this end sends."""
         return self.link is not None or (self.peer is not None and self.peer.link is not None)
 
     def _send_piece(self) -> None:
-        """Put the next piece on the links, unless one is on its way."""
+        """Put the next piece on the uplink, unless another piece is still in transit."""
         if self.sending or not self.unsent:
             return
         piece = bytes(self.unsent[:_PIECE_BYTES])
@@ -137,23 +138,23 @@
         at = self.loop.time()
         if self.link is not None:
             at = self.link.up.pass_through(len(piece), at)
-        self.loop.call_at(at, self._piece_left, piece)
+        self.loop.call_at(at, self._piece_passed_uplink, piece)
 
-    def _piece_left(self, piece: bytes) -> None:
-        """Take the other machine's link once a piece has left this one's, and not before."""
+    def _piece_passed_uplink(self, piece: bytes) -> None:
+        """Put a piece on the other VM's downlink once it has passed this VM's uplink."""
         at = self.loop.time()
         if self.peer is not None and self.peer.link is not None:
             at = self.peer.link.down.pass_through(len(piece), at)
-        self.loop.call_at(at, self._piece_sent, piece)
+        self.loop.call_at(at, self._piece_passed_downlink, piece)
 
-    def _piece_sent(self, piece: bytes) -> None:
+    def _piece_passed_downlink(self, piece: bytes) -> None:
         self.sending = False
-        self._later(self._peer_receives, piece)
+        self._call_after_delay(self._deliver_to_peer, piece)
         self._send_piece()
         if self.closing and not self.unsent:
-            self._later(self._peer_ends, None)
+            self._call_after_delay(self._end_peer, None)
 
-    def _peer_receives(self, data: bytes) -> None:
+    def _deliver_to_peer(self, data: bytes) -> None:
         peer = self.peer
         if peer is not None and not peer.closing and peer.protocol and not self.held:
             peer.protocol.data_received(data)
@@ -164,9 +165,9 @@
         self.closing = True
         self.loop.call_soon(self._lost, None)
         if not self.sending and not self.unsent:
-            self._later(self._peer_ends, error)
+            self._call_after_delay(self._end_peer, error)
 
-    def _peer_ends(self, error: Optional[Exception]) -> None:
+    def _end_peer(self, error: Optional[Exception]) -> None:
         peer = self.peer
         if peer is None or peer.closing or self.held:
             return
@@ -183,10 +184,10 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """The loop.
+    """Event loop whose clock is virtual and whose connections are in memory.
 
     Args:
-        delay_s: Time that bytes take from one end to the other, in seconds.
+        delay_s: One-way latency of every connection, in seconds.
     """
 
     def __init__(self, *, delay_s: float = 0.001) -> None:
@@ -197,23 +198,29 @@
 
     def time(self) -> float:
         """Return the virtual time, in seconds."""
-        return _START_S + self.instant.skipped_s
+        return _START_TIME_S + self.instant.skipped_s
 
     def listen(self, address: str, factory: Factory, link: Optional[Link] = None) -> Listener:
-        """Accept connections at `IP:PORT`, on a machine with a link."""
+        """Accept connections at `IP:PORT`, over the listening VM's link if one is given."""
         listener = self.listeners[address] = Listener(factory, link)
         return listener
 
     async def create_connection(  # type: ignore[override]
         self, protocol_factory: Factory, host: str, port: int, **_options: Any
     ) -> tuple[MemoryTransport, asyncio.Protocol]:
-        """Connect in memory; refused without a listener, unanswered while it is silent."""
+        """Connect in memory.
+
+        The attempt stays unanswered while the listener is silent.
+
+        Raises:
+            ConnectionRefusedError: When nothing listens at the address.
+        """
         listener = self.listeners.get(f"{host}:{port}")
         await asyncio.sleep(2 * self.delay_s)
         if listener is None:
             raise ConnectionRefusedError(f"{host}:{port}")
         if listener.silent:
-            await asyncio.sleep(_SILENT_S)
+            await asyncio.sleep(_SILENCE_S)
         if listener.late_s:
             await asyncio.sleep(listener.late_s)
         near = MemoryTransport(self, self.delay_s, current_link.get())
@@ -226,7 +233,7 @@
 
 
 async def pass_time(seconds: float) -> None:
-    """Let virtual time pass; real time does not.
+    """Advance virtual time; no real time passes.
 
     Args:
         seconds: Virtual time, in seconds.
@@ -235,7 +242,7 @@
 
 
 def run_virtual(main: Callable[[VirtualLoop], Coroutine[Any, Any, T]]) -> T:
-    """Run a coroutine on a fresh virtual loop and return its result."""
+    """Run a coroutine on a new virtual loop, cancel the tasks it leaves, and return its result."""
     loop = VirtualLoop()
     try:
         asyncio.set_event_loop(loop)
--- a/standins/virtual_link.py
+++ b/standins/virtual_link.py
@@ -1,25 +1,23 @@
-"""Links of limited width for machines on the virtual loop.
+"""Network links of limited bandwidth for VMs on the virtual loop.
 
-Owns how long bytes take through a machine's link, one piece after the other in each direction.
-Relies on nothing; `virtual` asks it for each piece. A test names the link of the machine that its
-tasks stand for in `current_link`, which their connections then use.
+Decides how long bytes take through a VM's link, one piece after the other in each direction.
+`virtual` asks for each piece; the module relies on nothing else. A test sets `current_link` to the
+link of the VM that its tasks stand for, and the connections of those tasks then use that link.
 """
 
 from contextvars import ContextVar
 from typing import Optional
 
 _BITS_PER_BYTE = 8
-"""Bits in a byte."""
 
 _BITS_PER_MBIT = 1_000_000
-"""Bits in a megabit."""
 
 
 class Lane:
     """One direction of a link.
 
     Args:
-        bytes_per_s: Its width, in bytes a second.
+        bytes_per_s: Bandwidth, in bytes a second.
     """
 
     __slots__ = ("bytes_per_s", "free_at", "passed")
@@ -30,7 +28,7 @@
         self.passed = 0
 
     def pass_through(self, size: int, now: float) -> float:
-        """Return the time at which some bytes have passed, behind those that came before.
+        """Queue some bytes behind earlier ones and return the time at which they have passed.
 
         Args:
             size: Number of bytes.
@@ -42,10 +40,10 @@
 
 
 class Link:
-    """A machine's link, as wide up as down.
+    """A VM's network link, with the same bandwidth in both directions.
 
     Args:
-        mbps: Its width, in Mbit/s.
+        mbps: Bandwidth of each direction, in Mbit/s.
     """
 
     __slots__ = ("down", "up")
@@ -57,4 +55,4 @@
 
 
 current_link: ContextVar[Optional[Link]] = ContextVar("current_link", default=None)
-"""Link of the machine that the running task stands for; None for one without a limit."""
+"""Link of the VM that the running task stands for; None for unlimited bandwidth."""
