--- a/tests/test_soak_backend_servers.py
+++ b/tests/test_soak_backend_servers.py
@@ -1,4 +1,4 @@
-"""What the soak does to its backend servers: evacuations, restarts under an id, spoilt entries."""
+"""Tests of the soak's backend servers: evacuations, restarts under an id, overwritten entries."""
 
 import asyncio
 import base64
@@ -17,7 +17,10 @@
 
 class Evacuations(unittest.TestCase):
     def test_the_last_of_two_that_overlap_takes_the_hall_back(self) -> None:
-        """The first one's end took the hall back, and the second's ended the soak: seed 502."""
+        """The first one's end restored the hall, and the second one's failed and ended the soak.
+
+        Seed 502 showed it.
+        """
 
         async def main(loop: VirtualLoop) -> list[bool]:
             store = StoreStandIn(loop)
@@ -34,7 +37,7 @@
 
 
 def _servers(store: StoreStandIn) -> BackendServers:
-    """Return backend servers whose way to the entry VMs is not there."""
+    """Return backend servers without real listeners and relays."""
     wiring = mock.Mock()
     wiring.behind_relay = mock.AsyncMock(return_value=mock.Mock(port=7001))
     wiring.listen = mock.AsyncMock(return_value=7002)
--- a/tools/soak/__init__.py
+++ b/tools/soak/__init__.py
@@ -2,8 +2,9 @@
 
     python -m tools.soak --seeds=1:50 --jobs=3
 
-One seed is one short day: entry VMs as processes, stand-ins for the store and the backend servers
-behind relays, callers that cling to their connections, an operator who changes the configuration,
-and troubles drawn from the seed that overlap. Start with `day`; `world` has the parts, `troubles`
-harm them, `callers` use them, `ledger` records what happens, `promises` judge by it.
+A day is one short scenario, drawn from a seed: entry VMs as processes, stand-ins for the
+store and the backend servers behind relays, callers of which some keep to one connection, an
+operator who changes the configuration, and troubles (injected faults and planned work) that
+overlap. Start with `day`; `world` holds the parts of the deployment, `troubles` injects the faults,
+`callers` sends the requests, `ledger` records what happens, and `promises` judges the record.
 """
--- a/tools/soak/backend_servers.py
+++ b/tools/soak/backend_servers.py
@@ -1,8 +1,8 @@
-"""The backend servers of one day of the soak, and how they come and go.
+"""The backend servers of one day of the soak, and their life cycle.
 
-Owns the stand-ins, their entries in the store, and the planned work on them: draining a server,
-evacuating a data hall. Servers that have gone are kept, since `promises` judges what ran at them.
-When a server has to be left alone is recorded in the ledger.
+Owns the stand-ins, their entries in the store, their crashes and restarts, and the planned work on
+them: draining a server, evacuating a data hall. Stopped servers are kept, since `promises` judges
+what ran at them. The ledger records from when on a server must not get requests.
 """
 
 import asyncio
@@ -18,44 +18,43 @@
 from .wiring import Wiring
 
 _WORK_S = 0.06
-"""Seconds that a backend server works on a request. A guess, never measured."""
+"""Time of one request at a backend server, in seconds."""
 
 _SLOTS = 8
-"""Requests that a backend server works on at once. A guess, never measured."""
+"""Requests that a backend server runs at once."""
 
 _DRAIN_S = 2.0
-"""Seconds until a draining server gets no more work. Bound `Drain` of the platform's example."""
+"""Seconds until a draining server gets no requests. Bound `Drain` of the platform's example."""
 
 _EVACUATE_S = 5.0
-"""Seconds until an evacuated data hall gets no more work. Bound `Evacuate`, likewise."""
+"""Seconds until an evacuated data hall gets no requests. Bound `Evacuate`, likewise."""
 
-_LEFT_S = 1.0
-"""Seconds that a drained server still serves beyond its bound. A guess, never measured."""
+_SERVES_AFTER_DRAIN_S = 1.0
+"""Seconds for which a drained server still serves after its bound."""
 
 _MS_PER_S = 1000
-"""Milliseconds in a second."""
 
-_CRASH_AFTER_S = 0.04
-"""Seconds that a run which crashes its server takes. A guess, never measured."""
+_RUN_TO_CRASH_S = 0.04
+"""Seconds from the start of a run that crashes its server to the crash."""
 
 _HEARTBEAT_S = 0.7
-"""Seconds between two writings of an entry by its server."""
+"""Seconds between two writes of an entry by its server."""
 
-_BACK_AFTER_S = 1.0
-"""Seconds until another server takes the place of one that crashed. A guess, never measured."""
+_REPLACEMENT_DELAY_S = 1.0
+"""Seconds from a crash to the start of a replacement server."""
 
-_LAPSES_AFTER_S = 3.0
-"""Seconds more until the entry of one that crashed lapses. A guess, never measured."""
+_ENTRY_EXPIRY_S = 3.0
+"""Seconds from the start of the replacement until the crashed server's entry expires."""
 
-_FIRST_BORN_MS = 1_764_000_000_000
+_BASE_START_MS = 1_764_000_000_000
 """Unix time before the start of every server, in milliseconds; only the order of starts counts."""
 
-_COLD_AGAIN_S = 1.0
-"""Seconds for which a server that starts again is cold. A guess, never measured."""
+_WARMUP_S = 1.0
+"""Warm-up time of a restarted or replaced server, in seconds."""
 
 
 def body_of(run: Run) -> bytes:
-    """Return the body that only one request may get."""
+    """Return the answer body that belongs to one request only."""
     return f"answer to {run.request_id} ".encode() * (1 + len(run.request_id) % 7)
 
 
@@ -63,11 +62,11 @@
     """One backend server behind a relay.
 
     Args:
-        stand_in: The server.
-        service: Its service.
-        zone: Its data hall.
-        link: The relay before it.
-        lives: How many processes it has had under its id.
+        stand_in: The scripted server.
+        service: Name of its service.
+        zone: Data hall of the server.
+        link: Relay through which the server is reached.
+        lives: Number of processes so far under the server's id.
     """
 
     def __init__(
@@ -80,7 +79,7 @@
         self.lives = lives
 
     def entry(self, state: str = "ready", warm_in_s: float = 0.0) -> bytes:
-        """Return its entry in the store."""
+        """Return the server's entry in the store, as JSON."""
         row = {
             "Service": self.service,
             "Address": f"127.0.0.1:{self.link.port}",
@@ -90,20 +89,22 @@
             "WarmupLeft": f"{warm_in_s * _MS_PER_S:g}ms",
             "Version": "v1",
             "Sequence": 1,
-            "born": _FIRST_BORN_MS + self.lives,
+            "born": _BASE_START_MS + self.lives,
         }
         return json.dumps(row).encode()
 
 
 class BackendServers:
-    """All backend servers of a day; `running` holds those that have not left, by their ids.
-
-    Each run for a target in `sick` crashes its server.
+    """All backend servers of a day.
 
     Args:
-        store: The store that lists them.
-        wiring: Makes the way to each.
+        store: Store that lists the servers.
+        wiring: Creates the listener and the relay of each server.
         ledger: Record of the day.
+
+    Attributes:
+        running: Servers that have neither left nor crashed, by their ids.
+        sick: Targets whose requests crash each server that runs them.
     """
 
     def __init__(self, store: StoreStandIn, wiring: Wiring, ledger: Ledger) -> None:
@@ -118,12 +119,12 @@
         self._ledger = ledger
 
     def ever(self) -> Iterator[SoakServer]:
-        """Return all that have run in the day."""
+        """Yield all servers of the day, stopped ones included."""
         yield from self.running.values()
         yield from self._gone
 
     async def add(self, service: str, zone: str, *, cold_s: float = 0.0) -> SoakServer:
-        """Add a backend server, cold for some seconds."""
+        """Start a backend server that warms up for some seconds, and list it in the store."""
         loop = asyncio.get_running_loop()
         self._numbers += 1
         stand_in = _stand_in(loop, f"i-{self._numbers}", cold_s)
@@ -134,21 +135,21 @@
         return server
 
     async def drain(self, server: SoakServer) -> None:
-        """Let a backend server leave: it says so, serves on for a while, and ends."""
-        self._goes(server)
+        """Drain a backend server: its entry says so, it serves for a while longer and stops."""
+        self._retire(server)
         self._store.put(_key(server), server.entry(state="draining"))
-        self._leave_alone(server, _DRAIN_S, float("inf"), "DRAIN")
-        await asyncio.sleep(_DRAIN_S + _LEFT_S)
+        self._expect_no_requests(server, _DRAIN_S, float("inf"), "DRAIN")
+        await asyncio.sleep(_DRAIN_S + _SERVES_AFTER_DRAIN_S)
         self._store.remove(_key(server))
         server.link.cut()
 
     async def leave_by_word(self, server: SoakServer, header: str, for_s: float) -> None:
-        """Let a backend server say in its answers alone that it leaves, and end.
+        """Let a backend server state only in its answers that it is leaving, then stop.
 
         Args:
-            server: The server; its entry is written again and says ready.
-            header: The header in which it says so.
-            for_s: How long it serves on, in seconds.
+            server: The server; it keeps writing an entry that says ready.
+            header: Header of the statement.
+            for_s: Time that it serves beyond the drain bound, in seconds.
         """
         server.stand_in.says[header] = "1"
         until = asyncio.get_running_loop().time() + for_s + _DRAIN_S
@@ -160,20 +161,20 @@
         self.crash(server)
 
     def crash(self, server: SoakServer) -> None:
-        """Let a backend server end without draining; its entry goes."""
-        self._goes(server)
+        """Stop a backend server without draining, and remove its entry."""
+        self._retire(server)
         server.link.cut()
         self._store.remove(_key(server))
 
     async def start_again(self, server: SoakServer, down_s: float, *, silent: bool) -> None:
-        """Let a backend server die and start again under its id, knowing nothing of before.
+        """Kill a backend server and start it again under its id, without any earlier state.
 
         Args:
             server: The server.
-            down_s: How long none of its processes runs, in seconds.
-            silent: True when connections to the process before are not reset until the next runs.
+            down_s: Time between the two processes, in seconds.
+            silent: True to reset connections to the killed process only when the next one runs.
         """
-        self._goes(server)
+        self._retire(server)
         if silent:
             server.link.freeze()
         else:
@@ -181,7 +182,7 @@
         server.stand_in.reset()
         await asyncio.sleep(down_s)
         loop = asyncio.get_running_loop()
-        stand_in = _stand_in(loop, server.stand_in.server_id, _COLD_AGAIN_S)
+        stand_in = _stand_in(loop, server.stand_in.server_id, _WARMUP_S)
         server.link.target = await self._wiring.listen(stand_in.accept)
         server.link.cut()
         server.link.thaw()
@@ -191,26 +192,26 @@
         )
         self.running[stand_in.server_id] = again
         stand_in.on_run = lambda run: self._on_run(again, run)
-        self._store.put(_key(again), again.entry(warm_in_s=_COLD_AGAIN_S))
+        self._store.put(_key(again), again.entry(warm_in_s=_WARMUP_S))
 
     async def spoil_entry(self, server: SoakServer, value: bytes, for_s: float) -> None:
-        """Let another writer write over the entry of a backend server, which writes it anew."""
+        """Overwrite the entry of a backend server, which writes it again after some seconds."""
         self._store.put(_key(server), value)
         await asyncio.sleep(for_s)
         if self.running.get(server.stand_in.server_id) is server:
             self._store.put(_key(server), server.entry())
 
     async def evacuate(self, zone: str, for_s: float) -> None:
-        """Send nothing to a data hall's backend servers for some time.
+        """Evacuate a data hall for some seconds: its backend servers get no requests.
 
-        Evacuations of one hall may overlap; the last one takes it back.
+        Evacuations of one data hall may overlap; the hall is restored when the last one ends.
         """
         self._evacuations[zone] += 1
         self._store.put(f"op/evacuate/{zone}", b"{}")
         until = asyncio.get_running_loop().time() + for_s
         for server in self.running.values():
             if server.zone == zone:
-                self._leave_alone(server, _EVACUATE_S, until, "EVAC")
+                self._expect_no_requests(server, _EVACUATE_S, until, "EVAC")
         await asyncio.sleep(for_s)
         self._evacuations[zone] -= 1
         if not self._evacuations[zone]:
@@ -219,13 +220,13 @@
     def _on_run(self, server: SoakServer, run: Run) -> None:
         if run.target in self.sick:
             loop = asyncio.get_running_loop()
-            loop.call_later(_CRASH_AFTER_S, self._crash_under, server, run.target)
+            loop.call_later(_RUN_TO_CRASH_S, self._crash_under_request, server, run.target)
 
-    def _crash_under(self, server: SoakServer, target: str) -> None:
-        """End a server's process under a request; it says nothing, and another one follows."""
+    def _crash_under_request(self, server: SoakServer, target: str) -> None:
+        """Crash a server under a request, without an answer, and start a replacement."""
         if self.running.get(server.stand_in.server_id) is not server:
             return
-        self._goes(server)
+        self._retire(server)
         server.link.refuse()
         server.stand_in.reset()
         self._ledger.crashes[target].append(asyncio.get_running_loop().time())
@@ -234,15 +235,17 @@
         task.add_done_callback(self._work.discard)
 
     async def _replace(self, server: SoakServer) -> None:
-        await asyncio.sleep(_BACK_AFTER_S)
-        await self.add(server.service, server.zone, cold_s=_COLD_AGAIN_S)
-        await asyncio.sleep(_LAPSES_AFTER_S)
+        await asyncio.sleep(_REPLACEMENT_DELAY_S)
+        await self.add(server.service, server.zone, cold_s=_WARMUP_S)
+        await asyncio.sleep(_ENTRY_EXPIRY_S)
         self._store.remove(_key(server))
 
-    def _goes(self, server: SoakServer) -> None:
+    def _retire(self, server: SoakServer) -> None:
         self._gone.append(self.running.pop(server.stand_in.server_id))
 
-    def _leave_alone(self, server: SoakServer, allowed_s: float, until: float, rule: str) -> None:
+    def _expect_no_requests(
+        self, server: SoakServer, allowed_s: float, until: float, rule: str
+    ) -> None:
         now = asyncio.get_running_loop().time()
         leaving = Leaving(server.stand_in.server_id, now, allowed_s, until, rule)
         self._ledger.leavings.append(leaving)
@@ -253,7 +256,7 @@
 
 
 def _stand_in(loop: asyncio.AbstractEventLoop, server_id: str, cold_s: float) -> ScriptedServer:
-    """Return a process of a backend server, cold for some seconds."""
+    """Return a process of a backend server that warms up for some seconds."""
     stand_in = ScriptedServer(loop, server_id, work_s=_WORK_S, slots=_SLOTS)
     stand_in.answer_of = body_of
     stand_in.turn_cold(cold_s)
--- a/tools/soak/configuration.py
+++ b/tools/soak/configuration.py
@@ -1,9 +1,9 @@
 """The configuration of the soak's deployment, and the versions of it that operators write.
 
-Owns the names of host, services and standing routes, which service each route has at the moment,
-the workspaces with their keys and rates, and the number of the version in force. Each version goes
-to the stand-in of the store and into the ledger, by which `promises` knows what may decide a
-request.
+Owns the names of the host, the services and the permanent routes, the current service of each
+route, the workspaces with their keys and rates, and the current version number. Each version is
+written to the stand-in of the store and to the ledger, from which `promises` knows which versions
+may decide a request.
 """
 
 import asyncio
@@ -18,45 +18,50 @@
 HOST = "quotes.example"
 SERVICES = ("rates", "booking")
 RATES, BOOK = "rates", "book"
-"""Routes that every version has: requests of the first may run twice, those of the second not."""
+"""Routes of every version; requests of `RATES` may run twice, those of `BOOK` only once."""
 
 STANDING_ROUTES = (RATES, BOOK)
-"""All routes that never come or go."""
+"""Routes that every version has."""
 
 ROUTE_TIMEOUT_S = 2.0
-"""Timeout of every route, in seconds. A guess, never measured."""
+"""Timeout of every route, in seconds."""
 
 _CONNECTIONS = 100
-"""Connections that a backend server accepts. A guess, never measured."""
+"""Connections that a backend server accepts."""
 
 _COLD_PER_S = 20.0
-"""Requests a second that a cold backend server bears. A guess, never measured."""
+"""Requests a second that a cold backend server may get."""
 
 KEY_START = "key-of-"
-"""Start of every API key, by which one is found where none may stand."""
+"""Prefix of every API key, by which a key is found where none may be shown."""
 
 WORKSPACES = ("shipper", "broker", "desk")
-"""Workspaces, in order of size."""
+"""Workspaces, the one with the highest rate first."""
 
 RATES_PER_S = {"shipper": 100.0, "broker": 70.0, "desk": 50.0}
-"""Requests a second that each may send: more than its callers send while nobody is hot."""
+"""Limit of each workspace in requests a second: above the usual load of its callers."""
 
 QUOTA_OVER = 0.1
-"""Part of a limit that may be passed in a window. Bound `QuotaOver` of the platform's example."""
+"""Fraction by which a window may exceed a limit. Bound `QuotaOver` of the platform's example."""
 
 QUOTA_SLACK = 20.0
-"""Requests beyond that. Bound `QuotaSlack` of the platform's example."""
+"""Further requests that may exceed it. Bound `QuotaSlack` of the platform's example."""
 
 _FIRST_VERSION = 3
-"""Number before that of the first configuration; versions need not begin at 1."""
+"""Number before that of the first version; versions need not begin at 1."""
 
 
 class Configuration:
-    """What operators have the entry VMs do; `services` is the service of each route.
+    """The current configuration, as operators change it.
 
     Args:
-        store: The store that it is written to.
+        store: Store to which versions are written.
         ledger: Record of the day.
+
+    Attributes:
+        services: Service of each route, by the route's name.
+        keys: API keys of each workspace.
+        rates_per_s: Limit of each workspace in requests a second.
     """
 
     def __init__(self, store: StoreStandIn, ledger: Ledger) -> None:
@@ -68,7 +73,7 @@
         self._version = _FIRST_VERSION
 
     def write(self) -> None:
-        """Write a new version with the services that the routes have now."""
+        """Write a new version with the current routes, keys and rates."""
         self._version += 1
         self._store.put("op/config", json.dumps(self._table()).encode())
         now = asyncio.get_running_loop().time()
@@ -103,7 +108,7 @@
 
 
 def first_key(workspace: str) -> str:
-    """Return the key that a workspace has in every version."""
+    """Return the API key that a workspace has in every version."""
     return f"{KEY_START}{workspace}-that-stays"
 
 
--- a/tools/soak/ledger.py
+++ b/tools/soak/ledger.py
@@ -1,8 +1,8 @@
 """Record of one day of the soak, as seen from outside the processes.
 
-Owns the types of what is recorded: attempts, faults, versions, leaving servers, broken promises.
-Decides nothing: `world`, `troubles` and `callers` write it, `promises` judges by it. All times are
-of the soak's own monotonic clock, in seconds.
+Owns the record types: attempts, troubles, configuration versions, leaving servers, crashes, process
+ends and broken promises. It decides nothing: `world`, `troubles` and `callers` write the record,
+`promises` judges it. All times are of the soak's own monotonic clock, in seconds.
 """
 
 import enum
@@ -12,19 +12,19 @@
 from typing import NamedTuple, Optional
 
 STORE = "store"
-"""Scope of a trouble that strikes the store for all entry VMs."""
+"""Scope of a trouble that affects the store for all entry VMs."""
 
 SERVERS = "backend servers"
-"""Scope of a trouble that strikes backend servers; the entry VMs stay bound by everything."""
+"""Scope of a trouble that affects backend servers; it excuses no entry VM from any promise."""
 
 OPERATORS = "operators"
-"""Scope of operators' work, by which the entry VMs stay bound as well."""
+"""Scope of operators' work; it excuses no entry VM either."""
 
 EVERYBODY = "everybody"
-"""Scope of a trouble that strikes all entry VMs, such as a pause of the soak's own process."""
+"""Scope of a trouble that affects all entry VMs, such as a pause of the soak's own process."""
 
 START = "start"
-"""What strikes an entry VM from its start until it is ready."""
+"""Name of the trouble that is recorded for an entry VM from its start until it is ready."""
 
 
 class End(enum.Enum):
@@ -37,14 +37,14 @@
 
 
 class Attempt:
-    """One attempt of a caller.
+    """One request that a caller sent, and how it ended.
 
     Args:
-        request_id: Its id.
-        route: Name of the route that it is for.
-        vm: Entry VM that it was sent to.
-        sent_at: When it was sent, as monotonic time in seconds.
-        key: API key that it carries; empty for none.
+        request_id: Id of the request.
+        route: Name of the route that the request is for.
+        vm: Entry VM to which the request was sent.
+        sent_at: When the request was sent, as monotonic time in seconds.
+        key: API key of the request; empty for none.
     """
 
     __slots__ = ("end", "ended_at", "key", "request_id", "route", "sent_at", "status", "vm")
@@ -63,14 +63,14 @@
 
 
 class Struck(NamedTuple):
-    """One trouble while it lasted.
+    """One trouble and the time for which it lasted.
 
     Args:
-        what: What it was.
-        scope: Entry VM that it struck, or `STORE`, `SERVERS`, `OPERATORS` or `EVERYBODY`.
-        start: When it began, as monotonic time in seconds.
-        end: When it was over, likewise.
-        planned: True for work that is planned and must cut nothing off.
+        what: Name of the trouble's kind.
+        scope: Entry VM that was affected, or `STORE`, `SERVERS`, `OPERATORS` or `EVERYBODY`.
+        start: Begin of the trouble, as monotonic time in seconds.
+        end: End of the trouble, likewise.
+        planned: True for planned work, which must not cut requests off.
     """
 
     what: str
@@ -84,11 +84,11 @@
     """One version of the configuration.
 
     Args:
-        number: Its number.
-        acknowledged_at: When the store took it, as monotonic time in seconds.
+        number: Version number.
+        acknowledged_at: When the store acknowledged the version, as monotonic time in seconds.
         services: Service of each route, by the route's name.
         keys: All API keys.
-        rates_per_s: Requests a second that each workspace may send, by its name.
+        rates_per_s: Limit of each workspace in requests a second, by its name.
     """
 
     number: int
@@ -99,14 +99,14 @@
 
 
 class Leaving(NamedTuple):
-    """A backend server that leaves, or whose data hall is evacuated.
+    """A backend server that is draining, or whose data hall is evacuated.
 
     Args:
-        server_id: The server.
-        acknowledged_at: When the store took it, as monotonic time in seconds.
-        allowed_s: How long requests may still arrive, in seconds.
-        until: Until when it holds, as monotonic time in seconds.
-        rule: The promise that it is for.
+        server_id: Id of the server.
+        acknowledged_at: When the store acknowledged the state, as monotonic time in seconds.
+        allowed_s: Time after that in which requests may still arrive, in seconds.
+        until: End of the state, as monotonic time in seconds.
+        rule: Promise that a later request breaks.
     """
 
     server_id: str
@@ -117,12 +117,12 @@
 
 
 class SickSend(NamedTuple):
-    """One try of a request that crashes the backend servers which run it.
+    """One attempt to send a request that crashes the backend servers which run it.
 
     Args:
-        request_id: Its id.
-        target: What it is for; equal for all tries.
-        vm: Entry VM that it was sent to.
+        request_id: Id of the attempt.
+        target: Path of the request, equal for all attempts.
+        vm: Entry VM to which the request was sent.
     """
 
     request_id: str
@@ -134,8 +134,8 @@
     """A promise that was broken.
 
     Args:
-        rule: The promise.
-        what: What was seen.
+        rule: Name of the promise.
+        what: Observation that broke it.
     """
 
     rule: str
@@ -143,7 +143,14 @@
 
 
 class Ledger:
-    """All records of one day."""
+    """All records of one day.
+
+    Attributes:
+        crashes: Times at which servers crashed, by the target of the request that crashed them.
+        ends: Time and exit status of each end of a process, by entry VM.
+        signalled: Time and number of each signal sent, by entry VM.
+        quiet_from: Time from which no trouble is left and everything has to work.
+    """
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
@@ -162,7 +169,7 @@
         self.broken.append(Broken(rule, what))
 
     def undisturbed(self, vm: str, start: float, end: float) -> bool:
-        """Return whether nothing struck an entry VM or the store in a span of time.
+        """Return whether no trouble affected an entry VM or the store in a time span.
 
         Args:
             vm: The entry VM.
@@ -172,7 +179,7 @@
         return not any(self._strikes(start, end, (vm, STORE, EVERYBODY)))
 
     def unstruck_itself(self, vm: str, start: float, end: float) -> bool:
-        """Return whether nothing but planned work and starts struck an entry VM in a span of time.
+        """Return whether only planned work and starts affected an entry VM in a time span.
 
         Args:
             vm: The entry VM; the store may fail meanwhile.
@@ -185,7 +192,7 @@
         )
 
     def untouched(self, vm: str, start: float, end: float) -> bool:
-        """Return whether nothing struck an entry VM itself, planned work and starts included.
+        """Return whether nothing affected an entry VM itself, planned work and starts included.
 
         Args:
             vm: The entry VM; the store may fail meanwhile.
--- a/tools/soak/own_lag.py
+++ b/tools/soak/own_lag.py
@@ -1,18 +1,18 @@
-"""Pauses of the soak's own process, which nobody may hold against the entry VMs.
+"""Detects pauses of the soak's own process, for which the entry VMs are not to blame.
 
-Owns the look at the soak's clock: while its process stands still, so do the stand-ins and the
-relays, so a pause is recorded as a trouble of all entry VMs.
+The stand-ins and relays run in the soak's process and stop with it, so a pause of its event loop is
+recorded as a trouble of all entry VMs.
 """
 
 import asyncio
 
 from .ledger import EVERYBODY, Ledger, Struck
 
-_LOOK_S = 0.05
-"""Seconds between looks at the soak's own clock; shorter than `_LAG_S`."""
+_CHECK_INTERVAL_S = 0.05
+"""Seconds between two checks of the soak's own clock; shorter than `_MIN_LAG_S`."""
 
-_LAG_S = 0.15
-"""Seconds of a pause of the soak's own process that strikes all entry VMs. A guess."""
+_MIN_LAG_S = 0.15
+"""Seconds between two checks beyond which a pause of the soak's process is recorded."""
 
 
 async def watch_own_lag(ledger: Ledger) -> None:
@@ -20,7 +20,7 @@
     loop = asyncio.get_running_loop()
     while True:
         before = loop.time()
-        await asyncio.sleep(_LOOK_S)
+        await asyncio.sleep(_CHECK_INTERVAL_S)
         now = loop.time()
-        if now - before > _LAG_S:
+        if now - before > _MIN_LAG_S:
             ledger.struck.append(Struck("own lag", EVERYBODY, before, now))
--- a/tools/soak/shown_keys.py
+++ b/tools/soak/shown_keys.py
@@ -1,4 +1,4 @@
-"""Looks for API keys where none may stand: in the lines, metrics and state of the entry VMs.
+"""Looks for API keys where none may be shown: in log lines, metrics and state of the entry VMs.
 
 Owns the promise SECRET. Relies on `world` for the VMs and their addresses.
 """
@@ -12,13 +12,13 @@
 from .configuration import KEY_START
 from .world import World
 
-_LONGEST_S = 2.0
-"""Longest time for what one VM shows, in seconds."""
+_PAGE_TIMEOUT_S = 2.0
+"""Timeout of one request for a VM's metrics or state, in seconds."""
 
 
 async def judge_shown_keys(world: World) -> None:
-    """Record each entry VM that shows an API key."""
-    timeout = aiohttp.ClientTimeout(total=_LONGEST_S)
+    """Record a broken promise for each entry VM that shows an API key."""
+    timeout = aiohttp.ClientTimeout(total=_PAGE_TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         for vm in world.vms.values():
             shown = [json.dumps(line) for line in vm.lines]
@@ -32,5 +32,5 @@
         async with session.get(f"http://{vm.ip}:{METRICS_PORT}{path}") as response:
             return await response.text()
     except (aiohttp.ClientError, TimeoutError):
-        # A VM that is about to start again shows nothing; its lines are judged all the same.
+        # A VM that is restarting serves no pages; its log lines are judged all the same.
         return ""
--- a/tools/soak/vm_keeper.py
+++ b/tools/soak/vm_keeper.py
@@ -1,8 +1,8 @@
-"""Keeps the entry VMs of one day running, and says which of them are ready.
+"""Supervises the entry VMs of one day, and knows which of them are ready.
 
-Owns their processes: starts each again whenever it has ended, as the platform would, and sends the
-signals that troubles ask for. Starts, ends and signals are recorded in the ledger with their times;
-`promises` judges by them. Relies on `tools.entry_vm` for one process.
+Owns their processes: restarts each whenever it has ended, as the platform would, and sends the
+signals that troubles request. Starts, ends and signals are recorded in the ledger with their times,
+by which `promises` judges. Relies on `tools.entry_vm` for a single process.
 """
 
 import asyncio
@@ -14,28 +14,31 @@
 
 from .ledger import START, Ledger, Struck
 
-_RESTART_S = 0.3
-"""Seconds from the end of a process to its next start. A guess, never measured."""
+_RESTART_DELAY_S = 0.3
+"""Seconds from the end of a process to its restart."""
 
-_START_S = 30.0
-"""Seconds for all entry VMs to become ready on a busy machine. A guess, never measured."""
+_READY_TIMEOUT_S = 30.0
+"""Seconds for all entry VMs to become ready on a busy machine."""
 
 _POLL_S = 0.05
-"""Seconds between looks at a process's readiness."""
+"""Seconds between two readiness checks of a process."""
 
-_READY_CHECK_S = 1.0
-"""Seconds for one look at a process's readiness. A guess, never measured."""
+_READY_CHECK_TIMEOUT_S = 1.0
+"""Timeout of one readiness check, in seconds."""
 
 _ENDING = (int(signal.SIGTERM), int(signal.SIGKILL))
 """Signals that end a process."""
 
 
 class VmKeeper:
-    """Keeps entry VMs running.
+    """Supervisor of the entry VMs.
 
     Args:
-        vms: The entry VMs, by name.
+        vms: Entry VMs, by name.
         ledger: Record of the day.
+
+    Attributes:
+        ready: Names of the entry VMs whose process is ready.
     """
 
     def __init__(self, vms: Mapping[str, EntryVm], ledger: Ledger) -> None:
@@ -45,11 +48,11 @@
         self._tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
-        """Start all, and keep them running from now on."""
-        self._tasks += [asyncio.create_task(self._keep(vm)) for vm in self._vms.values()]
+        """Start all entry VMs, and restart each when it ends."""
+        self._tasks += [asyncio.create_task(self._supervise(vm)) for vm in self._vms.values()]
 
     async def stop(self) -> None:
-        """Start none again, and end all."""
+        """Restart none any more, and kill all."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -57,12 +60,12 @@
             await vm.kill()
 
     async def until_all_ready(self) -> bool:
-        """Wait until every entry VM is ready and none is stopping; False when that takes too long.
+        """Wait until every entry VM is ready and none is stopping; return False on a timeout.
 
-        On a busy machine a start may take many times as long as on a quiet one.
+        A start may take many times as long on a busy machine as on an idle one.
         """
         try:
-            async with asyncio.timeout(_START_S):
+            async with asyncio.timeout(_READY_TIMEOUT_S):
                 while not all(self._is_up(vm) for vm in self._vms.values()):
                     await asyncio.sleep(_POLL_S)
         except TimeoutError:
@@ -70,17 +73,17 @@
         return True
 
     def signal(self, vm: EntryVm, number: signal.Signals) -> None:
-        """Send a signal to an entry VM's process, if it runs."""
+        """Send a signal to an entry VM's process if it runs, and record it."""
         if not vm.running:
             return
         now = asyncio.get_running_loop().time()
-        # A process may have ended whose exit status has not been read yet.
+        # The process may have ended while its exit status has not been read yet.
         with contextlib.suppress(ProcessLookupError):
             vm.signal(number)
             self._ledger.signalled[vm.name].append((now, int(number)))
 
-    async def _keep(self, vm: EntryVm) -> None:
-        """Start an entry VM again whenever it has ended."""
+    async def _supervise(self, vm: EntryVm) -> None:
+        """Start an entry VM, and restart it whenever it has ended."""
         loop = asyncio.get_running_loop()
         while True:
             started_at = loop.time()
@@ -89,18 +92,18 @@
             status = await vm.ended()
             self.ready.discard(vm.name)
             self._ledger.ends[vm.name].append((loop.time(), status))
-            await asyncio.sleep(_RESTART_S)
+            await asyncio.sleep(_RESTART_DELAY_S)
 
     async def _until_ready(self, vm: EntryVm, started_at: float) -> None:
-        """Count a start as a trouble until the entry VM is ready."""
+        """Wait until an entry VM is ready, and record the time until then as a trouble."""
         host, port = vm.addresses["Ready"].split(":")
         while vm.running:
             await asyncio.sleep(_POLL_S)
             if not vm.running:
                 break
             with contextlib.suppress(OSError, TimeoutError):
-                async with asyncio.timeout(_READY_CHECK_S):
-                    if await _says_ready(host, int(port)):
+                async with asyncio.timeout(_READY_CHECK_TIMEOUT_S):
+                    if await _is_ready(host, int(port)):
                         self.ready.add(vm.name)
                         break
         now = asyncio.get_running_loop().time()
@@ -113,7 +116,7 @@
         return vm.name in self.ready and not stopping
 
 
-async def _says_ready(host: str, port: int) -> bool:
+async def _is_ready(host: str, port: int) -> bool:
     reader, writer = await asyncio.open_connection(host, port)
     try:
         writer.write(b"GET /sprucewinch/readyz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -1,9 +1,9 @@
-"""One day's deployment: which parts it has, how they are put together, started and stopped.
+"""The deployment of one day: its parts, how they are connected, started and stopped.
 
 Owns the parts: the stand-in of the store, the backend servers, the entry VMs as real processes, the
-relays between them, and the configuration in force. What happens to a part is that part's own:
-`backend_servers`, `configuration`, `vm_keeper`. All of them record it in the ledger with its time;
-`promises` judges by that.
+relays between them, and the current configuration. `backend_servers`, `configuration` and
+`vm_keeper` change these parts and record each change in the ledger with its time, by which
+`promises` judges.
 """
 
 import asyncio
@@ -29,17 +29,17 @@
 _PROGRAM = "tools/soak_vm.py"
 
 _VMS_PER_ZONE = 1
-"""Entry VMs of a data hall. A guess, never measured."""
+"""Entry VMs of a data hall."""
 
 _SERVERS_PER_ZONE = 2
 """Backend servers of each service in a data hall, so that one may leave."""
 
 
 class World:
-    """All of one day.
+    """All parts of one day.
 
     Attributes:
-        hot: How many times its usual each workspace sends; those that are not named, once.
+        hot: Factor on the usual request rate, by workspace; 1 for workspaces not listed.
     """
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         self.hot: dict[str, float] = {}
 
     async def start(self) -> None:
-        """Start everything; entry VMs may take a while to be ready."""
+        """Start all parts, without waiting for the entry VMs to be ready."""
         folder = Path(self._stack.enter_context(tempfile.TemporaryDirectory()))
         for zone in ZONES:
             for service in SERVICES:
@@ -71,7 +71,7 @@
         self.keeper.start()
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop all parts."""
         await self.keeper.stop()
         await self._stack.aclose()
 
