--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -1,7 +1,7 @@
-"""Runs days of the soak and prints the promises that broke.
+"""Runs days of the soak and prints the promises that were broken.
 
-Owns the command line, how many days run at once, and where logs of broken days are kept; `day` runs
-one. Exits with status 1 when a promise broke.
+Owns the command line, the number of days that run at once, and the folder for the logs of days with
+a broken promise; `day` runs a single one. The exit status is 1 when a promise was broken.
 
 python -m tools.soak --seeds=1:50 --jobs=3
 """
@@ -18,17 +18,17 @@
 from .day import TROUBLED_S, Outcome, SoakError, run_day
 
 LOGS = Path("out/soak")
-"""Where the logs of days with a broken promise are kept."""
+"""Folder for the logs of days with a broken promise."""
 
-_MOST_JOBS = 6
-"""Days that may run at once on one machine. A guess, never measured."""
+_MAX_JOBS = 6
+"""Maximum number of days that run at once on one machine."""
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Return the seeds that `7`, `1:50` or `3,9,12` names.
+    """Return the seeds in a text such as `7`, `1:50` or `3,9,12`.
 
     Raises:
-        SoakError: When it is none of these.
+        SoakError: When the text has another form.
     """
     try:
         if ":" in text:
@@ -36,11 +36,11 @@
             return list(range(first, last + 1))
         return [int(word) for word in text.split(",")]
     except ValueError:
-        raise SoakError(f"no seeds: {text!r}", "write 7, 1:50 or 3,9,12") from None
+        raise SoakError(f"seeds cannot be read from {text!r}", "write 7, 1:50 or 3,9,12") from None
 
 
 async def run_days(seeds: list[int], jobs: int, troubled_s: float = TROUBLED_S) -> list[Outcome]:
-    """Run several days, some of them at once; prints each as it ends."""
+    """Run several days, `jobs` of them at once, and print each as it ends."""
     console = Console()
     left = list(reversed(seeds))
     outcomes: list[Outcome] = []
@@ -49,14 +49,14 @@
         while left:
             outcome = await run_day(left.pop(), troubled_s=troubled_s)
             outcomes.append(outcome)
-            tell(console, outcome)
+            print_outcome(console, outcome)
 
     await asyncio.gather(*(worker() for _ in range(jobs)))
     return outcomes
 
 
-def tell(console: Console, outcome: Outcome) -> None:
-    """Print how a day went; the plan only where something broke."""
+def print_outcome(console: Console, outcome: Outcome) -> None:
+    """Print the result of a day, with its plan if a promise was broken."""
     statuses = ", ".join(f"{name}: {count}" for name, count in sorted(outcome.statuses.items()))
     word = "broken" if outcome.broken else "kept"
     console.print(f"seed {outcome.seed}: {word}; {outcome.attempts} attempts ({statuses})")
@@ -69,7 +69,7 @@
 
 
 def keep_logs(outcome: Outcome, folder: Path = LOGS) -> Path:
-    """Write what the entry VMs of a day wrote, a file each; returns the folder."""
+    """Write the log lines of each entry VM of a day to a file, and return the folder."""
     kept = folder / f"seed-{outcome.seed}"
     kept.mkdir(parents=True, exist_ok=True)
     for name, lines in outcome.lines.items():
@@ -83,22 +83,22 @@
 
     Args:
         seeds: Seeds such as 7, 1:50 or 3,9,12; a fresh one when empty.
-        jobs: Days at once, each with its own processes.
-        seconds: How long troubles strike in a day.
+        jobs: Number of days at once, each with its own processes.
+        seconds: Time in which troubles begin in a day.
     """
     try:
         chosen = parse_seeds(str(seeds).strip("()").replace(" ", "")) if seeds else [fresh_seed()]
     except SoakError as error:
         print(error, file=sys.stderr)
         sys.exit(error.exit_code)
-    outcomes = asyncio.run(run_days(chosen, max(1, min(jobs, _MOST_JOBS)), seconds))
+    outcomes = asyncio.run(run_days(chosen, max(1, min(jobs, _MAX_JOBS)), seconds))
     broken = sorted(outcome.seed for outcome in outcomes if outcome.broken)
     print(f"{len(outcomes)} days, {len(broken)} with a broken promise: {broken}")
     sys.exit(1 if broken else 0)
 
 
 def fresh_seed() -> int:
-    """Return a seed that was probably never used."""
+    """Return a seed that has most likely not been used before."""
     return time.time_ns() % (1 << 31)
 
 
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -1,6 +1,6 @@
-"""Callers of the soak: some follow the look-up, some keep one entry VM until its connection ends.
+"""Callers of the soak: some look up entry VMs, some keep to one until its connection ends.
 
-Owns how callers choose an entry VM, what they send and what they record of each attempt. Relies on
+Owns how callers choose an entry VM, what they send and what they record of each request. Relies on
 `world` for addresses and the ledger, and hands answers to `promises.answers`.
 """
 
@@ -17,44 +17,43 @@
 from .world import World
 
 RATE_PER_S = 8.0
-"""Mean requests a second of one caller. A guess, never measured."""
+"""Mean request rate of one caller, in requests a second."""
 
-_KEEP_S = 1.0
-"""Seconds for which a look-up's answer is used. A guess, never measured."""
+_LOOKUP_CACHE_S = 1.0
+"""Seconds for which the answer of a look-up is cached."""
 
-_LOOKUP_S = 1.0
-"""Seconds for one look-up. Bound of the platform's callers."""
+_LOOKUP_TIMEOUT_S = 1.0
+"""Timeout of one look-up, in seconds. Bound of the platform's callers."""
 
-_LONGEST_S = ROUTE_TIMEOUT_S + 3.0
-"""Seconds that a caller waits: the route's timeout and a margin, which is a guess."""
+_REQUEST_TIMEOUT_S = ROUTE_TIMEOUT_S + 3.0
+"""Timeout of a request, in seconds: the route's timeout and a margin."""
 
-_IDLE_S = 30
-"""Seconds that a caller keeps a resting connection, longer than an entry VM does."""
+_KEEPALIVE_S = 30
+"""Seconds for which a caller keeps an idle connection, longer than an entry VM does."""
 
-_OBJECTS = 12
-"""Objects that requests are about. A guess, never measured."""
+_AFFINITY_KEYS = 12
+"""Number of affinity keys that requests name."""
 
-_BOOKED_PART = 0.35
-"""Draws below it that go to no such route are bookings. A guess, never measured."""
+_BOOKING_THRESHOLD = 0.35
+"""Random numbers below it that are not below `_ADDED_ROUTES_PART` select the booking route."""
 
-_OTHER_PART = 0.15
-"""Part of the requests on routes that come and go, while there are any. A guess, never measured."""
+_ADDED_ROUTES_PART = 0.15
+"""Fraction of the requests on added routes, while there are any."""
 
 _BODY_SIZES = (1, 100, 70_000)
-"""Bytes of a booking's body: the longest does not fit one read of 64 KiB."""
+"""Body sizes of a booking, in bytes: the largest does not fit one read of 64 KiB."""
 
 _MS_PER_S = 1000
-"""Milliseconds in a second."""
 
 
 class Caller:
     """One caller.
 
     Args:
-        world: The day.
-        number: Its number.
+        world: Parts of the day.
+        number: Number of the caller, which its request ids begin with.
         rng: Source of randomness.
-        clings: Uses one entry VM until its connection ends.
+        sticky: True to use one entry VM until its connection ends.
     """
 
     def __init__(
@@ -63,23 +62,23 @@
         number: int,
         rng: random.Random,
         *,
-        clings: bool,
+        sticky: bool,
     ) -> None:
         self.world = world
         self.number = number
         self.rng = rng
-        self.clings = clings
+        self.sticky = sticky
         self.workspace = WORKSPACES[number % len(WORKSPACES)]
         self.region = rng.choice(("east", "west"))
         self.sent = 0
         self._vm: Optional[str] = None
-        self._named: tuple[str, ...] = ()
-        self._kept_until = float("-inf")
+        self._looked_up: tuple[str, ...] = ()
+        self._lookup_valid_until = float("-inf")
 
     async def run(self) -> None:
         """Send requests until cancelled."""
-        connector = aiohttp.TCPConnector(keepalive_timeout=_IDLE_S)
-        timeout = aiohttp.ClientTimeout(total=_LONGEST_S)
+        connector = aiohttp.TCPConnector(keepalive_timeout=_KEEPALIVE_S)
+        timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S)
         async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
             while True:
                 rate = RATE_PER_S * self.world.hot.get(self.workspace, 1.0)
@@ -87,11 +86,11 @@
                 await self._send(session, await self._choose(session))
 
     async def _choose(self, session: aiohttp.ClientSession) -> str:
-        if self.clings and self._vm is not None:
+        if self.sticky and self._vm is not None:
             return self._vm
-        if self.world.loop.time() > self._kept_until:
+        if self.world.loop.time() > self._lookup_valid_until:
             await self._look_up(session)
-        self._vm = self.rng.choice(self._named or tuple(self.world.vms))
+        self._vm = self.rng.choice(self._looked_up or tuple(self.world.vms))
         return self._vm
 
     async def _look_up(self, session: aiohttp.ClientSession) -> None:
@@ -100,25 +99,25 @@
         url = vm.url("Directory", f"/sprucewinch/resolve{query}")
         by_address = {each.addresses["Front"]: name for name, each in self.world.vms.items()}
         try:
-            limit = aiohttp.ClientTimeout(total=_LOOKUP_S)
+            limit = aiohttp.ClientTimeout(total=_LOOKUP_TIMEOUT_S)
             async with session.get(url, timeout=limit) as response:
                 ok = response.status == HTTPStatus.OK
                 named = (await response.json())["Addresses"] if ok else []
         except (aiohttp.ClientError, TimeoutError):
             return
         if named:
-            self._named = tuple(by_address[address] for address in named)
-            self._kept_until = self.world.loop.time() + _KEEP_S
+            self._looked_up = tuple(by_address[address] for address in named)
+            self._lookup_valid_until = self.world.loop.time() + _LOOKUP_CACHE_S
 
     def _route(self) -> str:
         draw = self.rng.random()
         others = [name for name in self.world.configuration.services if name not in STANDING_ROUTES]
-        if others and draw < _OTHER_PART:
+        if others and draw < _ADDED_ROUTES_PART:
             return self.rng.choice(others)
-        return BOOK if draw < _BOOKED_PART else RATES
+        return BOOK if draw < _BOOKING_THRESHOLD else RATES
 
     async def _send(self, session: aiohttp.ClientSession, name: str) -> None:
-        """Send one request to an entry VM, and record what came of it."""
+        """Send one request to an entry VM, and record how it ended."""
         self.sent += 1
         route = self._route()
         key = self.rng.choice(self.world.configuration.keys[self.workspace])
@@ -136,21 +135,21 @@
         attempt.ended_at = self.world.loop.time()
         if attempt.end in (End.UNREACHED, End.CLOSED):
             self._vm = None
-            self._kept_until = float("-inf")
+            self._lookup_valid_until = float("-inf")
 
     async def _exchange(self, session: aiohttp.ClientSession, attempt: Attempt) -> None:
-        """Send an attempt's request, read the answer and have it judged."""
-        books = attempt.route == BOOK
+        """Send the request of an attempt, read the answer and judge it."""
+        is_booking = attempt.route == BOOK
         headers = {
             "Host": HOST,
             "X-Request-Id": attempt.request_id,
-            "X-Request-Deadline-Ms": str(int(_LONGEST_S * _MS_PER_S)),
-            "Cookie": f"X-Affinity-Key={self.rng.randrange(_OBJECTS)}",
+            "X-Request-Deadline-Ms": str(int(_REQUEST_TIMEOUT_S * _MS_PER_S)),
+            "Cookie": f"X-Affinity-Key={self.rng.randrange(_AFFINITY_KEYS)}",
             "Api-Key": attempt.key,
             "X-Tenant-Name": "forged",
         }
-        method = "POST" if books else "GET"
-        data = b"x" * self.rng.choice(_BODY_SIZES) if books else None
+        method = "POST" if is_booking else "GET"
+        data = b"x" * self.rng.choice(_BODY_SIZES) if is_booking else None
         url = self.world.vms[attempt.vm].url("Front", f"/{attempt.route}/{self.sent}")
         async with session.request(method, url, headers=headers, data=data) as response:
             body = await response.read()
--- a/tools/soak/day.py
+++ b/tools/soak/day.py
@@ -1,7 +1,8 @@
 """One day of the soak: planned from its seed, run with real processes, judged at its end.
 
-Owns the plan of a day and its course: start, faults that overlap, a last change, quiet, judgement.
-The same seed gives the same plan; the course differs, since processes run on the real clock.
+Owns the plan of a day and its phases: start, overlapping troubles, a last configuration change, a
+quiet phase, judgement. The same seed gives the same plan, but not the same course of events, since
+processes run on the real clock.
 Relies on `world` for the processes, `troubles` for the faults, `promises` for the judgement.
 """
 
@@ -23,44 +24,41 @@
 from .world import World
 
 TROUBLED_S = 9.0
-"""Seconds in which troubles begin, by default. A guess, never measured."""
+"""Time in which troubles begin, in seconds, by default."""
 
-_FIRST_S = 0.5
-"""Seconds of traffic before the first trouble. A guess, never measured."""
+_FIRST_TROUBLE_S = 0.5
+"""Seconds of traffic before the first trouble."""
 
 _SETTLE_S = 5.5
-"""Seconds from the last begin of a trouble to the last change; longer while a process starts.
-
-A guess, never measured.
-"""
+"""Seconds from the end of `TROUBLED_S` to the last change; longer while a process starts."""
 
 _QUIET_FROM_S = 1.5
-"""Seconds after the last change from which everything has to work. A guess, never measured."""
+"""Seconds after the last change until everything has to work."""
 
 _QUIET_S = 3.5
-"""Seconds from the last change to the end of the day. A guess, never measured."""
+"""Seconds from the last change to the end of the day."""
 
 _CALLERS = 12
-"""Callers of a day. A guess, never measured."""
+"""Number of callers in a day."""
 
-_CLINGING = 6
-"""Callers that keep one entry VM: half of them."""
+_STICKY_CALLERS = 6
+"""Callers that keep to one entry VM: half of them."""
 
-_LEAST_TROUBLES, _MOST_TROUBLES = 5, 9
-"""Troubles of a day, drawn evenly, enough to overlap in `TROUBLED_S`. A guess, never measured."""
+_MIN_TROUBLES, _MAX_TROUBLES = 5, 9
+"""Number of troubles in a day, drawn uniformly; enough to overlap in `TROUBLED_S`."""
 
-_SHORTEST_TROUBLE_S, _LONGEST_TROUBLE_S = 0.4, 3.0
-"""Duration of a trouble, drawn evenly, in seconds. A guess, never measured."""
+_MIN_TROUBLE_S, _MAX_TROUBLE_S = 0.4, 3.0
+"""Duration of a trouble in seconds, drawn uniformly."""
 
-_SEEDS = 1 << 30
-"""Seeds of the troubles' own choices are drawn below it."""
+_SEED_LIMIT = 1 << 30
+"""Exclusive upper bound of the seeds that are drawn for the troubles' own choices."""
 
 _TRAFFIC_SALT = 0x5EED
-"""Parts the callers' random numbers from the plan's; any figure does."""
+"""Makes the callers' random numbers independent of the plan's; any other value would do."""
 
 
 class SoakError(SprucewinchError):
-    """The soak was asked for something that it cannot do."""
+    """A day cannot be run, or its seeds cannot be read."""
 
     exit_code = 2
 
@@ -69,10 +67,10 @@
     """One trouble of a day.
 
     Args:
-        at: When it strikes, in seconds from the start of traffic.
-        kind: What it is.
-        for_s: How long it lasts, in seconds.
-        seed: Seed of its own choices.
+        at: Begin of the trouble, in seconds from the start of traffic.
+        kind: Class of the trouble.
+        for_s: Duration of the trouble, in seconds.
+        seed: Seed of the trouble's own choices.
     """
 
     at: float
@@ -85,12 +83,12 @@
     """Result of a day.
 
     Args:
-        seed: Its seed.
-        plan: What struck.
-        attempts: Attempts of callers.
-        statuses: How often each status, or end without one, came.
+        seed: Seed of the day.
+        plan: Troubles of the day.
+        attempts: Number of requests that callers sent.
+        statuses: Number of requests by HTTP status, or by how they ended without one.
         broken: Promises that were broken.
-        lines: What each entry VM wrote, its lives one after the other.
+        lines: Log lines of each entry VM, its processes one after the other.
     """
 
     seed: int
@@ -102,25 +100,25 @@
 
 
 def plan(seed: int, troubled_s: float = TROUBLED_S) -> tuple[Planned, ...]:
-    """Return the troubles of a day; a change of the configuration closes it.
+    """Return the troubles of a day; the last one is a change of the configuration.
 
     Args:
         seed: Seed of the day.
-        troubled_s: How long troubles strike, in seconds.
+        troubled_s: Time in which troubles begin, in seconds.
     """
     rng = random.Random(seed)
     kinds = kinds_of(seed)
-    count = rng.randint(_LEAST_TROUBLES, _MOST_TROUBLES)
+    count = rng.randint(_MIN_TROUBLES, _MAX_TROUBLES)
     rows = [
         Planned(
-            round(rng.uniform(_FIRST_S, troubled_s), 2),
+            round(rng.uniform(_FIRST_TROUBLE_S, troubled_s), 2),
             rng.choice(kinds),
-            round(rng.uniform(_SHORTEST_TROUBLE_S, _LONGEST_TROUBLE_S), 2),
-            rng.randrange(_SEEDS),
+            round(rng.uniform(_MIN_TROUBLE_S, _MAX_TROUBLE_S), 2),
+            rng.randrange(_SEED_LIMIT),
         )
         for _ in range(count)
     ]
-    last = Planned(troubled_s + _SETTLE_S, Change, 0.0, rng.randrange(_SEEDS))
+    last = Planned(troubled_s + _SETTLE_S, Change, 0.0, rng.randrange(_SEED_LIMIT))
     return (*sorted(rows, key=lambda row: row.at), last)
 
 
@@ -128,15 +126,21 @@
     """Run one day.
 
     Args:
-        seed: Its seed.
-        troubled_s: How long troubles strike, in seconds.
+        seed: Seed of the day.
+        troubled_s: Time in which troubles begin, in seconds.
+
+    Raises:
+        SoakError: When the entry VMs do not become ready at the start.
     """
     world = World()
     planned = plan(seed, troubled_s)
     try:
         await world.start()
         if not await world.keeper.until_all_ready():
-            raise SoakError("the entry VMs do not start", "look at a log in the folder out/soak")
+            raise SoakError(
+                "the entry VMs of the day did not become ready in time",
+                "look at a log in the folder out/soak",
+            )
         await _traffic(world, planned, seed)
         await judge_shown_keys(world)
         runs = gather_runs(world.backends.ever())
@@ -154,14 +158,17 @@
 async def _traffic(world: World, planned: tuple[Planned, ...], seed: int) -> None:
     rng = random.Random(seed ^ _TRAFFIC_SALT)
     callers = [
-        Caller(world, n, random.Random(rng.random()), clings=n < _CLINGING) for n in range(_CALLERS)
+        Caller(world, n, random.Random(rng.random()), sticky=n < _STICKY_CALLERS)
+        for n in range(_CALLERS)
     ]
     start = world.loop.time()
     work = [asyncio.create_task(caller.run()) for caller in callers]
     troubles = [asyncio.create_task(_strike(world, row, start)) for row in planned[:-1]]
     await asyncio.sleep(planned[-1].at)
     if not await world.keeper.until_all_ready():
-        world.ledger.breaks("RECOVER", f"ready are only {sorted(world.keeper.ready)}")
+        world.ledger.breaks(
+            "RECOVER", f"only these entry VMs are ready: {sorted(world.keeper.ready)}"
+        )
     world.ledger.quiet_from = world.loop.time() + _QUIET_FROM_S
     troubles.append(asyncio.create_task(_strike(world, planned[-1], start)))
     await asyncio.sleep(_QUIET_S)
