--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its days, that its promises are really judged, and the entry VMs that it starts."""
+"""Tests of the soak: each check finds a broken promise, plans of days, and its entry VMs."""
 
 import asyncio
 import signal
@@ -29,7 +29,7 @@
 
 
 class Judged:
-    """A day without processes, written by hand; it ends long after it began."""
+    """A handwritten record of a day without processes, from time 0 to 1000 s."""
 
     def __init__(self) -> None:
         loop = asyncio.new_event_loop()
@@ -53,7 +53,7 @@
         end: End = End.ANSWERED,
         ran_at: str = "i-1",
     ) -> Attempt:
-        """Write one attempt down, and its run."""
+        """Record one attempt and, unless `ran_at` is empty, its run."""
         attempt = Attempt(request_id, route, "vm1", sent_at)
         attempt.ended_at = sent_at + took_s
         attempt.end, attempt.status = end, status
@@ -63,12 +63,12 @@
         return attempt
 
     def run(self, request_id: str, server_id: str, at: float) -> None:
-        """Write one run down."""
+        """Record one run."""
         run = Run(request_id, "GET", "/", b"", {}, at)
         self.servers[server_id].stand_in.runs.append(run)
 
     def rules(self) -> set[str]:
-        """Return the promises that are broken."""
+        """Judge the day, and return the broken promises."""
         evidence = Evidence(self.ledger, gather_runs(self.servers.values()), ended_at=1000.0)
         return {broken.rule for broken in judge(evidence)}
 
@@ -255,12 +255,12 @@
     print(ip, flush=True)
     sys.stdin.read()
 """
-"""Another run of the tests: it holds an address until its input ends."""
+"""Program of another run of the tests: it claims an address until its input ends."""
 
 
 class EntryVms(unittest.IsolatedAsyncioTestCase):
     def other_run(self) -> str:
-        """Start a process that begins to look where this one does; returns its address."""
+        """Start a process that searches from the same address as this one; return its claim."""
         process = subprocess.Popen(
             [sys.executable, "-c", _OTHER_RUN, str(RUN_START)],
             cwd=ROOT,
@@ -274,7 +274,7 @@
         return process.stdout.readline().strip()
 
     def vm(self, ip: str) -> EntryVm:
-        """Return an entry VM whose store nobody is."""
+        """Return an entry VM without a store."""
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         return EntryVm("vm1", ip, f"{ip}:{free_port(ip)}", free_port(ip), folder)
 
--- a/tests/test_soak_statements.py
+++ b/tests/test_soak_statements.py
@@ -1,4 +1,4 @@
-"""The soak's promises on what servers state are really judged."""
+"""Tests that the soak finds broken promises on what servers state."""
 
 import unittest
 
@@ -11,14 +11,14 @@
 
 
 class Day(Judged):
-    """A day on which one server is asked by two VMs and states something."""
+    """A handwritten day on which VMs send requests to one server that states something."""
 
     def __init__(self) -> None:
         super().__init__()
         self.stand_in = self.servers["i-1"].stand_in
 
     def sends(self, vm: str, at: float, **stated: object) -> None:
-        """Write one request that arrives at the server, which answers and states something."""
+        """Record one request that arrives at the server, and its answer with what it states."""
         request_id = f"q{len(self.stand_in.arrived)}"
         attempt = Attempt(request_id, "rates", vm, at - 0.01)
         attempt.ended_at, attempt.end, attempt.status = at + 0.1, End.ANSWERED, 200
@@ -28,7 +28,7 @@
         self.stand_in.answered.append(Answered(at + 0.05, request_id, 200, **stated))
 
     def rules(self) -> set[str]:
-        """Return the promises that are broken."""
+        """Judge the day, and return the broken promises."""
         runs = gather_runs(self.servers.values())
         evidence = Evidence(self.ledger, runs, ended_at=1000.0, stand_ins=(self.stand_in,))
         return {broken.rule for broken in judge(evidence)}
--- a/tests/test_soak_workspaces.py
+++ b/tests/test_soak_workspaces.py
@@ -1,4 +1,4 @@
-"""The soak's promises on workspaces are really judged."""
+"""Tests that the soak finds broken promises on workspaces."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class Day(Judged):
-    """A day whose only version has the first key of a workspace, which may send 4 a second."""
+    """A handwritten day whose only version has one key of a workspace limited to 4 a second."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
         return Version(number, at, self.services, frozenset(keys), {"desk": rate})
 
     def ran(self, number: int, sent_at: float, *, key: str = _KEY, name: str = "desk") -> None:
-        """Write one attempt that ran in a workspace's name."""
+        """Record one attempt that ran under a workspace's name."""
         attempt = self.attempt(f"q{number}", sent_at=sent_at, ran_at="")
         attempt.key = key
         headers = {"x-tenant-name": name} if name else {}
--- a/tools/soak/promises/answers.py
+++ b/tools/soak/promises/answers.py
@@ -1,7 +1,7 @@
-"""Judges an answer as a caller gets it: that it is its own, whole, and one that may be given.
+"""Judges single answers: each must belong to its request, be complete and have a fitting status.
 
 Owns the promises MIXED, DENIED, FAULT, COME BACK and INNOCENT. Relies on `backend_servers` for the
-body that only one request may get.
+answer body that belongs to one request only.
 """
 
 from collections.abc import Mapping
@@ -14,40 +14,40 @@
 from ..ledger import Attempt, Ledger
 
 _FAULT = HTTPStatus.INTERNAL_SERVER_ERROR
-"""Status that no part of the system gives of its own."""
+"""Status that no part of the system generates itself."""
 
 _FORBIDDEN = (400, 401, 403, 404, 413, 431)
-"""Statuses that the requests of these callers never deserve on routes that always exist."""
+"""Statuses that no request of these callers may get on a permanent route."""
 
 _COME_BACK = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
-"""Statuses that say when to come back."""
+"""Statuses that need a `Retry-After` header."""
 
 _STANDING_KEYS = frozenset(map(first_key, WORKSPACES))
-"""Keys that every version has."""
+"""API keys that are valid in every version."""
 
 _CRASHES_SERVERS = b"crashes-servers"
-"""Reason that none of these callers' requests may be refused for."""
+"""Refusal reason that no request of these callers may get."""
 
 _SIGNATURE = "X-Response-Signature"
-"""Header by which a backend server's own answers are known."""
+"""Header that identifies the answers of backend servers."""
 
 
 def judge_answer(ledger: Ledger, attempt: Attempt, body: bytes, headers: Mapping[str, str]) -> None:
-    """Judge one answer, and record the promise that it breaks."""
+    """Judge one answer, and record the promise that it breaks, if any."""
     request_id, status = attempt.request_id, attempt.status
     if status == HTTPStatus.OK:
         if not _is_own(request_id, body, headers):
             ledger.breaks("MIXED", f"{request_id} got {body[:60]!r}")
     elif status == HTTPStatus.UNAUTHORIZED and attempt.key not in _STANDING_KEYS:
-        return  # Judged by `workspaces`, which knows the versions.
+        return  # `workspaces` judges this, as it knows the versions.
     elif status in _FORBIDDEN and attempt.route in STANDING_ROUTES:
         ledger.breaks("DENIED", f"{request_id} got {status}")
     elif status == _FAULT and _SIGNATURE not in headers:
         ledger.breaks("FAULT", f"{request_id} at {attempt.vm} got {_FAULT:d}")
     elif status in _COME_BACK and "Retry-After" not in headers:
-        ledger.breaks("COME BACK", f"{request_id} is not told when to come back")
+        ledger.breaks("COME BACK", f"{request_id} got no Retry-After header")
     elif status == HTTPStatus.SERVICE_UNAVAILABLE and _CRASHES_SERVERS in body:
-        ledger.breaks("INNOCENT", f"{request_id} was refused as one that crashes servers")
+        ledger.breaks("INNOCENT", f"{request_id} was refused as a request that crashes servers")
 
 
 def _is_own(request_id: str, body: bytes, headers: Mapping[str, str]) -> bool:
--- a/tools/soak/promises/crashing.py
+++ b/tools/soak/promises/crashing.py
@@ -1,20 +1,21 @@
-"""Judges how often a request that crashes servers is sent on.
+"""Judges how often a request that crashes servers is still forwarded.
 
-Owns the promise CRASHES. Bound: three sends by VMs in touch, later than `CONTACT_S` after the third
-crash, by the platform's rules. That no other request is refused for it is judged by `answers`.
+Owns the promise CRASHES. By the platform's rules, VMs in touch with the store may forward it three
+times at most later than `CONTACT_S` after the third crash. `answers` judges that no other request
+is refused for this reason.
 """
 
 from .evidence import CONTACT_S, SLACK_S, Evidence
 
 _CRASHES = 3
-"""Crashes after which a request may be sent only a few times more."""
+"""Crashes after which a request may be forwarded only a few more times."""
 
-_MOST_LATER = 3
-"""Sends after that at most."""
+_MAX_LATER_SENDS = 3
+"""Maximum number of times that it may be forwarded after that."""
 
 
 def sent_on_rarely(evidence: Evidence) -> None:
-    """Judge that a request under which servers have ended hardly reaches servers any more."""
+    """Judge that a request which crashed servers is forwarded only a few more times."""
     for target, crashes in evidence.ledger.crashes.items():
         if len(crashes) < _CRASHES:
             continue
@@ -26,6 +27,6 @@
             for seen in evidence.runs.get(send.request_id, [])
             if seen.at > known_at and evidence.in_touch(send.vm, seen.at, seen.at)
         ]
-        if len(later) > _MOST_LATER:
-            what = f"{target} was sent {len(later)} times more, {len(crashes)} servers ended"
+        if len(later) > _MAX_LATER_SENDS:
+            what = f"{target} was forwarded {len(later)} more times after {len(crashes)} crashes"
             evidence.ledger.breaks("CRASHES", what)
--- a/tools/soak/promises/evidence.py
+++ b/tools/soak/promises/evidence.py
@@ -1,7 +1,7 @@
-"""What the checks read of a day: its ledger, and the runs at its backend servers.
+"""What the checks read: the ledger of a day, and the runs at its backend servers.
 
-Owns the runs by request, and the spans without a fault after which time bounds hold. Bounds that
-several checks need stand here.
+Owns the runs by request, the fault-free time after which time bounds apply, and the bounds that
+several checks share.
 """
 
 from collections import defaultdict
@@ -15,16 +15,16 @@
 from ..ledger import Attempt, Ledger
 
 CONTACT_S = 3.0
-"""Seconds without a fault until time bounds hold. Bound `Contact` of the platform's example."""
+"""Seconds without a fault until time bounds apply. Bound `Contact` of the platform's example."""
 
 OUTER_S = 5.0
-"""Seconds by which a fault of the store stretches bounds. Bound `Outer` of the same example."""
+"""Seconds by which a fault of the store extends bounds. Bound `Outer` of the same example."""
 
 GRACE_S = 6.0
 """Seconds from SIGTERM to the kill. Bound `Grace` of the platform's example."""
 
 SLACK_S = 0.4
-"""Seconds added to bounds for late readings of the soak's own clock. A guess, never measured."""
+"""Seconds added to bounds, since the soak may read its own clock late."""
 
 
 _WORKSPACE_HEADER = "x-tenant-name"
@@ -35,10 +35,10 @@
     """One run of a request at a backend server.
 
     Args:
-        server_id: The server.
-        service: Its service.
-        at: When it began, as monotonic time in seconds.
-        workspace: The workspace in whose name it ran; empty for none.
+        server_id: Id of the server.
+        service: Service of the server.
+        at: Begin of the run, as monotonic time in seconds.
+        workspace: Workspace that the request named to the server; empty for none.
         key_shown: True when an API key reached the server.
     """
 
@@ -50,7 +50,7 @@
 
 
 class Evidence(NamedTuple):
-    """All that is known of a day at its end.
+    """Everything known about a day at its end.
 
     Args:
         ledger: Record of the day.
@@ -65,20 +65,26 @@
     stand_ins: tuple[ScriptedServer, ...] = ()
 
     def runs_of(self, attempt: Attempt) -> list[Seen]:
-        """Return the runs of an attempt's request; empty for none."""
+        """Return the runs of an attempt's request."""
         return self.runs.get(attempt.request_id, [])
 
     def in_touch(self, vm: str, since: float, until: float) -> bool:
-        """Return whether nothing struck an entry VM or the store long enough before some time."""
+        """Return whether no trouble affected an entry VM or the store in a span or shortly before.
+
+        Args:
+            vm: Name of the entry VM.
+            since: Start of the span, as monotonic time in seconds.
+            until: End of the span, likewise.
+        """
         return self.ledger.undisturbed(vm, since - CONTACT_S - OUTER_S, until)
 
     def unstruck(self, vm: str, since: float, until: float) -> bool:
-        """Return whether nothing but planned work struck an entry VM itself; the store may fail."""
+        """Return whether only planned work affected an entry VM itself; the store may fail."""
         return self.ledger.unstruck_itself(vm, since - CONTACT_S, until)
 
 
 def gather_runs(servers: Iterable[SoakServer]) -> dict[str, list[Seen]]:
-    """Return the runs at some backend servers by request id."""
+    """Return the runs at backend servers, by request id."""
     runs: dict[str, list[Seen]] = defaultdict(list)
     for server in servers:
         for run in server.stand_in.runs:
--- a/tools/soak/promises/judge.py
+++ b/tools/soak/promises/judge.py
@@ -1,6 +1,6 @@
-"""All promises that are judged at the end of a day.
+"""All checks at the end of a day.
 
-Owns the list of checks; answers are judged as they come, by `answers`.
+Owns the list of checks; `answers` judges each answer as soon as it arrives.
 """
 
 from collections.abc import Callable
@@ -38,7 +38,7 @@
 
 
 def judge(evidence: Evidence) -> list[Broken]:
-    """Judge the whole day; returns all promises that were broken, answers included."""
+    """Run all checks on a day, and return every broken promise, those of answers included."""
     for check in _CHECKS:
         check(evidence)
     return evidence.ledger.broken
--- a/tools/soak/promises/leavings.py
+++ b/tools/soak/promises/leavings.py
@@ -1,6 +1,6 @@
-"""Judges that backend servers that leave, or whose data hall is evacuated, are left alone.
+"""Judges that draining backend servers and those of an evacuated data hall get no requests.
 
-Owns the promises DRAIN and EVAC; each leaving in the ledger names its own, with its bound.
+Owns the promises DRAIN and EVAC; each `Leaving` in the ledger names its promise and bound.
 """
 
 from ..ledger import Attempt
@@ -8,7 +8,7 @@
 
 
 def left_alone(evidence: Evidence) -> None:
-    """Judge that entry VMs in touch send nothing to a server once its bound has passed."""
+    """Judge that entry VMs in touch with the store send a server nothing after its bound."""
     by_id = {attempt.request_id: attempt for attempt in evidence.ledger.attempts}
     for request_id, runs in evidence.runs.items():
         attempt = by_id.get(request_id)
@@ -20,7 +20,7 @@
 
 
 def _broken_by(evidence: Evidence, attempt: Attempt, seen: Seen) -> str:
-    """Return the promise that a run breaks by where it was; empty for none."""
+    """Return the promise that a run breaks by reaching its server; empty for none."""
     for leaving in evidence.ledger.leavings:
         if leaving.server_id != seen.server_id:
             continue
--- a/tools/soak/promises/recovery.py
+++ b/tools/soak/promises/recovery.py
@@ -1,4 +1,4 @@
-"""Judges that a day recovers once nothing strikes any more.
+"""Judges that the deployment recovers after the last trouble of a day.
 
 Owns the promise RECOVER.
 """
@@ -10,7 +10,7 @@
 from .evidence import Evidence
 
 _SERVED_PART = 0.8
-"""Part of the requests after the last fault that must be served. A guess, never measured."""
+"""Fraction of the requests after the last trouble that must be served."""
 
 
 def recovers(evidence: Evidence) -> None:
--- a/tools/soak/promises/statements.py
+++ b/tools/soak/promises/statements.py
@@ -1,8 +1,8 @@
-"""Judges that servers get what they state: a limit, nothing once they leave or while they rest.
+"""Judges that VMs follow the statements of servers: limits, leaving and `Retry-After`.
 
-Owns the promises LIMIT and REST, and DRAIN where a server leaves by its own word. All is judged
-from the server's own record: what arrived, and what each answer stated to which VM. Whatever struck
-a VM since it was told excuses it; an outage of the store does not.
+Owns the promises LIMIT and REST, and DRAIN for a server that states in its answers that it is
+leaving. All are judged by the server's own record: what arrived, and what each answer stated to
+which VM. Any trouble of a VM since the statement excuses it; an outage of the store does not.
 """
 
 from bisect import bisect_right
@@ -14,20 +14,35 @@
 from .evidence import CONTACT_S, SLACK_S, Evidence
 
 _WINDOW_S = 4.0
-"""Window of a limit, in seconds, by the platform's pages; so are the four figures below."""
+"""Window of a limit, in seconds; this and the next four values are from the platform's pages."""
+
+_LIMIT_FACTOR = 1.5
+"""Factor by which a window may exceed a limit."""
 
-_LIMIT_OVER = 1.5
 _LIMIT_SLACK = 5
+"""Further requests that may exceed it."""
+
 _TOLD_S = 0.5
-_MOST_IN_REST = 2
+"""Seconds from a statement until it binds the VM that got it."""
+
+_MAX_IN_REST = 2
+"""Maximum number of requests that a VM may send in a rest."""
 
 _DRAIN_S = 2.0
-"""Seconds from a server's word to a VM until that VM sends nothing. Bound `Drain` of the
-platform's example."""
+"""Seconds from a server's statement that it is leaving until the VM told sends nothing.
+
+Bound `Drain` of the platform's example.
+"""
 
 
 class Arrival(NamedTuple):
-    """One request that arrived at a server: when, from which VM, when its caller sent it."""
+    """One request that arrived at a server.
+
+    Args:
+        at: Time of arrival, in seconds.
+        vm: Entry VM that forwarded it.
+        sent_at: When the caller sent it, in seconds.
+    """
 
     at: float
     vm: str
@@ -35,7 +50,7 @@
 
 
 def keeps_statements(evidence: Evidence) -> None:
-    """Judge each server's limits, rests and leaving."""
+    """Judge what each server stated of limits, rests and leaving."""
     attempts = {attempt.request_id: attempt for attempt in evidence.ledger.attempts}
     vm_of = {request_id: attempt.vm for request_id, attempt in attempts.items()}
     for server in evidence.stand_ins:
@@ -70,8 +85,8 @@
             continue
         end = answer.at + answer.rest_s
         sent = [a.at for a in arrivals if a.vm == vm and answer.at + _TOLD_S < a.at < end]
-        if len(sent) > _MOST_IN_REST and evidence.ledger.untouched(vm, answer.at, end):
-            what = f"{server.server_id} rested, and got {len(sent)} requests from {vm}"
+        if len(sent) > _MAX_IN_REST and evidence.ledger.untouched(vm, answer.at, end):
+            what = f"{server.server_id} got {len(sent)} requests in its rest from {vm}"
             evidence.ledger.breaks("REST", what)
 
 
@@ -87,17 +102,17 @@
             and told.get(arrival.vm, float("inf")) + _TOLD_S <= arrival.at
             and evidence.ledger.untouched(arrival.vm, phase[0].at, arrival.at)
         )
-        bound = _LIMIT_OVER * _WINDOW_S * max(a.limit_per_s or 0.0 for a in phase) + _LIMIT_SLACK
+        bound = _LIMIT_FACTOR * _WINDOW_S * max(a.limit_per_s or 0.0 for a in phase) + _LIMIT_SLACK
         for index, start in enumerate(counted):
             count = bisect_right(counted, start + _WINDOW_S) - index
             if count > bound:
-                what = f"{server.server_id} got {count} in {_WINDOW_S} s, {bound:g} may"
+                what = f"{server.server_id} got {count} in {_WINDOW_S} s, allowed are {bound:g}"
                 evidence.ledger.breaks("LIMIT", what)
                 break
 
 
 def _phases(answers: list[Answered]) -> Iterator[list[Answered]]:
-    """Return the runs of answers that state one limit."""
+    """Yield the sequences of consecutive answers that state the same limit."""
     phase: list[Answered] = []
     for answer in answers:
         if phase and answer.limit_per_s != phase[-1].limit_per_s:
@@ -112,7 +127,7 @@
 def _first_told(
     answers: list[Answered], vm_of: dict[str, str], states: Callable[[Answered], bool]
 ) -> dict[str, float]:
-    """Return when each VM got its first answer that states something."""
+    """Return when each VM got its first answer for which `states` is true."""
     told: dict[str, float] = {}
     for answer in answers:
         vm = vm_of.get(answer.request_id)
--- a/tools/soak/promises/stops.py
+++ b/tools/soak/promises/stops.py
@@ -1,6 +1,6 @@
-"""Judges how processes end: only when told to, in time, and without cutting requests off.
+"""Judges how processes end: only by a signal, in time, and without cutting requests off.
 
-Owns the promises LOST, ENDS and GRACE. They count from the signals in the ledger.
+Owns the promises LOST, ENDS and GRACE. Their bounds count from the signals in the ledger.
 """
 
 import signal
@@ -9,10 +9,10 @@
 from .evidence import GRACE_S, SLACK_S, Evidence
 
 _LOST_S = 0.2
-"""Seconds after which a stop must not cut a request off. Bound `Lost` of the platform's example."""
+"""Age in seconds from which a stop may not cut a request off. Bound `Lost` of the example."""
 
 _STOP_MARGIN_S = 1.0
-"""Seconds beyond the grace that still belong to a stop. Bound of the platform's rules."""
+"""Seconds after the grace that still belong to a stop. Bound of the platform's rules."""
 
 _EXPECTED_ENDS = {int(signal.SIGTERM): 0, int(signal.SIGKILL): -int(signal.SIGKILL)}
 """Exit status of a process by the signal that ended it."""
@@ -39,7 +39,7 @@
 
 
 def no_end_of_its_own(evidence: Evidence) -> None:
-    """Judge that each process ended by a signal that it got, with the status that it asks for."""
+    """Judge that each process ended by a signal that it got, with the exit status for it."""
     ledger = evidence.ledger
     for vm, ends in ledger.ends.items():
         for at, status in ends:
@@ -47,17 +47,17 @@
                 continue
             signals = [number for sent_at, number in ledger.signalled[vm] if sent_at <= at]
             if status not in [_EXPECTED_ENDS[n] for n in signals if n in _EXPECTED_ENDS]:
-                ledger.breaks("ENDS", f"{vm} ended by itself with status {status}")
+                ledger.breaks("ENDS", f"{vm} ended with status {status}, which no signal explains")
 
 
 def _starting(ledger: Ledger, vm: str, at: float) -> bool:
-    """Return whether an entry VM was starting: signal handlers are not set from the start."""
+    """Return whether an entry VM was starting, when its signal handlers may not be set yet."""
     starts = (s for s in ledger.struck if s.what == START and s.scope == vm)
     return any(s.start <= at <= s.end + SLACK_S for s in starts)
 
 
 def stops_in_time(evidence: Evidence) -> None:
-    """Judge that a process told to stop has ended when its grace is over."""
+    """Judge that a process has ended within its grace after SIGTERM."""
     ledger = evidence.ledger
     for vm, signalled in ledger.signalled.items():
         for sent_at, number in signalled:
@@ -66,4 +66,4 @@
                 continue
             after = [at for at, _ in ledger.ends[vm] if at >= sent_at]
             if late < evidence.ended_at and (not after or after[0] > late):
-                ledger.breaks("GRACE", f"{vm} was still there {GRACE_S} s after SIGTERM")
+                ledger.breaks("GRACE", f"{vm} was still running {GRACE_S} s after SIGTERM")
--- a/tools/soak/promises/waiting.py
+++ b/tools/soak/promises/waiting.py
@@ -1,4 +1,4 @@
-"""Judges how long callers are held.
+"""Judges how long callers wait for an answer.
 
 Owns the promise HELD, whose bound follows the timeout of the routes.
 """
@@ -7,7 +7,7 @@
 from .evidence import SLACK_S, Evidence
 
 _HELD_S = 0.5
-"""Seconds beyond a route's timeout until an answer is late. Bound of the platform's rules."""
+"""Seconds after a route's timeout when an answer is late. Bound of the platform's rules."""
 
 
 def held_no_longer(evidence: Evidence) -> None:
--- a/tools/soak/promises/workspaces.py
+++ b/tools/soak/promises/workspaces.py
@@ -1,7 +1,7 @@
-"""Judges keys and limits of workspaces: who ran in whose name, how much, and that no key is shown.
+"""Judges workspaces: the name under which requests ran, their keys, and their limits.
 
-Owns the promises UNASKED, KEY and QUOTA. Only KEY is bound to VMs in touch: elsewhere a key that
-was taken away may go on working, and the two others hold all the same.
+Owns the promises UNASKED, KEY and QUOTA. Only KEY is limited to VMs in touch with the store, since
+a revoked key may go on working elsewhere; the other two always hold.
 """
 
 from bisect import bisect_right
@@ -19,7 +19,7 @@
 
 
 def own_name(evidence: Evidence) -> None:
-    """Judge that what ran did so under the name of its key's workspace, and without the key."""
+    """Judge that requests ran under the name of their key's workspace, and without the key."""
     for attempt in evidence.ledger.attempts:
         for seen in evidence.runs_of(attempt):
             if seen.workspace != workspace_of(attempt.key) or seen.key_shown:
@@ -28,7 +28,7 @@
 
 
 def known_keys(evidence: Evidence) -> None:
-    """Judge that in touch no key that is gone is accepted, and none that is there is not."""
+    """Judge that VMs in touch with the store accept no revoked key and refuse no valid one."""
     for attempt in evidence.ledger.attempts:
         if not attempt.key:
             continue
@@ -36,13 +36,13 @@
         known = [attempt.key in version.keys for version in versions]
         in_touch = evidence.in_touch(attempt.vm, attempt.sent_at, attempt.sent_at)
         if in_touch and evidence.runs_of(attempt) and not any(known):
-            evidence.ledger.breaks("KEY", f"{attempt.request_id} ran under a key that was gone")
+            evidence.ledger.breaks("KEY", f"{attempt.request_id} ran under a revoked key")
         if in_touch and attempt.status == HTTPStatus.UNAUTHORIZED and all(known):
-            evidence.ledger.breaks("KEY", f"{attempt.request_id} got 401 with a key that is there")
+            evidence.ledger.breaks("KEY", f"{attempt.request_id} got 401 with a valid key")
 
 
 def within_limits(evidence: Evidence) -> None:
-    """Judge that no workspace passed its limit in any window, at all VMs together."""
+    """Judge that no workspace exceeded its limit in any window, over all VMs."""
     times: dict[str, list[float]] = defaultdict(list)
     for attempt in evidence.ledger.attempts:
         if evidence.runs_of(attempt):
@@ -58,14 +58,17 @@
         rate = max(_rates(evidence.ledger.versions, name, start))
         bound = (rate * _WINDOW_S + rate) * (1 + QUOTA_OVER) + QUOTA_SLACK
         if count > bound:
-            evidence.ledger.breaks("QUOTA", f"{name} ran {count} in {_WINDOW_S} s, {bound:g} may")
+            evidence.ledger.breaks(
+                "QUOTA",
+                f"{name} ran {count} in {_WINDOW_S} s, allowed are {bound:g}",
+            )
             return
 
 
 def _rates(versions: list[Version], name: str, start: float) -> Iterator[float]:
-    """Return the limits of a workspace that may bind within a window.
+    """Yield the limits of a workspace that may apply within a window.
 
-    A lower one binds a window after it is in force everywhere.
+    A lowered limit applies one window after it is in force everywhere.
     """
     ends = [later.acknowledged_at for later in versions[1:]] + [float("inf")]
     late = CONFIGURED_S + _WINDOW_S + SLACK_S
@@ -75,5 +78,5 @@
 
 
 def workspace_of(key: str) -> str:
-    """Return the workspace of a key; empty for none."""
+    """Return the workspace of an API key; empty for none."""
     return next((name for name in WORKSPACES if key.startswith(first_key(name))), "")
