--- a/tools/soak/troubles/__init__.py
+++ b/tools/soak/troubles/__init__.py
@@ -1,4 +1,4 @@
-"""Troubles of the soak: faults and planned work, a module for each thing that they strike.
+"""Troubles of the soak: injected faults and planned work, in one module for each affected part.
 
-Start with `trouble`, which says what a trouble is; `kinds` lists those that a day draws from.
+Start with `trouble`, the base class; `kinds` lists the kinds that a day draws from.
 """
--- a/tools/soak/troubles/kinds.py
+++ b/tools/soak/troubles/kinds.py
@@ -1,8 +1,8 @@
 """All kinds of trouble that a day draws from.
 
-Owns their order. A seed draws a kind by its place here: a kind that is added, moved or taken out
-gives the seeds in `tests/soak_seeds.toml` another day than the one they are kept for. So new kinds
-go into a list of their own, from which only seeds from some number on draw.
+Owns their order. A seed draws a kind by its position here, so adding, moving or removing a kind
+would give the seeds in `tests/soak_seeds.toml` another day than the one for which they are kept.
+New kinds therefore go into a list of their own, from which only seeds from some number on draw.
 """
 
 from .operators import Change, Evacuate
@@ -60,31 +60,31 @@
 ADDED_KINDS: tuple[type[Trouble], ...] = (StartAgain, SpoilEntry)
 
 FIRST_SEED_OF_ADDED_KINDS = 100_000
-"""First seed whose day draws from `ADDED_KINDS` too; days of the seeds before stay as they are."""
+"""First seed that draws from `ADDED_KINDS` too; the days of lower seeds stay unchanged."""
 
 CRASH_KINDS: tuple[type[Trouble], ...] = (SickRequest, SickRequest, SickRequest, Suspend)
-"""A request that crashes servers is drawn more often than others: it needs a day of them."""
+"""A request that crashes servers is listed thrice, as a day needs several of them."""
 
 FIRST_SEED_OF_CRASH_KINDS = 200_000
-"""First seed whose day draws from `CRASH_KINDS` too."""
+"""First seed that draws from `CRASH_KINDS` too."""
 
 
 WORKSPACE_KINDS: tuple[type[Trouble], ...] = (Keys, HotWorkspace, HotWorkspace, LowerRate)
-"""Trouble with workspaces: a hot one is drawn more often."""
+"""Troubles of workspaces; the one that sends too much is drawn more often."""
 
 FIRST_SEED_OF_WORKSPACE_KINDS = 300_000
-"""First seed whose day draws from `WORKSPACE_KINDS` too."""
+"""First seed that draws from `WORKSPACE_KINDS` too."""
 
 
 STATEMENT_KINDS: tuple[type[Trouble], ...] = (LimitItself, LimitItself, LeaveByWord, AskRest) * 2
-"""Servers that state something of themselves; drawn often, as other troubles are to overlap."""
+"""Statements of servers, drawn often so that other troubles overlap with them."""
 
 FIRST_SEED_OF_STATEMENT_KINDS = 400_000
-"""First seed whose day draws from `STATEMENT_KINDS` too."""
+"""First seed that draws from `STATEMENT_KINDS` too."""
 
 
 def kinds_of(seed: int) -> tuple[type[Trouble], ...]:
-    """Return the kinds that the day of a seed draws from."""
+    """Return the kinds from which the day of a seed draws."""
     if seed < FIRST_SEED_OF_ADDED_KINDS:
         return KINDS
     if seed < FIRST_SEED_OF_CRASH_KINDS:
--- a/tools/soak/troubles/links.py
+++ b/tools/soak/troubles/links.py
@@ -1,6 +1,6 @@
-"""Harm to a link: the relay between two parts is cut, silent, one-way, slow, or resets.
+"""Faults of links: the relay between two parts is cut, silent, one-way or slow, or it resets.
 
-Owns the ways in which a link fails. Relies on the relay to do it.
+Owns the ways in which a link fails. Relies on the relay to carry them out.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 
 async def spoil_link(link: Relay, rng: random.Random, for_s: float) -> None:
-    """Harm a link in one of its ways, and mend it."""
+    """Inject one randomly chosen fault into a link, and clear it after some seconds."""
     way = rng.choice(("cut", "silent", "one-way", "slow", "reset"))
     if way == "cut":
         link.cut()
--- a/tools/soak/troubles/operators.py
+++ b/tools/soak/troubles/operators.py
@@ -1,6 +1,6 @@
-"""Planned work of operators: changes of the configuration, and a data hall that is evacuated.
+"""Planned work of operators: changes of the configuration, and evacuation of a data hall.
 
-Owns one class a kind. Durations are guesses, never measured: they only have to vary.
+Owns one class for each kind. The durations only have to vary.
 """
 
 import asyncio
@@ -11,11 +11,11 @@
 from .trouble import Trouble
 
 _VERSION_GAPS_S = (0.08, 0.3, 1.0)
-"""Seconds between two versions of the configuration. Guesses, never measured."""
+"""Seconds between two versions of the configuration, one of which is drawn."""
 
 
 class Change(Trouble):
-    """The operators change the configuration: routes come, go and move to another service."""
+    """The operators change the configuration: they add, remove and reassign routes."""
 
     scope = OPERATORS
     planned = True
@@ -41,7 +41,7 @@
 
 
 class Evacuate(Trouble):
-    """A data hall is evacuated and taken back."""
+    """A data hall is evacuated and restored."""
 
     scope = OPERATORS
     planned = True
--- a/tools/soak/troubles/processes.py
+++ b/tools/soak/troubles/processes.py
@@ -1,8 +1,7 @@
-"""Troubles of the entry VMs' own processes: stops, kills, pauses, settings and the time of day.
+"""Troubles of the entry VMs' own processes: stops, kills, pauses, settings and clocks.
 
-Owns one class a kind. Relies on the world's keeper to start a process again, and on
-`tools/soak_vm.py` for its clocks. Durations are guesses, never measured: they only have to
-vary.
+Owns one class for each kind. Relies on `World.keeper` to restart a process, and on
+`tools/soak_vm.py` for its clocks. The durations only have to vary.
 """
 
 import asyncio
@@ -17,7 +16,7 @@
 
 
 class VmTrouble(Trouble):
-    """Strikes one entry VM."""
+    """Trouble of one entry VM."""
 
     def __init__(self, world: World, rng: random.Random, for_s: float) -> None:
         super().__init__(world, rng, for_s)
@@ -26,7 +25,7 @@
 
 
 class Stop(VmTrouble):
-    """The process gets SIGTERM, and is started again when it has ended."""
+    """The process gets SIGTERM, and is restarted when it has ended."""
 
     planned = True
 
@@ -36,7 +35,7 @@
 
 
 class StopTwice(VmTrouble):
-    """The process gets SIGTERM, and once more while it stops."""
+    """The process gets SIGTERM, and again while it stops."""
 
     planned = True
 
@@ -97,11 +96,11 @@
                 process.send_signal(signal.SIGCONT)
 
     def _before_it_continues(self) -> None:
-        """Do nothing: the clocks have gone on."""
+        """Do nothing: the clocks have advanced in the pause."""
 
 
 class Reload(VmTrouble):
-    """The settings change, with and without a signal, to something good or to nonsense."""
+    """The settings change to a valid or an invalid file, with or without SIGHUP."""
 
     planned = True
 
@@ -119,18 +118,18 @@
 
 
 class ClockStep(VmTrouble):
-    """The time of day jumps by seconds and back."""
+    """The wall clock jumps by some seconds and back."""
 
     async def _happen(self) -> None:
         clock = self.vm.settings.with_suffix(CLOCK_SUFFIX)
         clock.write_text(str(self.rng.uniform(-4, 4)), encoding="utf-8")
         await asyncio.sleep(self.for_s)
-        # Another step of the same VM's clock may have ended meanwhile.
+        # Another step of the same clock may have ended first and removed the file.
         clock.unlink(missing_ok=True)
 
 
 class Suspend(Pause):
-    """The VM is suspended: its process stands still, and only the time since boot goes on."""
+    """The VM is suspended: its process stops, and only the time since boot advances."""
 
     def _before_it_continues(self) -> None:
         file = self.vm.settings.with_suffix(SUSPENDED_SUFFIX)
--- a/tools/soak/troubles/servers.py
+++ b/tools/soak/troubles/servers.py
@@ -1,7 +1,7 @@
-"""Troubles of the backend servers: they leave, end, spoil answers, get slow or out of reach.
+"""Troubles of the backend servers: drains, crashes, defective answers, slowness, failed links.
 
-Owns one class a kind. Relies on the stand-ins for what a server does. Durations are guesses, never
-measured: they only have to vary.
+Owns one class for each kind. Relies on the stand-ins for what a server does. The durations only
+have to vary.
 """
 
 import asyncio
@@ -17,15 +17,15 @@
 from .links import spoil_link
 from .trouble import EVEN, Trouble
 
-_SICK_PAUSE_S = 0.15
-"""Seconds between two tries of a request that crashes servers. A guess, never measured."""
+_ATTEMPT_INTERVAL_S = 0.15
+"""Seconds between two attempts of a request that crashes servers."""
 
-_SICK_WAIT_S = 3.0
-"""Seconds that its caller waits for an answer. A guess, never measured."""
+_ATTEMPT_TIMEOUT_S = 3.0
+"""Timeout of each attempt, in seconds."""
 
 
 class ServerTrouble(Trouble):
-    """Strikes a backend server; the entry VMs stay bound by everything."""
+    """Trouble of a backend server, which excuses no entry VM."""
 
     scope = SERVERS
 
@@ -35,7 +35,7 @@
 
 
 class Leave(ServerTrouble):
-    """A backend server leaves; another comes, cold."""
+    """A backend server drains, and a cold one replaces it."""
 
     async def _happen(self) -> None:
         server = self.any_server()
@@ -44,7 +44,7 @@
 
 
 class Crash(ServerTrouble):
-    """A backend server ends without draining; another comes later, cold."""
+    """A backend server ends without draining; a cold one replaces it later."""
 
     async def _happen(self) -> None:
         server = self.any_server()
@@ -54,7 +54,7 @@
 
 
 class SpoilAnswers(ServerTrouble):
-    """Backend servers spoil some of their answers."""
+    """Backend servers send some defective answers."""
 
     async def _happen(self) -> None:
         spoils = [spoil for spoil in Spoil if spoil is not Spoil.NONE]
@@ -64,7 +64,7 @@
 
 
 class SlowServers(ServerTrouble):
-    """Some backend servers work much longer."""
+    """Some backend servers take much longer for each request."""
 
     async def _happen(self) -> None:
         chosen = self.rng.sample(tuple(self.world.backends.running.values()), 2)
@@ -84,7 +84,10 @@
 
 
 class StartAgain(ServerTrouble):
-    """A backend server dies and starts again under its id; behind a cut it resets nothing."""
+    """A backend server is killed and restarted under its id.
+
+    Its connections are reset at once or, in half of the cases, only at the restart.
+    """
 
     async def _happen(self) -> None:
         silent = self.rng.random() < EVEN
@@ -92,7 +95,7 @@
 
 
 class SpoilEntry(ServerTrouble):
-    """Another writer spoils the entry of a backend server, which writes it anew."""
+    """Another writer overwrites the entry of a backend server, which then restores it."""
 
     async def _happen(self) -> None:
         values = (b"", b"{", b"[]", b"\xff", b'{"Service":"rates","Address":"127.0.0.1:1"}')
@@ -102,22 +105,22 @@
 
 
 class SickRequest(ServerTrouble):
-    """One request crashes each server that runs it, and comes again at any VM, to the day's end."""
+    """A request that crashes each server running it is retried at random VMs to the day's end."""
 
     async def _happen(self) -> None:
         target = f"/{RATES}/sick{self.rng.randrange(1_000_000)}"
         self.world.backends.sick.add(target)
-        timeout = aiohttp.ClientTimeout(total=_SICK_WAIT_S)
+        timeout = aiohttp.ClientTimeout(total=_ATTEMPT_TIMEOUT_S)
         async with asyncio.TaskGroup() as tries, aiohttp.ClientSession(timeout=timeout) as session:
             for number in itertools.count():
                 vm = self.rng.choice(tuple(self.world.vms))
                 send = SickSend(f"{target}-{number}", target, vm)
                 self.world.ledger.sick_sends.append(send)
                 tries.create_task(self._try(session, send))
-                await asyncio.sleep(_SICK_PAUSE_S)
+                await asyncio.sleep(_ATTEMPT_INTERVAL_S)
 
     async def _try(self, session: aiohttp.ClientSession, send: SickSend) -> None:
-        """Send the request once; what comes of it is judged by what reached servers."""
+        """Send the request once; `promises` judges it by what reached servers."""
         headers = {"Host": HOST, "X-Request-Id": send.request_id, "Cookie": "X-Affinity-Key=sick"}
         headers["Api-Key"] = first_key(WORKSPACES[0])
         url = self.world.vms[send.vm].url("Front", send.target)
@@ -125,5 +128,5 @@
             async with session.get(url, headers=headers) as response:
                 await response.read()
         except (aiohttp.ClientError, TimeoutError):
-            # Silence is right: the VM may be down, and this caller only tries again.
+            # The VM may be down; this caller only tries again, so the error is ignored.
             return
--- a/tools/soak/troubles/statements.py
+++ b/tools/soak/troubles/statements.py
@@ -1,7 +1,7 @@
-"""Backend servers that state something of themselves: a limit, that they leave, a wish for rest.
+"""Backend servers that state a limit, that they are leaving, or a `Retry-After` in their answers.
 
-Owns one class a kind. What a server states stands in its own record of answers, by which `promises`
-judges; other troubles may strike the same server meanwhile.
+Owns one class for each kind. The server's own record of answers holds what it stated, by which
+`promises` judges; other troubles may affect the same server meanwhile.
 """
 
 import asyncio
@@ -12,32 +12,34 @@
 _LIMIT = "Server-Limit"
 _LEAVING = "Server-Leaving"
 _LIMITS_PER_S = (0.4, 2.0)
-"""Range of the limits that servers state, in requests a second: below what they usually get."""
+"""Range of the stated limits, in requests a second: below what servers usually get."""
 
 _RESTS_S = (0.7, 2.5)
-"""Range of the rests that servers ask for, in seconds."""
+"""Range of the stated `Retry-After` times, in seconds."""
 
 _KNOWN_S = 7.0
-"""Seconds for which a limit is stated beyond the time of the trouble: no VM is bound for the first
-of them, and then a window has to pass."""
+"""Seconds for which a limit is stated in addition to the duration of the trouble.
 
-_MOST_SERVERS = 3
-"""Most servers that a trouble strikes at once."""
+It binds no VM for the first seconds, and then a whole window has to pass.
+"""
+
+_MAX_SERVERS = 3
+"""Maximum number of servers that a trouble affects at once."""
 
 
 class StatementTrouble(ServerTrouble):
-    """Strikes backend servers that state nothing yet."""
+    """Trouble of backend servers that state nothing yet."""
 
     def some_servers(self) -> list[SoakServer]:
-        """Return one to three servers."""
+        """Return up to `_MAX_SERVERS` running servers that state nothing."""
         running = list(self.world.backends.running.values())
         silent = [s for s in running if not s.stand_in.says and not s.stand_in.rest]
-        count = min(len(silent), self.rng.randint(1, _MOST_SERVERS))
+        count = min(len(silent), self.rng.randint(1, _MAX_SERVERS))
         return self.rng.sample(silent, count)
 
 
 class LimitItself(StatementTrouble):
-    """Some servers take only a few requests a second, of all VMs together."""
+    """Some servers state a limit of a few requests a second for all VMs together."""
 
     async def _happen(self) -> None:
         chosen = self.some_servers()
@@ -49,7 +51,7 @@
 
 
 class LeaveByWord(StatementTrouble):
-    """A server says in its answers that it leaves; its entry says ready until it ends."""
+    """A server states in its answers that it is leaving; its entry says ready until it ends."""
 
     async def _happen(self) -> None:
         for server in self.some_servers()[:1]:
@@ -58,7 +60,7 @@
 
 
 class AskRest(StatementTrouble):
-    """Some servers turn a part of their requests away, each time asking for rest."""
+    """Some servers refuse a fraction of their requests with a `Retry-After` header."""
 
     async def _happen(self) -> None:
         chosen = self.some_servers()
--- a/tools/soak/troubles/store.py
+++ b/tools/soak/troubles/store.py
@@ -1,7 +1,7 @@
-"""Troubles of the store and of the ways to it: down, slow, forgetful, or shut to one entry VM.
+"""Troubles of the store and its links: outages, slowness, lost history, refusal of one entry VM.
 
-Owns one class a kind. Relies on the stand-in of the store for its faults. Durations are guesses,
-never measured: they only have to vary.
+Owns one class for each kind. Relies on the stand-in of the store for its faults. The durations only
+have to vary.
 """
 
 import asyncio
@@ -32,13 +32,13 @@
 
 
 class StoreTrouble(Trouble):
-    """Strikes the store."""
+    """Trouble of the store, which affects all entry VMs."""
 
     scope = STORE
 
 
 class StoreFaulty(StoreTrouble):
-    """The store is down, or loses answers, or carries writes out late."""
+    """The store is unavailable, loses answers or applies writes late, for all entry VMs."""
 
     async def _happen(self) -> None:
         store = self.world.store
@@ -48,7 +48,7 @@
 
 
 class StoreSlow(StoreTrouble):
-    """The store takes long to answer."""
+    """The store answers slowly."""
 
     async def _happen(self) -> None:
         self.world.store.slow_s = self.rng.uniform(0.1, 0.4)
@@ -57,7 +57,7 @@
 
 
 class StoreForgets(StoreTrouble):
-    """The store forgets its history in the middle of a storm of changes."""
+    """The store drops its event history right after several changes in a row."""
 
     async def _happen(self) -> None:
         for _ in range(3):
--- a/tools/soak/troubles/trouble.py
+++ b/tools/soak/troubles/trouble.py
@@ -1,7 +1,7 @@
-"""What all troubles share: one strikes for a while, mends what it harmed, and is on record.
+"""Base class of all troubles: a trouble lasts for a while, undoes its effects, and is recorded.
 
-Owns the record of a trouble in the ledger, with its scope and time, by which `promises` knows whom
-it struck. What a trouble does is its kind's own.
+Owns the record of a trouble in the ledger, with its scope and time, from which `promises` knows
+which parts it affected. Its kind decides what it does.
 """
 
 import abc
@@ -11,22 +11,22 @@
 from ..world import World
 
 DAZED_S = 0.5
-"""Seconds that a trouble counts after its end: what it held back arrives then. A guess."""
+"""Seconds for which a trouble counts after its end, since delayed messages arrive then."""
 
 EVEN = 0.5
-"""Chance of each of two ways that are as likely as each other; chosen so, not measured."""
+"""Probability of each of two equally likely choices."""
 
 
 class Trouble(abc.ABC):
-    """Something that goes wrong for a while.
+    """An injected fault, or planned work, that lasts for a while.
 
-    `scope` says whom it strikes, and `planned` whether it is work that must cut nothing off; see
-    `Struck`.
+    `scope` and `planned` are those of its record: what it affects, and whether it is planned work
+    that must not cut requests off.
 
     Args:
-        world: The day.
+        world: Parts of the day.
         rng: Source of randomness.
-        for_s: How long, in seconds.
+        for_s: Duration, in seconds.
     """
 
     scope = EVERYBODY
@@ -38,7 +38,7 @@
         self.for_s = for_s
 
     async def strike(self) -> None:
-        """Strike, and record how long it lasted."""
+        """Carry the trouble out, and record how long it lasted."""
         start = self.world.loop.time()
         held = Struck(type(self).__name__, self.scope, start, float("inf"), self.planned)
         struck = self.world.ledger.struck
@@ -51,4 +51,4 @@
 
     @abc.abstractmethod
     async def _happen(self) -> None:
-        """Let it happen, and mend it."""
+        """Inject the fault or do the work, and undo it in the end."""
--- a/tools/soak/troubles/workspaces.py
+++ b/tools/soak/troubles/workspaces.py
@@ -1,7 +1,7 @@
-"""Workspaces in trouble: keys that come and go, rates that change, one that sends far too much.
+"""Troubles of workspaces: added and revoked keys, changed limits, one that sends far too much.
 
-Owns one class a kind. The first key of each workspace stays in every version, so that its callers
-always have one that works; keys that were taken away are used for a while, as callers would.
+Owns one class for each kind. The first key of each workspace is in every version, so that its
+callers always have a valid one; revoked keys are used for a while longer, as callers would.
 """
 
 import asyncio
@@ -11,14 +11,14 @@
 from .trouble import Trouble
 
 _HOT_FACTOR = 7.5
-"""How many times its usual a hot workspace sends."""
+"""Factor on the usual request rate of the workspace that sends too much."""
 
 _LOWERED_PART = 0.25
-"""Part of its rate that a workspace is left with when its limit is lowered."""
+"""Fraction of a workspace's limit that is left after the limit is lowered."""
 
 
 class Keys(Trouble):
-    """A key is added to a workspace, used, and taken away again."""
+    """A key is added to a workspace, used for a while, and revoked."""
 
     scope = OPERATORS
     planned = True
@@ -35,7 +35,7 @@
 
 
 class HotWorkspace(Trouble):
-    """One workspace sends many times its usual."""
+    """One workspace sends many times its usual rate."""
 
     scope = OPERATORS
     planned = True
@@ -48,7 +48,7 @@
 
 
 class LowerRate(Trouble):
-    """A workspace's limit is lowered far below what it sends, and raised again."""
+    """A workspace's limit is lowered far below its request rate, and restored later."""
 
     scope = OPERATORS
     planned = True
