--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,7 +19,7 @@
 from tools.soak.backend_servers import SoakServer, body_of
 from tools.soak.configuration import BOOK, RATES
 from tools.soak.day import plan
-from tools.soak.ledger import Attempt, End, Leaving, Ledger, SickSend, Struck, Version
+from tools.soak.ledger import Attempt, End, Leaving, Ledger, SickSend, TroubleSpan, Version
 from tools.soak.promises.answers import judge_answer
 from tools.soak.promises.evidence import Evidence, gather_runs
 from tools.soak.promises.judge import judge
@@ -152,7 +152,7 @@
         day = Judged()
         day.ledger.versions[0] = Version(1, 0.0, {**_SERVICES, "extra": "rates"})
         day.ledger.versions.append(Version(2, 100.0, _SERVICES))
-        day.ledger.struck.append(Struck("Pause", "vm1", 99.0, 103.0))
+        day.ledger.troubles.append(TroubleSpan("Pause", "vm1", 99.0, 103.0))
         day.attempt("q0")
         day.attempt(route="extra", sent_at=103.0)
         self.assertEqual(day.rules(), set())
@@ -184,9 +184,9 @@
         self.assertEqual(day.rules(), {"BUDGET"})
 
     def test_a_planned_stop_cuts_nothing_off(self) -> None:
-        for struck, expected in (([], {"LOST"}), ([Struck("Kill", "vm1", 99, 100)], set())):
+        for troubles, expected in (([], {"LOST"}), ([TroubleSpan("Kill", "vm1", 99, 100)], set())):
             day = Judged()
-            day.ledger.struck += struck
+            day.ledger.troubles += troubles
             day.ledger.signalled["vm1"].append((99.5, int(signal.SIGTERM)))
             day.ledger.ends["vm1"].append((101.0, 0))
             for number in range(9):
--- a/tests/test_soak_statements.py
+++ b/tests/test_soak_statements.py
@@ -3,7 +3,7 @@
 import unittest
 
 from standins.scripted_server import Answered
-from tools.soak.ledger import EVERYBODY, STORE, Attempt, End, Struck
+from tools.soak.ledger import EVERYBODY, STORE, Attempt, End, TroubleSpan
 from tools.soak.promises.evidence import Evidence, gather_runs
 from tools.soak.promises.judge import judge
 
@@ -42,7 +42,7 @@
                 for number in range(int(per_s * 10)):
                     day.sends(f"vm{number % 2}", 100.0 + number / per_s, limit_per_s=2.5)
                 if scope:
-                    day.ledger.struck.append(Struck("CutFromStore", scope, 101.0, 109.0))
+                    day.ledger.troubles.append(TroubleSpan("CutFromStore", scope, 101.0, 109.0))
                 self.assertEqual(day.rules(), expected, (per_s, scope))
 
     def test_a_limit_is_not_judged_before_all_can_know_nor_by_vms_that_were_struck(self) -> None:
@@ -51,11 +51,11 @@
             for number in range(int(8 * length_s)):
                 day.sends(f"vm{number % 2}", 100.0 + number / 8, limit_per_s=2.5)
             if scope:
-                day.ledger.struck.append(Struck("Pause", scope, 100.0, 110.0))
+                day.ledger.troubles.append(TroubleSpan("Pause", scope, 100.0, 110.0))
             self.assertEqual(day.rules(), set())
 
     def test_a_server_that_leaves_by_its_own_word(self) -> None:
-        for later_s, struck, expected in (
+        for later_s, scope, expected in (
             (1.9, "", set()),
             (3.0, "", {"DRAIN"}),
             (3.0, STORE, {"DRAIN"}),
@@ -64,9 +64,9 @@
             day = Day()
             day.sends("vm1", 100.0, leaving=True)
             day.sends("vm1", 100.0 + later_s, leaving=True)
-            if struck:
-                day.ledger.struck.append(Struck("Kill", struck, 100.5, 101.0))
-            self.assertEqual(day.rules(), expected, (later_s, struck))
+            if scope:
+                day.ledger.troubles.append(TroubleSpan("Kill", scope, 100.5, 101.0))
+            self.assertEqual(day.rules(), expected, (later_s, scope))
 
     def test_another_vm_that_was_not_told_may_send_to_one_that_leaves(self) -> None:
         day = Day()
--- a/tools/soak/day.py
+++ b/tools/soak/day.py
@@ -163,14 +163,14 @@
     ]
     start = world.loop.time()
     work = [asyncio.create_task(caller.run()) for caller in callers]
-    troubles = [asyncio.create_task(_strike(world, row, start)) for row in planned[:-1]]
+    troubles = [asyncio.create_task(_carry_out(world, row, start)) for row in planned[:-1]]
     await asyncio.sleep(planned[-1].at)
     if not await world.keeper.until_all_ready():
         world.ledger.breaks(
             "RECOVER", f"only these entry VMs are ready: {sorted(world.keeper.ready)}"
         )
     world.ledger.quiet_from = world.loop.time() + _QUIET_FROM_S
-    troubles.append(asyncio.create_task(_strike(world, planned[-1], start)))
+    troubles.append(asyncio.create_task(_carry_out(world, planned[-1], start)))
     await asyncio.sleep(_QUIET_S)
     for task in (*work, *troubles):
         task.cancel()
@@ -179,6 +179,6 @@
             raise result
 
 
-async def _strike(world: World, row: Planned, start: float) -> None:
+async def _carry_out(world: World, row: Planned, start: float) -> None:
     await asyncio.sleep(max(0.0, start + row.at - world.loop.time()))
-    await row.kind(world, random.Random(row.seed), row.for_s).strike()
+    await row.kind(world, random.Random(row.seed), row.for_s).carry_out()
--- a/tools/soak/ledger.py
+++ b/tools/soak/ledger.py
@@ -62,7 +62,7 @@
         self.status = 0
 
 
-class Struck(NamedTuple):
+class TroubleSpan(NamedTuple):
     """One trouble and the time for which it lasted.
 
     Args:
@@ -154,7 +154,7 @@
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
-        self.struck: list[Struck] = []
+        self.troubles: list[TroubleSpan] = []
         self.versions: list[Version] = []
         self.leavings: list[Leaving] = []
         self.broken: list[Broken] = []
@@ -176,9 +176,9 @@
             start: Start, as monotonic time in seconds.
             end: End, likewise.
         """
-        return not any(self._strikes(start, end, (vm, STORE, EVERYBODY)))
+        return not any(self._troubles_in(start, end, (vm, STORE, EVERYBODY)))
 
-    def unstruck_itself(self, vm: str, start: float, end: float) -> bool:
+    def vm_without_faults(self, vm: str, start: float, end: float) -> bool:
         """Return whether only planned work and starts affected an entry VM in a time span.
 
         Args:
@@ -187,11 +187,11 @@
             end: End, likewise.
         """
         return not any(
-            not struck.planned and struck.what != START
-            for struck in self._strikes(start, end, (vm, EVERYBODY))
+            not span.planned and span.what != START
+            for span in self._troubles_in(start, end, (vm, EVERYBODY))
         )
 
-    def untouched(self, vm: str, start: float, end: float) -> bool:
+    def vm_undisturbed(self, vm: str, start: float, end: float) -> bool:
         """Return whether nothing affected an entry VM itself, planned work and starts included.
 
         Args:
@@ -199,11 +199,13 @@
             start: Start, as monotonic time in seconds.
             end: End, likewise.
         """
-        return not any(self._strikes(start, end, (vm, EVERYBODY)))
+        return not any(self._troubles_in(start, end, (vm, EVERYBODY)))
 
-    def _strikes(self, start: float, end: float, scopes: tuple[str, ...]) -> Iterator[Struck]:
+    def _troubles_in(
+        self, start: float, end: float, scopes: tuple[str, ...]
+    ) -> Iterator[TroubleSpan]:
         return (
-            struck
-            for struck in self.struck
-            if struck.scope in scopes and struck.start <= end and struck.end >= start
+            span
+            for span in self.troubles
+            if span.scope in scopes and span.start <= end and span.end >= start
         )
--- a/tools/soak/own_lag.py
+++ b/tools/soak/own_lag.py
@@ -6,7 +6,7 @@
 
 import asyncio
 
-from .ledger import EVERYBODY, Ledger, Struck
+from .ledger import EVERYBODY, Ledger, TroubleSpan
 
 _CHECK_INTERVAL_S = 0.05
 """Seconds between two checks of the soak's own clock; shorter than `_MIN_LAG_S`."""
@@ -23,4 +23,4 @@
         await asyncio.sleep(_CHECK_INTERVAL_S)
         now = loop.time()
         if now - before > _MIN_LAG_S:
-            ledger.struck.append(Struck("own lag", EVERYBODY, before, now))
+            ledger.troubles.append(TroubleSpan("own lag", EVERYBODY, before, now))
--- a/tools/soak/promises/evidence.py
+++ b/tools/soak/promises/evidence.py
@@ -78,9 +78,9 @@
         """
         return self.ledger.undisturbed(vm, since - CONTACT_S - OUTER_S, until)
 
-    def unstruck(self, vm: str, since: float, until: float) -> bool:
+    def without_faults(self, vm: str, since: float, until: float) -> bool:
         """Return whether only planned work affected an entry VM itself; the store may fail."""
-        return self.ledger.unstruck_itself(vm, since - CONTACT_S, until)
+        return self.ledger.vm_without_faults(vm, since - CONTACT_S, until)
 
 
 def gather_runs(servers: Iterable[SoakServer]) -> dict[str, list[Seen]]:
--- a/tools/soak/promises/statements.py
+++ b/tools/soak/promises/statements.py
@@ -71,7 +71,7 @@
     for arrival in arrivals:
         since = told.get(arrival.vm, float("inf"))
         late_s = arrival.sent_at - since - _DRAIN_S - SLACK_S
-        if late_s > 0 and evidence.ledger.untouched(arrival.vm, since, arrival.at):
+        if late_s > 0 and evidence.ledger.vm_undisturbed(arrival.vm, since, arrival.at):
             what = f"{server.server_id} got a request sent {late_s:.2f} s late by {arrival.vm}"
             evidence.ledger.breaks("DRAIN", what)
 
@@ -85,7 +85,7 @@
             continue
         end = answer.at + answer.rest_s
         sent = [a.at for a in arrivals if a.vm == vm and answer.at + _TOLD_S < a.at < end]
-        if len(sent) > _MAX_IN_REST and evidence.ledger.untouched(vm, answer.at, end):
+        if len(sent) > _MAX_IN_REST and evidence.ledger.vm_undisturbed(vm, answer.at, end):
             what = f"{server.server_id} got {len(sent)} requests in its rest from {vm}"
             evidence.ledger.breaks("REST", what)
 
@@ -100,7 +100,7 @@
             for arrival in arrivals
             if phase[0].at + CONTACT_S <= arrival.at <= phase[-1].at
             and told.get(arrival.vm, float("inf")) + _TOLD_S <= arrival.at
-            and evidence.ledger.untouched(arrival.vm, phase[0].at, arrival.at)
+            and evidence.ledger.vm_undisturbed(arrival.vm, phase[0].at, arrival.at)
         )
         bound = _LIMIT_FACTOR * _WINDOW_S * max(a.limit_per_s or 0.0 for a in phase) + _LIMIT_SLACK
         for index, start in enumerate(counted):
--- a/tools/soak/promises/stops.py
+++ b/tools/soak/promises/stops.py
@@ -23,7 +23,7 @@
     for attempt in evidence.ledger.attempts:
         if attempt.end is not End.CLOSED or not _stopping(evidence.ledger, attempt):
             continue
-        if not evidence.unstruck(attempt.vm, attempt.sent_at, attempt.ended_at):
+        if not evidence.without_faults(attempt.vm, attempt.sent_at, attempt.ended_at):
             continue
         ran = bool(evidence.runs_of(attempt))
         took = attempt.ended_at - attempt.sent_at
@@ -52,7 +52,7 @@
 
 def _starting(ledger: Ledger, vm: str, at: float) -> bool:
     """Return whether an entry VM was starting, when its signal handlers may not be set yet."""
-    starts = (s for s in ledger.struck if s.what == START and s.scope == vm)
+    starts = (s for s in ledger.troubles if s.what == START and s.scope == vm)
     return any(s.start <= at <= s.end + SLACK_S for s in starts)
 
 
@@ -62,7 +62,7 @@
     for vm, signalled in ledger.signalled.items():
         for sent_at, number in signalled:
             late = sent_at + GRACE_S + SLACK_S
-            if number != signal.SIGTERM or not evidence.unstruck(vm, sent_at, late):
+            if number != signal.SIGTERM or not evidence.without_faults(vm, sent_at, late):
                 continue
             after = [at for at, _ in ledger.ends[vm] if at >= sent_at]
             if late < evidence.ended_at and (not after or after[0] > late):
--- a/tools/soak/promises/waiting.py
+++ b/tools/soak/promises/waiting.py
@@ -17,6 +17,8 @@
         if attempt.end is None:
             continue
         took = attempt.ended_at - attempt.sent_at
-        if took > limit and evidence.unstruck(attempt.vm, attempt.sent_at, attempt.sent_at + limit):
+        if took > limit and evidence.without_faults(
+            attempt.vm, attempt.sent_at, attempt.sent_at + limit
+        ):
             what = f"{attempt.request_id} at {attempt.vm} took {took:.2f} s"
             evidence.ledger.breaks("HELD", what)
--- a/tools/soak/troubles/links.py
+++ b/tools/soak/troubles/links.py
@@ -8,7 +8,7 @@
 
 from standins.relay import Relay
 
-from .trouble import EVEN
+from .trouble import EVEN_CHANCE
 
 
 async def spoil_link(link: Relay, rng: random.Random, for_s: float) -> None:
@@ -19,7 +19,7 @@
     elif way == "silent":
         link.freeze()
     elif way == "one-way":
-        link.freeze(to_target=rng.random() < EVEN, to_caller=False)
+        link.freeze(to_target=rng.random() < EVEN_CHANCE, to_caller=False)
         link.freeze(to_target=False, to_caller=True)
     elif way == "slow":
         link.delay_s = rng.uniform(0.05, 0.3)
--- a/tools/soak/troubles/operators.py
+++ b/tools/soak/troubles/operators.py
@@ -20,7 +20,7 @@
     scope = OPERATORS
     planned = True
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         for _ in range(self.rng.randint(1, 4)):
             self._change()
             self.world.configuration.write()
@@ -46,5 +46,5 @@
     scope = OPERATORS
     planned = True
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         await self.world.backends.evacuate(self.rng.choice(tuple(ZONES)), self.for_s + 3.0)
--- a/tools/soak/troubles/processes.py
+++ b/tools/soak/troubles/processes.py
@@ -12,7 +12,7 @@
 from tools.soak_vm import CLOCK_SUFFIX, SUSPENDED_SUFFIX
 
 from ..world import World
-from .trouble import DAZED_S, EVEN, Trouble
+from .trouble import AFTEREFFECT_S, EVEN_CHANCE, Trouble
 
 
 class VmTrouble(Trouble):
@@ -29,7 +29,7 @@
 
     planned = True
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         self.world.keeper.signal(self.vm, signal.SIGTERM)
         await asyncio.sleep(self.for_s)
 
@@ -39,7 +39,7 @@
 
     planned = True
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         self.world.keeper.signal(self.vm, signal.SIGTERM)
         await asyncio.sleep(self.rng.uniform(0.05, 1.5))
         self.world.keeper.signal(self.vm, signal.SIGTERM)
@@ -50,7 +50,7 @@
 
     planned = True
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         for vm in self.rng.sample(tuple(self.world.vms.values()), len(self.world.vms)):
             self.world.keeper.signal(vm, signal.SIGTERM)
             await asyncio.sleep(self.rng.uniform(0.3, 1.5))
@@ -59,24 +59,24 @@
 class Kill(VmTrouble):
     """The process is killed."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         self.world.keeper.signal(self.vm, signal.SIGKILL)
-        await asyncio.sleep(DAZED_S)
+        await asyncio.sleep(AFTEREFFECT_S)
 
 
 class KillAll(Trouble):
     """All processes are killed at once."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         for vm in self.world.vms.values():
             self.world.keeper.signal(vm, signal.SIGKILL)
-        await asyncio.sleep(DAZED_S)
+        await asyncio.sleep(AFTEREFFECT_S)
 
 
 class KillInStop(VmTrouble):
     """The process is killed while it stops."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         self.world.keeper.signal(self.vm, signal.SIGTERM)
         await asyncio.sleep(self.rng.uniform(0.05, 2.5))
         self.world.keeper.signal(self.vm, signal.SIGKILL)
@@ -85,7 +85,7 @@
 class Pause(VmTrouble):
     """The process is paused by SIGSTOP and continues later."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         process = self.vm.process
         self.world.keeper.signal(self.vm, signal.SIGSTOP)
         try:
@@ -104,14 +104,14 @@
 
     planned = True
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         table = {**self.vm.table, "Unknown": self.rng.random()}
-        good = self.rng.random() < EVEN
+        good = self.rng.random() < EVEN_CHANCE
         if good:
             self.vm.lay_settings(table)
         else:
             self.vm.settings.write_text("{ broken", encoding="utf-8")
-        if self.rng.random() < EVEN:
+        if self.rng.random() < EVEN_CHANCE:
             self.world.keeper.signal(self.vm, signal.SIGHUP)
         await asyncio.sleep(min(self.for_s, 0.2))
         self.vm.lay_settings(self.vm.table)
@@ -120,7 +120,7 @@
 class ClockStep(VmTrouble):
     """The wall clock jumps by some seconds and back."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         clock = self.vm.settings.with_suffix(CLOCK_SUFFIX)
         clock.write_text(str(self.rng.uniform(-4, 4)), encoding="utf-8")
         await asyncio.sleep(self.for_s)
--- a/tools/soak/troubles/servers.py
+++ b/tools/soak/troubles/servers.py
@@ -15,7 +15,7 @@
 from ..configuration import HOST, RATES, WORKSPACES, first_key
 from ..ledger import SERVERS, SickSend
 from .links import spoil_link
-from .trouble import EVEN, Trouble
+from .trouble import EVEN_CHANCE, Trouble
 
 _ATTEMPT_INTERVAL_S = 0.15
 """Seconds between two attempts of a request that crashes servers."""
@@ -37,7 +37,7 @@
 class Leave(ServerTrouble):
     """A backend server drains, and a cold one replaces it."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         server = self.any_server()
         await self.world.backends.add(server.service, server.zone, cold_s=1.0)
         await self.world.backends.drain(server)
@@ -46,7 +46,7 @@
 class Crash(ServerTrouble):
     """A backend server ends without draining; a cold one replaces it later."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         server = self.any_server()
         self.world.backends.crash(server)
         await asyncio.sleep(self.for_s)
@@ -56,7 +56,7 @@
 class SpoilAnswers(ServerTrouble):
     """Backend servers send some defective answers."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         spoils = [spoil for spoil in Spoil if spoil is not Spoil.NONE]
         for server in self.rng.sample(tuple(self.world.backends.running.values()), 3):
             server.stand_in.spoils += self.rng.choices(spoils, k=4)
@@ -66,7 +66,7 @@
 class SlowServers(ServerTrouble):
     """Some backend servers take much longer for each request."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         chosen = self.rng.sample(tuple(self.world.backends.running.values()), 2)
         usual = [server.stand_in.work_s for server in chosen]
         for server in chosen:
@@ -79,7 +79,7 @@
 class ServerLink(ServerTrouble):
     """The link to a backend server is cut, silent, one-way, or slow."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         await spoil_link(self.any_server().link, self.rng, self.for_s)
 
 
@@ -89,15 +89,15 @@
     Its connections are reset at once or, in half of the cases, only at the restart.
     """
 
-    async def _happen(self) -> None:
-        silent = self.rng.random() < EVEN
+    async def _inject(self) -> None:
+        silent = self.rng.random() < EVEN_CHANCE
         await self.world.backends.start_again(self.any_server(), self.for_s, silent=silent)
 
 
 class SpoilEntry(ServerTrouble):
     """Another writer overwrites the entry of a backend server, which then restores it."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         values = (b"", b"{", b"[]", b"\xff", b'{"Service":"rates","Address":"127.0.0.1:1"}')
         await self.world.backends.spoil_entry(
             self.any_server(), self.rng.choice(values), self.for_s
@@ -107,7 +107,7 @@
 class SickRequest(ServerTrouble):
     """A request that crashes each server running it is retried at random VMs to the day's end."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         target = f"/{RATES}/sick{self.rng.randrange(1_000_000)}"
         self.world.backends.sick.add(target)
         timeout = aiohttp.ClientTimeout(total=_ATTEMPT_TIMEOUT_S)
--- a/tools/soak/troubles/statements.py
+++ b/tools/soak/troubles/statements.py
@@ -41,7 +41,7 @@
 class LimitItself(StatementTrouble):
     """Some servers state a limit of a few requests a second for all VMs together."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         chosen = self.some_servers()
         for server in chosen:
             server.stand_in.says[_LIMIT] = f"{self.rng.uniform(*_LIMITS_PER_S):.2f}"
@@ -53,7 +53,7 @@
 class LeaveByWord(StatementTrouble):
     """A server states in its answers that it is leaving; its entry says ready until it ends."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         for server in self.some_servers()[:1]:
             await self.world.backends.add(server.service, server.zone, cold_s=1.0)
             await self.world.backends.leave_by_word(server, _LEAVING, self.for_s)
@@ -62,7 +62,7 @@
 class AskRest(StatementTrouble):
     """Some servers refuse a fraction of their requests with a `Retry-After` header."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         chosen = self.some_servers()
         for server in chosen:
             part = self.rng.uniform(0.3, 1.0)
--- a/tools/soak/troubles/store.py
+++ b/tools/soak/troubles/store.py
@@ -17,14 +17,14 @@
 class CutFromStore(VmTrouble):
     """One entry VM's link to the store is cut, silent, one-way, or slow."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         await spoil_link(self.world.store_links[self.vm.name], self.rng, self.for_s)
 
 
 class TurnedAway(VmTrouble):
     """The store refuses one entry VM's calls and serves the others."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         faults = self.world.store.faults_by_machine
         faults[self.vm.name] = self.rng.choice((Fault.BUSY, Fault.MANY, Fault.RESET, Fault.SILENT))
         await asyncio.sleep(self.for_s)
@@ -40,7 +40,7 @@
 class StoreFaulty(StoreTrouble):
     """The store is unavailable, loses answers or applies writes late, for all entry VMs."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         store = self.world.store
         store.fault = self.rng.choice([fault for fault in Fault if fault is not Fault.NONE])
         await asyncio.sleep(self.for_s)
@@ -50,7 +50,7 @@
 class StoreSlow(StoreTrouble):
     """The store answers slowly."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         self.world.store.slow_s = self.rng.uniform(0.1, 0.4)
         await asyncio.sleep(self.for_s)
         self.world.store.slow_s = 0.0
@@ -59,7 +59,7 @@
 class StoreForgets(StoreTrouble):
     """The store drops its event history right after several changes in a row."""
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         for _ in range(3):
             self.world.configuration.write()
             await asyncio.sleep(0.08)
--- a/tools/soak/troubles/trouble.py
+++ b/tools/soak/troubles/trouble.py
@@ -7,13 +7,13 @@
 import abc
 import random
 
-from ..ledger import EVERYBODY, Struck
+from ..ledger import EVERYBODY, TroubleSpan
 from ..world import World
 
-DAZED_S = 0.5
+AFTEREFFECT_S = 0.5
 """Seconds for which a trouble counts after its end, since delayed messages arrive then."""
 
-EVEN = 0.5
+EVEN_CHANCE = 0.5
 """Probability of each of two equally likely choices."""
 
 
@@ -37,18 +37,18 @@
         self.rng = rng
         self.for_s = for_s
 
-    async def strike(self) -> None:
+    async def carry_out(self) -> None:
         """Carry the trouble out, and record how long it lasted."""
         start = self.world.loop.time()
-        held = Struck(type(self).__name__, self.scope, start, float("inf"), self.planned)
-        struck = self.world.ledger.struck
-        struck.append(held)
+        held = TroubleSpan(type(self).__name__, self.scope, start, float("inf"), self.planned)
+        troubles = self.world.ledger.troubles
+        troubles.append(held)
         try:
-            await self._happen()
+            await self._inject()
         finally:
-            end = self.world.loop.time() + DAZED_S
-            struck[struck.index(held)] = held._replace(end=end)
+            end = self.world.loop.time() + AFTEREFFECT_S
+            troubles[troubles.index(held)] = held._replace(end=end)
 
     @abc.abstractmethod
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         """Inject the fault or do the work, and undo it in the end."""
--- a/tools/soak/troubles/workspaces.py
+++ b/tools/soak/troubles/workspaces.py
@@ -23,7 +23,7 @@
     scope = OPERATORS
     planned = True
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         name = self.rng.choice(WORKSPACES)
         configuration = self.world.configuration
         key = f"{first_key(name)}-{self.rng.randrange(1 << 30)}"
@@ -40,7 +40,7 @@
     scope = OPERATORS
     planned = True
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         name = self.rng.choice(WORKSPACES)
         self.world.hot[name] = _HOT_FACTOR
         await asyncio.sleep(self.for_s)
@@ -53,7 +53,7 @@
     scope = OPERATORS
     planned = True
 
-    async def _happen(self) -> None:
+    async def _inject(self) -> None:
         name = self.rng.choice(WORKSPACES)
         configuration = self.world.configuration
         configuration.rates_per_s[name] = RATES_PER_S[name] * _LOWERED_PART
--- a/tools/soak/vm_keeper.py
+++ b/tools/soak/vm_keeper.py
@@ -12,7 +12,7 @@
 
 from tools.entry_vm import EntryVm
 
-from .ledger import START, Ledger, Struck
+from .ledger import START, Ledger, TroubleSpan
 
 _RESTART_DELAY_S = 0.3
 """Seconds from the end of a process to its restart."""
@@ -107,7 +107,7 @@
                         self.ready.add(vm.name)
                         break
         now = asyncio.get_running_loop().time()
-        self._ledger.struck.append(Struck(START, vm.name, started_at, now))
+        self._ledger.troubles.append(TroubleSpan(START, vm.name, started_at, now))
 
     def _is_up(self, vm: EntryVm) -> bool:
         signals = [at for at, n in self._ledger.signalled[vm.name] if n in _ENDING]
