--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,7 +19,7 @@
 from tools.soak.backend_servers import SoakServer, body_of
 from tools.soak.configuration import BOOK, RATES
 from tools.soak.day import plan
-from tools.soak.ledger import Attempt, End, Leaving, Ledger, SickSend, TroubleSpan, Version
+from tools.soak.ledger import Attempt, CrashingSend, End, Leaving, Ledger, TroubleSpan, Version
 from tools.soak.promises.answers import judge_answer
 from tools.soak.promises.evidence import Evidence, gather_runs
 from tools.soak.promises.judge import judge
@@ -80,7 +80,7 @@
             day.attempt()
             day.ledger.crashes["/rates/sick"] += [90.0, 90.2, 90.4]
             for number in range(sends):
-                day.ledger.sick_sends.append(SickSend(f"s{number}", "/rates/sick", "vm1"))
+                day.ledger.crashing_sends.append(CrashingSend(f"s{number}", "/rates/sick", "vm1"))
                 day.run(f"s{number}", "i-1", 94.0 + number)
             self.assertEqual(day.rules(), expected)
 
--- a/tools/soak/backend_servers.py
+++ b/tools/soak/backend_servers.py
@@ -104,13 +104,13 @@
 
     Attributes:
         running: Servers that have neither left nor crashed, by their ids.
-        sick: Targets whose requests crash each server that runs them.
+        crashing_targets: Targets whose requests crash each server that runs them.
     """
 
     def __init__(self, store: StoreStandIn, wiring: Wiring, ledger: Ledger) -> None:
         self.running: dict[str, SoakServer] = {}
         self._gone: list[SoakServer] = []
-        self.sick: set[str] = set()
+        self.crashing_targets: set[str] = set()
         self._evacuations: Counter[str] = Counter()
         self._work: set[asyncio.Task] = set()
         self._numbers = 0
@@ -218,7 +218,7 @@
             self._store.remove(f"op/evacuate/{zone}")
 
     def _on_run(self, server: SoakServer, run: Run) -> None:
-        if run.target in self.sick:
+        if run.target in self.crashing_targets:
             loop = asyncio.get_running_loop()
             loop.call_later(_RUN_TO_CRASH_S, self._crash_under_request, server, run.target)
 
--- a/tools/soak/day.py
+++ b/tools/soak/day.py
@@ -166,7 +166,7 @@
     troubles = [asyncio.create_task(_carry_out(world, row, start)) for row in planned[:-1]]
     await asyncio.sleep(planned[-1].at)
     if not await world.keeper.until_all_ready():
-        world.ledger.breaks(
+        world.ledger.record_broken(
             "RECOVER", f"only these entry VMs are ready: {sorted(world.keeper.ready)}"
         )
     world.ledger.quiet_from = world.loop.time() + _QUIET_FROM_S
--- a/tools/soak/ledger.py
+++ b/tools/soak/ledger.py
@@ -116,7 +116,7 @@
     rule: str
 
 
-class SickSend(NamedTuple):
+class CrashingSend(NamedTuple):
     """One attempt to send a request that crashes the backend servers which run it.
 
     Args:
@@ -158,13 +158,13 @@
         self.versions: list[Version] = []
         self.leavings: list[Leaving] = []
         self.broken: list[Broken] = []
-        self.sick_sends: list[SickSend] = []
+        self.crashing_sends: list[CrashingSend] = []
         self.crashes: dict[str, list[float]] = defaultdict(list)
         self.ends: dict[str, list[tuple[float, int]]] = defaultdict(list)
         self.signalled: dict[str, list[tuple[float, int]]] = defaultdict(list)
         self.quiet_from = float("inf")
 
-    def breaks(self, rule: str, what: str) -> None:
+    def record_broken(self, rule: str, what: str) -> None:
         """Record a broken promise."""
         self.broken.append(Broken(rule, what))
 
--- a/tools/soak/promises/answers.py
+++ b/tools/soak/promises/answers.py
@@ -37,17 +37,19 @@
     request_id, status = attempt.request_id, attempt.status
     if status == HTTPStatus.OK:
         if not _is_own(request_id, body, headers):
-            ledger.breaks("MIXED", f"{request_id} got {body[:60]!r}")
+            ledger.record_broken("MIXED", f"{request_id} got {body[:60]!r}")
     elif status == HTTPStatus.UNAUTHORIZED and attempt.key not in _STANDING_KEYS:
         return  # `workspaces` judges this, as it knows the versions.
     elif status in _FORBIDDEN and attempt.route in STANDING_ROUTES:
-        ledger.breaks("DENIED", f"{request_id} got {status}")
+        ledger.record_broken("DENIED", f"{request_id} got {status}")
     elif status == _FAULT and _SIGNATURE not in headers:
-        ledger.breaks("FAULT", f"{request_id} at {attempt.vm} got {_FAULT:d}")
+        ledger.record_broken("FAULT", f"{request_id} at {attempt.vm} got {_FAULT:d}")
     elif status in _COME_BACK and "Retry-After" not in headers:
-        ledger.breaks("COME BACK", f"{request_id} got no Retry-After header")
+        ledger.record_broken("COME BACK", f"{request_id} got no Retry-After header")
     elif status == HTTPStatus.SERVICE_UNAVAILABLE and _CRASHES_SERVERS in body:
-        ledger.breaks("INNOCENT", f"{request_id} was refused as a request that crashes servers")
+        ledger.record_broken(
+            "INNOCENT", f"{request_id} was refused as a request that crashes servers"
+        )
 
 
 def _is_own(request_id: str, body: bytes, headers: Mapping[str, str]) -> bool:
--- a/tools/soak/promises/configuration.py
+++ b/tools/soak/promises/configuration.py
@@ -30,9 +30,11 @@
         for seen in evidence.runs_of(attempt):
             if seen.service not in allowed:
                 what = f"{attempt.request_id} of {attempt.route} ran at {seen.service}"
-                evidence.ledger.breaks("CONFIG", f"{what}, allowed {allowed}")
+                evidence.ledger.record_broken("CONFIG", f"{what}, allowed {allowed}")
         if attempt.status == HTTPStatus.NOT_FOUND and None not in allowed:
-            evidence.ledger.breaks("CONFIG", f"{attempt.request_id} got 404, allowed {allowed}")
+            evidence.ledger.record_broken(
+                "CONFIG", f"{attempt.request_id} got 404, allowed {allowed}"
+            )
 
 
 def may_be_in_force(versions: list[Version], attempt: Attempt) -> Iterable[Version]:
@@ -65,7 +67,7 @@
         fitting = _versions_that_fit(evidence, attempt)
         if fitting and max(fitting) < floor:
             what = f"{attempt.request_id} fits {max(fitting)}, shown {floor}"
-            evidence.ledger.breaks("REGRESS", what)
+            evidence.ledger.record_broken("REGRESS", what)
         if fitting:
             shown.append((attempt.ended_at, min(fitting)))
 
--- a/tools/soak/promises/crashing.py
+++ b/tools/soak/promises/crashing.py
@@ -20,7 +20,7 @@
         if len(crashes) < _CRASHES:
             continue
         known_at = sorted(crashes)[_CRASHES - 1] + CONTACT_S + SLACK_S
-        sends = [send for send in evidence.ledger.sick_sends if send.target == target]
+        sends = [send for send in evidence.ledger.crashing_sends if send.target == target]
         later = [
             seen
             for send in sends
@@ -29,4 +29,4 @@
         ]
         if len(later) > _MAX_LATER_SENDS:
             what = f"{target} was forwarded {len(later)} more times after {len(crashes)} crashes"
-            evidence.ledger.breaks("CRASHES", what)
+            evidence.ledger.record_broken("CRASHES", what)
--- a/tools/soak/promises/leavings.py
+++ b/tools/soak/promises/leavings.py
@@ -16,7 +16,7 @@
             rule = _broken_by(evidence, attempt, seen) if attempt is not None else ""
             if rule:
                 what = f"{request_id} reached {seen.server_id} at {seen.at:.2f}"
-                evidence.ledger.breaks(rule, what)
+                evidence.ledger.record_broken(rule, what)
 
 
 def _broken_by(evidence: Evidence, attempt: Attempt, seen: Seen) -> str:
--- a/tools/soak/promises/recovery.py
+++ b/tools/soak/promises/recovery.py
@@ -27,4 +27,4 @@
             f"{a.status or a.end} at {a.vm}" for a in last if a.status != HTTPStatus.OK and a.end
         )
         what = f"{served} of {len(last)} served after the last trouble; {dict(others)}"
-        ledger.breaks("RECOVER", what)
+        ledger.record_broken("RECOVER", what)
--- a/tools/soak/promises/runs.py
+++ b/tools/soak/promises/runs.py
@@ -20,7 +20,7 @@
         count = len(evidence.runs_of(attempt))
         if count > (1 if attempt.route == BOOK else _MAX_RUNS):
             rule = "TWICE" if attempt.route == BOOK else "BUDGET"
-            evidence.ledger.breaks(rule, f"{attempt.request_id} ran {count} times")
+            evidence.ledger.record_broken(rule, f"{attempt.request_id} ran {count} times")
 
 
 def refused_never_ran(evidence: Evidence) -> None:
@@ -28,7 +28,7 @@
     for attempt in evidence.ledger.attempts:
         if attempt.status in _NOT_RUN and evidence.runs_of(attempt):
             what = f"{attempt.request_id} ran and got {attempt.status}"
-            evidence.ledger.breaks("REFUSED", what)
+            evidence.ledger.record_broken("REFUSED", what)
 
 
 def right_service(evidence: Evidence) -> None:
@@ -37,4 +37,6 @@
         ever = {version.services.get(attempt.route) for version in evidence.ledger.versions}
         for seen in evidence.runs_of(attempt):
             if seen.service not in ever:
-                evidence.ledger.breaks("ROUTE", f"{attempt.request_id} ran at {seen.service}")
+                evidence.ledger.record_broken(
+                    "ROUTE", f"{attempt.request_id} ran at {seen.service}"
+                )
--- a/tools/soak/promises/statements.py
+++ b/tools/soak/promises/statements.py
@@ -73,7 +73,7 @@
         late_s = arrival.sent_at - since - _DRAIN_S - SLACK_S
         if late_s > 0 and evidence.ledger.vm_undisturbed(arrival.vm, since, arrival.at):
             what = f"{server.server_id} got a request sent {late_s:.2f} s late by {arrival.vm}"
-            evidence.ledger.breaks("DRAIN", what)
+            evidence.ledger.record_broken("DRAIN", what)
 
 
 def _judge_rests(
@@ -87,7 +87,7 @@
         sent = [a.at for a in arrivals if a.vm == vm and answer.at + _TOLD_S < a.at < end]
         if len(sent) > _MAX_IN_REST and evidence.ledger.vm_undisturbed(vm, answer.at, end):
             what = f"{server.server_id} got {len(sent)} requests in its rest from {vm}"
-            evidence.ledger.breaks("REST", what)
+            evidence.ledger.record_broken("REST", what)
 
 
 def _judge_limits(
@@ -107,7 +107,7 @@
             count = bisect_right(counted, start + _WINDOW_S) - index
             if count > bound:
                 what = f"{server.server_id} got {count} in {_WINDOW_S} s, allowed are {bound:g}"
-                evidence.ledger.breaks("LIMIT", what)
+                evidence.ledger.record_broken("LIMIT", what)
                 break
 
 
--- a/tools/soak/promises/stops.py
+++ b/tools/soak/promises/stops.py
@@ -29,7 +29,7 @@
         took = attempt.ended_at - attempt.sent_at
         if ran or took > _LOST_S + SLACK_S:
             what = f"{attempt.request_id} at {attempt.vm}: closed after {took:.2f} s, ran {ran}"
-            evidence.ledger.breaks("LOST", what)
+            evidence.ledger.record_broken("LOST", what)
 
 
 def _stopping(ledger: Ledger, attempt: Attempt) -> bool:
@@ -47,7 +47,9 @@
                 continue
             signals = [number for sent_at, number in ledger.signalled[vm] if sent_at <= at]
             if status not in [_EXPECTED_ENDS[n] for n in signals if n in _EXPECTED_ENDS]:
-                ledger.breaks("ENDS", f"{vm} ended with status {status}, which no signal explains")
+                ledger.record_broken(
+                    "ENDS", f"{vm} ended with status {status}, which no signal explains"
+                )
 
 
 def _starting(ledger: Ledger, vm: str, at: float) -> bool:
@@ -66,4 +68,4 @@
                 continue
             after = [at for at, _ in ledger.ends[vm] if at >= sent_at]
             if late < evidence.ended_at and (not after or after[0] > late):
-                ledger.breaks("GRACE", f"{vm} was still running {GRACE_S} s after SIGTERM")
+                ledger.record_broken("GRACE", f"{vm} was still running {GRACE_S} s after SIGTERM")
--- a/tools/soak/promises/waiting.py
+++ b/tools/soak/promises/waiting.py
@@ -21,4 +21,4 @@
             attempt.vm, attempt.sent_at, attempt.sent_at + limit
         ):
             what = f"{attempt.request_id} at {attempt.vm} took {took:.2f} s"
-            evidence.ledger.breaks("HELD", what)
+            evidence.ledger.record_broken("HELD", what)
--- a/tools/soak/promises/workspaces.py
+++ b/tools/soak/promises/workspaces.py
@@ -24,7 +24,7 @@
         for seen in evidence.runs_of(attempt):
             if seen.workspace != workspace_of(attempt.key) or seen.key_shown:
                 what = f"{attempt.request_id} ran as {seen.workspace!r}"
-                evidence.ledger.breaks("UNASKED", what)
+                evidence.ledger.record_broken("UNASKED", what)
 
 
 def known_keys(evidence: Evidence) -> None:
@@ -36,9 +36,9 @@
         known = [attempt.key in version.keys for version in versions]
         in_touch = evidence.in_touch(attempt.vm, attempt.sent_at, attempt.sent_at)
         if in_touch and evidence.runs_of(attempt) and not any(known):
-            evidence.ledger.breaks("KEY", f"{attempt.request_id} ran under a revoked key")
+            evidence.ledger.record_broken("KEY", f"{attempt.request_id} ran under a revoked key")
         if in_touch and attempt.status == HTTPStatus.UNAUTHORIZED and all(known):
-            evidence.ledger.breaks("KEY", f"{attempt.request_id} got 401 with a valid key")
+            evidence.ledger.record_broken("KEY", f"{attempt.request_id} got 401 with a valid key")
 
 
 def within_limits(evidence: Evidence) -> None:
@@ -58,7 +58,7 @@
         rate = max(_rates(evidence.ledger.versions, name, start))
         bound = (rate * _WINDOW_S + rate) * (1 + QUOTA_OVER) + QUOTA_SLACK
         if count > bound:
-            evidence.ledger.breaks(
+            evidence.ledger.record_broken(
                 "QUOTA",
                 f"{name} ran {count} in {_WINDOW_S} s, allowed are {bound:g}",
             )
--- a/tools/soak/shown_keys.py
+++ b/tools/soak/shown_keys.py
@@ -24,7 +24,7 @@
             shown = [json.dumps(line) for line in vm.lines]
             shown += [await _page(session, vm, path) for path in ("/metrics", "/state")]
             if any(KEY_START in text for text in shown):
-                world.ledger.breaks("SECRET", f"{vm.name} shows an API key")
+                world.ledger.record_broken("SECRET", f"{vm.name} shows an API key")
 
 
 async def _page(session: aiohttp.ClientSession, vm: EntryVm, path: str) -> str:
--- a/tools/soak/troubles/servers.py
+++ b/tools/soak/troubles/servers.py
@@ -13,7 +13,7 @@
 
 from ..backend_servers import SoakServer
 from ..configuration import HOST, RATES, WORKSPACES, first_key
-from ..ledger import SERVERS, SickSend
+from ..ledger import SERVERS, CrashingSend
 from .links import spoil_link
 from .trouble import EVEN_CHANCE, Trouble
 
@@ -109,17 +109,17 @@
 
     async def _inject(self) -> None:
         target = f"/{RATES}/sick{self.rng.randrange(1_000_000)}"
-        self.world.backends.sick.add(target)
+        self.world.backends.crashing_targets.add(target)
         timeout = aiohttp.ClientTimeout(total=_ATTEMPT_TIMEOUT_S)
         async with asyncio.TaskGroup() as tries, aiohttp.ClientSession(timeout=timeout) as session:
             for number in itertools.count():
                 vm = self.rng.choice(tuple(self.world.vms))
-                send = SickSend(f"{target}-{number}", target, vm)
-                self.world.ledger.sick_sends.append(send)
+                send = CrashingSend(f"{target}-{number}", target, vm)
+                self.world.ledger.crashing_sends.append(send)
                 tries.create_task(self._try(session, send))
                 await asyncio.sleep(_ATTEMPT_INTERVAL_S)
 
-    async def _try(self, session: aiohttp.ClientSession, send: SickSend) -> None:
+    async def _try(self, session: aiohttp.ClientSession, send: CrashingSend) -> None:
         """Send the request once; `promises` judges it by what reached servers."""
         headers = {"Host": HOST, "X-Request-Id": send.request_id, "Cookie": "X-Affinity-Key=sick"}
         headers["Api-Key"] = first_key(WORKSPACES[0])
