--- a/tests/test_soak_backend_servers.py
+++ b/tests/test_soak_backend_servers.py
@@ -52,15 +52,15 @@
     def test_a_server_that_starts_again_is_a_later_process_with_its_id(self) -> None:
         for silent in (False, True):
             with self.subTest(silent=silent):
-                run_virtual(lambda loop, s=silent: self._start_again(loop, s))
+                run_virtual(lambda loop, s=silent: self._restart_server(loop, s))
 
-    async def _start_again(self, loop: VirtualLoop, silent: bool) -> None:
+    async def _restart_server(self, loop: VirtualLoop, silent: bool) -> None:
         store = StoreStandIn(loop)
         servers = _servers(store)
         server = await servers.add("rates", "east-a")
         key = f"servers/{server.stand_in.server_id}"
         before = _stored(store, key)
-        await servers.start_again(server, 2.0, silent=silent)
+        await servers.restart(server, 2.0, silent=silent)
         (again,) = servers.running.values()
         after = _stored(store, key)
         self.assertEqual(again.stand_in.server_id, server.stand_in.server_id)
@@ -68,7 +68,7 @@
         self.assertEqual(after["born"], before["born"] + 1)
         self.assertEqual(after["Address"], before["Address"])
         self.assertEqual(again.link.target, 7002)
-        self.assertEqual(list(servers.ever()), [again, server])
+        self.assertEqual(list(servers.all_servers()), [again, server])
 
 
 class SpoiltEntries(unittest.TestCase):
@@ -78,10 +78,10 @@
             servers = _servers(store)
             server = await servers.add("rates", "east-a")
             key = f"servers/{server.stand_in.server_id}"
-            spoiling = asyncio.ensure_future(servers.spoil_entry(server, b"[]", 2.0))
+            overwriting = asyncio.ensure_future(servers.overwrite_entry(server, b"[]", 2.0))
             await pass_time(1.0)
             self.assertEqual(_stored(store, key), [])
-            await spoiling
+            await overwriting
             self.assertEqual(_stored(store, key)["State"], "ready")
 
         run_virtual(main)
@@ -91,10 +91,10 @@
             store = StoreStandIn(loop)
             servers = _servers(store)
             server = await servers.add("rates", "east-a")
-            spoiling = asyncio.ensure_future(servers.spoil_entry(server, b"[]", 2.0))
+            overwriting = asyncio.ensure_future(servers.overwrite_entry(server, b"[]", 2.0))
             await pass_time(1.0)
             servers.crash(server)
-            await spoiling
+            await overwriting
             self.assertEqual(store.items, {})
 
         run_virtual(main)
--- a/tools/soak/backend_servers.py
+++ b/tools/soak/backend_servers.py
@@ -66,17 +66,23 @@
         service: Name of its service.
         zone: Data hall of the server.
         link: Relay through which the server is reached.
-        lives: Number of processes so far under the server's id.
+        process_count: Number of processes so far under the server's id.
     """
 
     def __init__(
-        self, stand_in: ScriptedServer, service: str, zone: str, link: Relay, *, lives: int = 1
+        self,
+        stand_in: ScriptedServer,
+        service: str,
+        zone: str,
+        link: Relay,
+        *,
+        process_count: int = 1,
     ) -> None:
         self.stand_in = stand_in
         self.service = service
         self.zone = zone
         self.link = link
-        self.lives = lives
+        self.process_count = process_count
 
     def entry(self, state: str = "ready", warm_in_s: float = 0.0) -> bytes:
         """Return the server's entry in the store, as JSON."""
@@ -89,7 +95,7 @@
             "WarmupLeft": f"{warm_in_s * _MS_PER_S:g}ms",
             "Version": "v1",
             "Sequence": 1,
-            "born": _BASE_START_MS + self.lives,
+            "born": _BASE_START_MS + self.process_count,
         }
         return json.dumps(row).encode()
 
@@ -118,7 +124,7 @@
         self._wiring = wiring
         self._ledger = ledger
 
-    def ever(self) -> Iterator[SoakServer]:
+    def all_servers(self) -> Iterator[SoakServer]:
         """Yield all servers of the day, stopped ones included."""
         yield from self.running.values()
         yield from self._gone
@@ -143,7 +149,7 @@
         self._store.remove(_key(server))
         server.link.cut()
 
-    async def leave_by_word(self, server: SoakServer, header: str, for_s: float) -> None:
+    async def leave_by_header(self, server: SoakServer, header: str, for_s: float) -> None:
         """Let a backend server state only in its answers that it is leaving, then stop.
 
         Args:
@@ -166,7 +172,7 @@
         server.link.cut()
         self._store.remove(_key(server))
 
-    async def start_again(self, server: SoakServer, down_s: float, *, silent: bool) -> None:
+    async def restart(self, server: SoakServer, down_s: float, *, silent: bool) -> None:
         """Kill a backend server and start it again under its id, without any earlier state.
 
         Args:
@@ -188,13 +194,17 @@
         server.link.thaw()
         server.link.mend()
         again = SoakServer(
-            stand_in, server.service, server.zone, server.link, lives=server.lives + 1
+            stand_in,
+            server.service,
+            server.zone,
+            server.link,
+            process_count=server.process_count + 1,
         )
         self.running[stand_in.server_id] = again
         stand_in.on_run = lambda run: self._on_run(again, run)
         self._store.put(_key(again), again.entry(warm_in_s=_WARMUP_S))
 
-    async def spoil_entry(self, server: SoakServer, value: bytes, for_s: float) -> None:
+    async def overwrite_entry(self, server: SoakServer, value: bytes, for_s: float) -> None:
         """Overwrite the entry of a backend server, which writes it again after some seconds."""
         self._store.put(_key(server), value)
         await asyncio.sleep(for_s)
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -81,7 +81,7 @@
         timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S)
         async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
             while True:
-                rate = RATE_PER_S * self.world.hot.get(self.workspace, 1.0)
+                rate = RATE_PER_S * self.world.rate_factors.get(self.workspace, 1.0)
                 await asyncio.sleep(self.rng.expovariate(rate))
                 await self._send(session, await self._choose(session))
 
--- a/tools/soak/day.py
+++ b/tools/soak/day.py
@@ -143,8 +143,8 @@
             )
         await _traffic(world, planned, seed)
         await judge_shown_keys(world)
-        runs = gather_runs(world.backends.ever())
-        stand_ins = tuple(server.stand_in for server in world.backends.ever())
+        runs = gather_runs(world.backends.all_servers())
+        stand_ins = tuple(server.stand_in for server in world.backends.all_servers())
         evidence = Evidence(world.ledger, runs, world.loop.time(), stand_ins)
         broken = tuple(judge(evidence))
     finally:
--- a/tools/soak/promises/crashing.py
+++ b/tools/soak/promises/crashing.py
@@ -14,7 +14,7 @@
 """Maximum number of times that it may be forwarded after that."""
 
 
-def sent_on_rarely(evidence: Evidence) -> None:
+def rarely_forwarded(evidence: Evidence) -> None:
     """Judge that a request which crashed servers is forwarded only a few more times."""
     for target, crashes in evidence.ledger.crashes.items():
         if len(crashes) < _CRASHES:
--- a/tools/soak/promises/judge.py
+++ b/tools/soak/promises/judge.py
@@ -7,12 +7,12 @@
 
 from ..ledger import Broken
 from .configuration import in_force, never_older
-from .crashing import sent_on_rarely
+from .crashing import rarely_forwarded
 from .evidence import Evidence
-from .leavings import left_alone
+from .leavings import no_requests_after_bound
 from .recovery import recovers
 from .runs import at_most_once, refused_never_ran, right_service
-from .statements import keeps_statements
+from .statements import follows_statements
 from .stops import no_end_of_its_own, nothing_cut_off, stops_in_time
 from .waiting import held_no_longer
 from .workspaces import known_keys, own_name, within_limits
@@ -23,17 +23,17 @@
     right_service,
     in_force,
     never_older,
-    left_alone,
+    no_requests_after_bound,
     nothing_cut_off,
     held_no_longer,
     no_end_of_its_own,
     stops_in_time,
     recovers,
-    sent_on_rarely,
+    rarely_forwarded,
     own_name,
     known_keys,
     within_limits,
-    keeps_statements,
+    follows_statements,
 )
 
 
--- a/tools/soak/promises/leavings.py
+++ b/tools/soak/promises/leavings.py
@@ -7,7 +7,7 @@
 from .evidence import SLACK_S, Evidence, Seen
 
 
-def left_alone(evidence: Evidence) -> None:
+def no_requests_after_bound(evidence: Evidence) -> None:
     """Judge that entry VMs in touch with the store send a server nothing after its bound."""
     by_id = {attempt.request_id: attempt for attempt in evidence.ledger.attempts}
     for request_id, runs in evidence.runs.items():
--- a/tools/soak/promises/statements.py
+++ b/tools/soak/promises/statements.py
@@ -49,7 +49,7 @@
     sent_at: float
 
 
-def keeps_statements(evidence: Evidence) -> None:
+def follows_statements(evidence: Evidence) -> None:
     """Judge what each server stated of limits, rests and leaving."""
     attempts = {attempt.request_id: attempt for attempt in evidence.ledger.attempts}
     vm_of = {request_id: attempt.vm for request_id, attempt in attempts.items()}
--- a/tools/soak/troubles/links.py
+++ b/tools/soak/troubles/links.py
@@ -11,7 +11,7 @@
 from .trouble import EVEN_CHANCE
 
 
-async def spoil_link(link: Relay, rng: random.Random, for_s: float) -> None:
+async def inject_link_fault(link: Relay, rng: random.Random, for_s: float) -> None:
     """Inject one randomly chosen fault into a link, and clear it after some seconds."""
     way = rng.choice(("cut", "silent", "one-way", "slow", "reset"))
     if way == "cut":
--- a/tools/soak/troubles/servers.py
+++ b/tools/soak/troubles/servers.py
@@ -14,7 +14,7 @@
 from ..backend_servers import SoakServer
 from ..configuration import HOST, RATES, WORKSPACES, first_key
 from ..ledger import SERVERS, CrashingSend
-from .links import spoil_link
+from .links import inject_link_fault
 from .trouble import EVEN_CHANCE, Trouble
 
 _ATTEMPT_INTERVAL_S = 0.15
@@ -80,7 +80,7 @@
     """The link to a backend server is cut, silent, one-way, or slow."""
 
     async def _inject(self) -> None:
-        await spoil_link(self.any_server().link, self.rng, self.for_s)
+        await inject_link_fault(self.any_server().link, self.rng, self.for_s)
 
 
 class StartAgain(ServerTrouble):
@@ -91,7 +91,7 @@
 
     async def _inject(self) -> None:
         silent = self.rng.random() < EVEN_CHANCE
-        await self.world.backends.start_again(self.any_server(), self.for_s, silent=silent)
+        await self.world.backends.restart(self.any_server(), self.for_s, silent=silent)
 
 
 class SpoilEntry(ServerTrouble):
@@ -99,7 +99,7 @@
 
     async def _inject(self) -> None:
         values = (b"", b"{", b"[]", b"\xff", b'{"Service":"rates","Address":"127.0.0.1:1"}')
-        await self.world.backends.spoil_entry(
+        await self.world.backends.overwrite_entry(
             self.any_server(), self.rng.choice(values), self.for_s
         )
 
--- a/tools/soak/troubles/statements.py
+++ b/tools/soak/troubles/statements.py
@@ -56,7 +56,7 @@
     async def _inject(self) -> None:
         for server in self.some_servers()[:1]:
             await self.world.backends.add(server.service, server.zone, cold_s=1.0)
-            await self.world.backends.leave_by_word(server, _LEAVING, self.for_s)
+            await self.world.backends.leave_by_header(server, _LEAVING, self.for_s)
 
 
 class AskRest(StatementTrouble):
--- a/tools/soak/troubles/store.py
+++ b/tools/soak/troubles/store.py
@@ -9,7 +9,7 @@
 from standins.consortium_store import Fault
 
 from ..ledger import STORE
-from .links import spoil_link
+from .links import inject_link_fault
 from .processes import VmTrouble
 from .trouble import Trouble
 
@@ -18,7 +18,7 @@
     """One entry VM's link to the store is cut, silent, one-way, or slow."""
 
     async def _inject(self) -> None:
-        await spoil_link(self.world.store_links[self.vm.name], self.rng, self.for_s)
+        await inject_link_fault(self.world.store_links[self.vm.name], self.rng, self.for_s)
 
 
 class TurnedAway(VmTrouble):
--- a/tools/soak/troubles/workspaces.py
+++ b/tools/soak/troubles/workspaces.py
@@ -42,9 +42,9 @@
 
     async def _inject(self) -> None:
         name = self.rng.choice(WORKSPACES)
-        self.world.hot[name] = _HOT_FACTOR
+        self.world.rate_factors[name] = _HOT_FACTOR
         await asyncio.sleep(self.for_s)
-        self.world.hot.pop(name, None)
+        self.world.rate_factors.pop(name, None)
 
 
 class LowerRate(Trouble):
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -39,7 +39,7 @@
     """All parts of one day.
 
     Attributes:
-        hot: Factor on the usual request rate, by workspace; 1 for workspaces not listed.
+        rate_factors: Factor on the usual request rate, by workspace; 1 for workspaces not listed.
     """
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
         self.vms: dict[str, EntryVm] = {}
         self.store_links: dict[str, Relay] = {}
         self.keeper = VmKeeper(self.vms, self.ledger)
-        self.hot: dict[str, float] = {}
+        self.rate_factors: dict[str, float] = {}
 
     async def start(self) -> None:
         """Start all parts, without waiting for the entry VMs to be ready."""
