--- a/tests/test_soak_backend_servers.py
+++ b/tests/test_soak_backend_servers.py
@@ -67,7 +67,7 @@
         self.assertIsNot(again.stand_in, server.stand_in)
         self.assertEqual(after["born"], before["born"] + 1)
         self.assertEqual(after["Address"], before["Address"])
-        self.assertEqual(again.link.target, 7002)
+        self.assertEqual(again.relay.target, 7002)
         self.assertEqual(list(servers.all_servers()), [again, server])
 
 
--- a/tools/soak/backend_servers.py
+++ b/tools/soak/backend_servers.py
@@ -65,7 +65,7 @@
         stand_in: The scripted server.
         service: Name of its service.
         zone: Data hall of the server.
-        link: Relay through which the server is reached.
+        relay: Relay through which the server is reached.
         process_count: Number of processes so far under the server's id.
     """
 
@@ -74,21 +74,21 @@
         stand_in: ScriptedServer,
         service: str,
         zone: str,
-        link: Relay,
+        relay: Relay,
         *,
         process_count: int = 1,
     ) -> None:
         self.stand_in = stand_in
         self.service = service
         self.zone = zone
-        self.link = link
+        self.relay = relay
         self.process_count = process_count
 
     def entry(self, state: str = "ready", warm_in_s: float = 0.0) -> bytes:
         """Return the server's entry in the store, as JSON."""
         row = {
             "Service": self.service,
-            "Address": f"127.0.0.1:{self.link.port}",
+            "Address": f"127.0.0.1:{self.relay.port}",
             "Zone": self.zone,
             "Capacity": _SLOTS,
             "State": state,
@@ -134,8 +134,8 @@
         loop = asyncio.get_running_loop()
         self._numbers += 1
         stand_in = _stand_in(loop, f"i-{self._numbers}", cold_s)
-        link = await self._wiring.behind_relay(stand_in.accept)
-        server = self.running[stand_in.server_id] = SoakServer(stand_in, service, zone, link)
+        relay = await self._wiring.behind_relay(stand_in.accept)
+        server = self.running[stand_in.server_id] = SoakServer(stand_in, service, zone, relay)
         stand_in.on_run = lambda run: self._on_run(server, run)
         self._store.put(_key(server), server.entry(warm_in_s=cold_s))
         return server
@@ -147,7 +147,7 @@
         self._expect_no_requests(server, _DRAIN_S, float("inf"), "DRAIN")
         await asyncio.sleep(_DRAIN_S + _SERVES_AFTER_DRAIN_S)
         self._store.remove(_key(server))
-        server.link.cut()
+        server.relay.cut()
 
     async def leave_by_header(self, server: SoakServer, header: str, for_s: float) -> None:
         """Let a backend server state only in its answers that it is leaving, then stop.
@@ -169,7 +169,7 @@
     def crash(self, server: SoakServer) -> None:
         """Stop a backend server without draining, and remove its entry."""
         self._retire(server)
-        server.link.cut()
+        server.relay.cut()
         self._store.remove(_key(server))
 
     async def restart(self, server: SoakServer, down_s: float, *, silent: bool) -> None:
@@ -182,22 +182,22 @@
         """
         self._retire(server)
         if silent:
-            server.link.freeze()
+            server.relay.freeze()
         else:
-            server.link.cut()
+            server.relay.cut()
         server.stand_in.reset()
         await asyncio.sleep(down_s)
         loop = asyncio.get_running_loop()
         stand_in = _stand_in(loop, server.stand_in.server_id, _WARMUP_S)
-        server.link.target = await self._wiring.listen(stand_in.accept)
-        server.link.cut()
-        server.link.thaw()
-        server.link.mend()
+        server.relay.target = await self._wiring.listen(stand_in.accept)
+        server.relay.cut()
+        server.relay.thaw()
+        server.relay.mend()
         again = SoakServer(
             stand_in,
             server.service,
             server.zone,
-            server.link,
+            server.relay,
             process_count=server.process_count + 1,
         )
         self.running[stand_in.server_id] = again
@@ -237,7 +237,7 @@
         if self.running.get(server.stand_in.server_id) is not server:
             return
         self._retire(server)
-        server.link.refuse()
+        server.relay.refuse()
         server.stand_in.reset()
         self._ledger.crashes[target].append(asyncio.get_running_loop().time())
         task = asyncio.create_task(self._replace(server))
--- a/tools/soak/troubles/servers.py
+++ b/tools/soak/troubles/servers.py
@@ -80,7 +80,7 @@
     """The link to a backend server is cut, silent, one-way, or slow."""
 
     async def _inject(self) -> None:
-        await inject_link_fault(self.any_server().link, self.rng, self.for_s)
+        await inject_link_fault(self.any_server().relay, self.rng, self.for_s)
 
 
 class StartAgain(ServerTrouble):
--- a/tools/soak/troubles/store.py
+++ b/tools/soak/troubles/store.py
@@ -18,7 +18,7 @@
     """One entry VM's link to the store is cut, silent, one-way, or slow."""
 
     async def _inject(self) -> None:
-        await inject_link_fault(self.world.store_links[self.vm.name], self.rng, self.for_s)
+        await inject_link_fault(self.world.store_relays[self.vm.name], self.rng, self.for_s)
 
 
 class TurnedAway(VmTrouble):
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -51,7 +51,7 @@
         self.backends = BackendServers(self.store, self._wiring, self.ledger)
         self.configuration = Configuration(self.store, self.ledger)
         self.vms: dict[str, EntryVm] = {}
-        self.store_links: dict[str, Relay] = {}
+        self.store_relays: dict[str, Relay] = {}
         self.keeper = VmKeeper(self.vms, self.ledger)
         self.rate_factors: dict[str, float] = {}
 
@@ -76,12 +76,12 @@
         await self._stack.aclose()
 
     async def _add_vm(self, name: str, zone: str, peer_port: int, folder: Path) -> None:
-        link = await self._wiring.behind_relay(functools.partial(self.store.accept, name))
-        self.store_links[name] = link
+        relay = await self._wiring.behind_relay(functools.partial(self.store.accept, name))
+        self.store_relays[name] = relay
         self.vms[name] = EntryVm(
             name,
             self._stack.enter_context(own_address()),
-            f"127.0.0.1:{link.port}",
+            f"127.0.0.1:{relay.port}",
             peer_port,
             folder,
             place=Place(zone, ZONES),
