--- a/standins/consortium_store.py
+++ b/standins/consortium_store.py
@@ -65,6 +65,15 @@
     Args:
         loop: Event loop, virtual or real.
         page: Maximum number of items in one page of a listing.
+
+    Attributes:
+        items: Items by key, with the revision that created each and its lease.
+        events: Event history since `compacted_revision`.
+        compacted_revision: Watches after an earlier revision get status 410.
+        slow_s: Additional response time of every call, in seconds.
+        fault: Fault of the whole store.
+        faults_by_machine: Faults of single clients, which take precedence.
+        calls: Path and query of every call.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, *, page: int = PAGE) -> None:
@@ -73,7 +82,7 @@
         self.revision = 0
         self.items: dict[str, dict[str, Any]] = {}
         self.events: list[dict[str, Any]] = []
-        self.floor = 0
+        self.compacted_revision = 0
         self.slow_s = 0.0
         self.fault = Fault.NONE
         self.faults_by_machine: dict[str, Fault] = {}
@@ -121,7 +130,7 @@
 
     def forget(self) -> None:
         """Drop the event history; waiting watches are answered with status 410."""
-        self.floor = self.revision
+        self.compacted_revision = self.revision
         self.events = []
         self._notify_watches()
 
@@ -201,7 +210,7 @@
         prefix, after = query.get("PathPrefix", ""), int(query["after"])
         end = self.loop.time() + int(query["WaitMs"]) / _MS_PER_S
         while True:
-            if after < self.floor:
+            if after < self.compacted_revision:
                 return 410, {}
             found = [
                 e for e in self.events if e["Revision"] > after and e["TlsKey"].startswith(prefix)
--- a/tools/soak/troubles/workspaces.py
+++ b/tools/soak/troubles/workspaces.py
@@ -10,7 +10,7 @@
 from ..ledger import OPERATORS
 from .trouble import Trouble
 
-_HOT_FACTOR = 7.5
+_RATE_FACTOR = 7.5
 """Factor on the usual request rate of the workspace that sends too much."""
 
 _LOWERED_PART = 0.25
@@ -42,7 +42,7 @@
 
     async def _inject(self) -> None:
         name = self.rng.choice(WORKSPACES)
-        self.world.rate_factors[name] = _HOT_FACTOR
+        self.world.rate_factors[name] = _RATE_FACTOR
         await asyncio.sleep(self.for_s)
         self.world.rate_factors.pop(name, None)
 
