--- a/standins/virtual_link.py
+++ b/standins/virtual_link.py
@@ -13,7 +13,7 @@
 _BITS_PER_MBIT = 1_000_000
 
 
-class Lane:
+class LinkDirection:
     """One direction of a link.
 
     Args:
@@ -50,8 +50,8 @@
 
     def __init__(self, mbps: float) -> None:
         bytes_per_s = mbps * _BITS_PER_MBIT / _BITS_PER_BYTE
-        self.up = Lane(bytes_per_s)
-        self.down = Lane(bytes_per_s)
+        self.up = LinkDirection(bytes_per_s)
+        self.down = LinkDirection(bytes_per_s)
 
 
 current_link: ContextVar[Optional[Link]] = ContextVar("current_link", default=None)
