--- a/tests/test_soak_backend_servers.py
+++ b/tests/test_soak_backend_servers.py
@@ -1,4 +1,4 @@
-"""Evacuations, restarts under an id and unreadable entries of the soak's backend servers."""
+"""Tests of the soak's backend servers: evacuations, restarts under an id, unreadable entries."""
 
 import asyncio
 import base64
@@ -17,7 +17,10 @@
 
 class Evacuations(unittest.TestCase):
     def test_the_last_of_two_that_overlap_takes_the_hall_back(self) -> None:
-        """The first one's end took the hall back, and the second's ended the soak: seed 502."""
+        """The first one's end restored the hall, and the second one's failed and ended the soak.
+
+        Seed 502 showed it.
+        """
 
         async def main(loop: VirtualLoop) -> list[bool]:
             store = StoreStandIn(loop)
@@ -34,7 +37,7 @@
 
 
 def _servers(store: StoreStandIn) -> BackendServers:
-    """Return backend servers whose way to the entry VMs is not there."""
+    """Return backend servers without real listeners and relays."""
     wiring = mock.Mock()
     wiring.behind_relay = mock.AsyncMock(return_value=mock.Mock(port=7001))
     wiring.listen = mock.AsyncMock(return_value=7002)
@@ -49,23 +52,23 @@
     def test_a_server_that_starts_again_is_a_later_process_with_its_id(self) -> None:
         for silent in (False, True):
             with self.subTest(silent=silent):
-                run_virtual(lambda loop, s=silent: self._start_again(loop, s))
+                run_virtual(lambda loop, s=silent: self._restart_server(loop, s))
 
-    async def _start_again(self, loop: VirtualLoop, silent: bool) -> None:
+    async def _restart_server(self, loop: VirtualLoop, silent: bool) -> None:
         store = StoreStandIn(loop)
         servers = _servers(store)
         server = await servers.add("rates", "east-a")
         key = f"servers/{server.stand_in.server_id}"
         before = _stored(store, key)
-        await servers.start_again(server, 2.0, silent=silent)
+        await servers.restart(server, 2.0, silent=silent)
         (again,) = servers.running.values()
         after = _stored(store, key)
         self.assertEqual(again.stand_in.server_id, server.stand_in.server_id)
         self.assertIsNot(again.stand_in, server.stand_in)
         self.assertEqual(after["born"], before["born"] + 1)
         self.assertEqual(after["Address"], before["Address"])
-        self.assertEqual(again.link.target, 7002)
-        self.assertEqual(list(servers.ever()), [again, server])
+        self.assertEqual(again.relay.target, 7002)
+        self.assertEqual(list(servers.all_servers()), [again, server])
 
 
 class UnreadableEntries(unittest.TestCase):
@@ -75,10 +78,10 @@
             servers = _servers(store)
             server = await servers.add("rates", "east-a")
             key = f"servers/{server.stand_in.server_id}"
-            spoiling = asyncio.ensure_future(servers.spoil_entry(server, b"[]", 2.0))
+            overwriting = asyncio.ensure_future(servers.overwrite_entry(server, b"[]", 2.0))
             await pass_time(1.0)
             self.assertEqual(_stored(store, key), [])
-            await spoiling
+            await overwriting
             self.assertEqual(_stored(store, key)["State"], "ready")
 
         run_virtual(main)
@@ -88,10 +91,10 @@
             store = StoreStandIn(loop)
             servers = _servers(store)
             server = await servers.add("rates", "east-a")
-            spoiling = asyncio.ensure_future(servers.spoil_entry(server, b"[]", 2.0))
+            overwriting = asyncio.ensure_future(servers.overwrite_entry(server, b"[]", 2.0))
             await pass_time(1.0)
             servers.crash(server)
-            await spoiling
+            await overwriting
             self.assertEqual(store.items, {})
 
         run_virtual(main)
--- a/tests/test_soak_statements.py
+++ b/tests/test_soak_statements.py
@@ -1,9 +1,9 @@
-"""The soak's promises on what servers state are really judged."""
+"""Tests that the soak finds broken promises on what servers state."""
 
 import unittest
 
 from standins.scripted_server import Answered
-from tools.soak.ledger import EVERYBODY, STORE, Attempt, End, Struck
+from tools.soak.ledger import EVERYBODY, STORE, Attempt, End, TroubleSpan
 from tools.soak.promises.evidence import Evidence, gather_runs
 from tools.soak.promises.judge import judge
 
@@ -11,14 +11,14 @@
 
 
 class Day(Judged):
-    """A day on which one server is asked by two VMs and states something."""
+    """A handwritten day on which VMs send requests to one server that states something."""
 
     def __init__(self) -> None:
         super().__init__()
         self.stand_in = self.servers["i-1"].stand_in
 
     def sends(self, vm: str, at: float, **stated: object) -> None:
-        """Write one request that arrives at the server, which answers and states something."""
+        """Record one request that arrives at the server, and its answer with what it states."""
         request_id = f"q{len(self.stand_in.arrived)}"
         attempt = Attempt(request_id, "rates", vm, at - 0.01)
         attempt.ended_at, attempt.end, attempt.status = at + 0.1, End.ANSWERED, 200
@@ -28,7 +28,7 @@
         self.stand_in.answered.append(Answered(at + 0.05, request_id, 200, **stated))
 
     def rules(self) -> set[str]:
-        """Return the promises that are broken."""
+        """Judge the day, and return the broken promises."""
         runs = gather_runs(self.servers.values())
         evidence = Evidence(self.ledger, runs, ended_at=1000.0, stand_ins=(self.stand_in,))
         return {broken.rule for broken in judge(evidence)}
@@ -42,7 +42,7 @@
                 for number in range(int(per_s * 10)):
                     day.sends(f"vm{number % 2}", 100.0 + number / per_s, limit_per_s=2.5)
                 if scope:
-                    day.ledger.struck.append(Struck("CutFromStore", scope, 101.0, 109.0))
+                    day.ledger.troubles.append(TroubleSpan("CutFromStore", scope, 101.0, 109.0))
                 self.assertEqual(day.rules(), expected, (per_s, scope))
 
     def test_a_limit_is_not_judged_before_all_can_know_nor_by_vms_that_were_struck(self) -> None:
@@ -51,11 +51,11 @@
             for number in range(int(8 * length_s)):
                 day.sends(f"vm{number % 2}", 100.0 + number / 8, limit_per_s=2.5)
             if scope:
-                day.ledger.struck.append(Struck("Pause", scope, 100.0, 110.0))
+                day.ledger.troubles.append(TroubleSpan("Pause", scope, 100.0, 110.0))
             self.assertEqual(day.rules(), set())
 
     def test_a_server_that_leaves_by_its_own_word(self) -> None:
-        for later_s, struck, expected in (
+        for later_s, scope, expected in (
             (1.9, "", set()),
             (3.0, "", {"DRAIN"}),
             (3.0, STORE, {"DRAIN"}),
@@ -64,9 +64,9 @@
             day = Day()
             day.sends("vm1", 100.0, leaving=True)
             day.sends("vm1", 100.0 + later_s, leaving=True)
-            if struck:
-                day.ledger.struck.append(Struck("Kill", struck, 100.5, 101.0))
-            self.assertEqual(day.rules(), expected, (later_s, struck))
+            if scope:
+                day.ledger.troubles.append(TroubleSpan("Kill", scope, 100.5, 101.0))
+            self.assertEqual(day.rules(), expected, (later_s, scope))
 
     def test_another_vm_that_was_not_told_may_send_to_one_that_leaves(self) -> None:
         day = Day()
--- a/tools/soak/promises/judge.py
+++ b/tools/soak/promises/judge.py
@@ -1,18 +1,18 @@
-"""All promises that are judged at the end of a day.
+"""All checks at the end of a day.
 
-Owns the list of checks; answers are judged as they come, by `answers`.
+Owns the list of checks; `answers` judges each answer as soon as it arrives.
 """
 
 from collections.abc import Callable
 
 from ..ledger import Broken
 from .configuration import in_force, never_older
-from .crashing import sent_on_rarely
+from .crashing import rarely_forwarded
 from .evidence import Evidence
-from .leavings import left_alone
+from .leavings import no_requests_after_bound
 from .recovery import recovers
 from .runs import at_most_once, refused_never_ran, right_service
-from .statements import keeps_statements
+from .statements import follows_statements
 from .stops import no_end_of_its_own, nothing_cut_off, stops_in_time
 from .waiting import held_no_longer
 from .workspaces import known_keys, own_name, within_limits
@@ -23,22 +23,22 @@
     right_service,
     in_force,
     never_older,
-    left_alone,
+    no_requests_after_bound,
     nothing_cut_off,
     held_no_longer,
     no_end_of_its_own,
     stops_in_time,
     recovers,
-    sent_on_rarely,
+    rarely_forwarded,
     own_name,
     known_keys,
     within_limits,
-    keeps_statements,
+    follows_statements,
 )
 
 
 def judge(evidence: Evidence) -> list[Broken]:
-    """Judge the whole day; returns all promises that were broken, answers included."""
+    """Run all checks on a day, and return every broken promise, those of answers included."""
     for check in _CHECKS:
         check(evidence)
     return evidence.ledger.broken
