--- a/tools/entry_vm.py
+++ b/tools/entry_vm.py
@@ -1,9 +1,10 @@
 """One entry VM on the consortium's platform as a real process, controlled by signals and files.
 
-Owns the process, its settings file and the lines that it writes; used by the process tests, by
-the soak and by the trial of a rolling upgrade. Its metrics are on a fixed port, so each VM needs a
-loopback address of its own: `own_address`. The settings have the platform's names, since the
-process reads them as the platform writes them. Nothing restarts the process: callers do.
+This module owns the process, its settings file and the log lines that it writes. The process
+tests, the soak and the rolling-upgrade test use it. The metrics are on a fixed port, so each VM
+needs a loopback address of its own, which `own_address` claims. The settings use the platform's
+names, since the process reads them as the platform writes them. The process is not restarted
+automatically: callers do that.
 """
 
 import asyncio
@@ -19,25 +20,25 @@
 from .ports import claimed_address, free_ports
 
 ROOT = Path(__file__).resolve().parent.parent
-"""Root of the repository, in which processes start."""
+"""Root of the repository and working directory of the processes."""
 
 PROGRAM = "platform/main.py"
 METRICS_PORT = 9464
 """TCP port of the metrics, as in `deploy/system.toml`."""
 
 _READY_PATH = "/sprucewinch/readyz"
-_PORTS = ("Front", "Ready", "Directory")
-"""Listeners of an entry VM by their names in the settings."""
+_LISTENERS = ("Front", "Ready", "Directory")
+"""Listeners of an entry VM, by their names in the settings."""
 
 _MEMORY_MB = 300
-"""Memory limit in the settings, in MiB: that of the platform's example."""
+"""Memory limit in the settings, in MiB, as in the platform's example."""
 
-_MAX_FILES = 1024
-"""Limit of descriptors in the settings; it fits the usual limit of a process."""
+_MAX_DESCRIPTORS = 1024
+"""Limit on file descriptors in the settings, the usual default limit of a process."""
 
 
 class Place(NamedTuple):
-    """Where an entry VM stands.
+    """Location of an entry VM.
 
     Args:
         zone: Its data hall.
@@ -48,17 +49,17 @@
     zones: Mapping[str, str]
 
 
-_ONE_HALL = Place("east-a", {"east-a": "east"})
-"""Place of an entry VM of a deployment with one data hall."""
+_SINGLE_HALL_PLACE = Place("east-a", {"east-a": "east"})
+"""Location of an entry VM in a deployment with one data hall."""
 
 
 def free_port(ip: str) -> int:
-    """Return a port that nobody listens on."""
+    """Return a port of a loopback address that no program is bound to."""
     return free_ports(1, ip)[0]
 
 
 def own_address() -> AbstractContextManager[str]:
-    """Give a loopback address for one VM, which no other run has until the context ends."""
+    """Claim a loopback address for one VM; no other run gets it until the context ends."""
     return claimed_address(METRICS_PORT)
 
 
@@ -72,7 +73,7 @@
     "QuotaOver": 0.1,
     "QuotaSlack": 20,
 }
-"""Figures that the fleet keeps together, as in the platform's example."""
+"""Limits that the fleet as a whole keeps, as in the platform's example."""
 
 
 class EntryVm:
@@ -80,11 +81,11 @@
 
     Args:
         name: Its name.
-        ip: Loopback address of its own, as `own_address` gives it.
+        ip: Loopback address that only this VM uses, as claimed by `own_address`.
         store: Address of the store.
-        peer_port: Port between entry VMs.
-        folder: Folder of its settings file.
-        place: Its data hall, and the region of each.
+        peer_port: Port on which entry VMs talk to each other.
+        folder: Folder of the settings file.
+        place: Data hall of the VM, and the region of each data hall.
         program: Program to start, relative to the root.
     """
 
@@ -96,7 +97,7 @@
         peer_port: int,
         folder: Path,
         *,
-        place: Place = _ONE_HALL,
+        place: Place = _SINGLE_HALL_PLACE,
         program: str = PROGRAM,
     ) -> None:
         self.name = name
@@ -105,8 +106,8 @@
         self.root = ROOT
         self.zones = dict(place.zones)
         self.zone = place.zone
-        ports = free_ports(len(_PORTS), ip)
-        self.addresses = {name: f"{ip}:{p}" for name, p in zip(_PORTS, ports, strict=True)}
+        ports = free_ports(len(_LISTENERS), ip)
+        self.addresses = {name: f"{ip}:{p}" for name, p in zip(_LISTENERS, ports, strict=True)}
         self.settings = Path(folder) / f"{name}.settings"
         self.table = self._table(store, peer_port)
         self.lay_settings(self.table)
@@ -123,7 +124,7 @@
             "Zones": self.zones,
             "Listen": self.addresses,
             "InternalPorts": [peer_port, peer_port],
-            "Limits": {"MemoryMb": _MEMORY_MB, "MaxFds": _MAX_FILES},
+            "Limits": {"MemoryMb": _MEMORY_MB, "MaxFds": _MAX_DESCRIPTORS},
             "Bounds": dict(_BOUNDS),
             "Platform": {"Address": store},
         }
@@ -133,22 +134,22 @@
         self.settings.write_text(json.dumps(table), encoding="utf-8")
 
     def url(self, listener: str, path: str) -> str:
-        """Return a URL at one of its listeners."""
+        """Return a URL at one of the listeners."""
         return f"http://{self.addresses[listener]}{path}"
 
     @property
     def ready_url(self) -> str:
-        """URL on which it says whether it is ready."""
+        """URL of the readiness check."""
         return self.url("Ready", _READY_PATH)
 
     @property
     def running(self) -> bool:
-        """True while its process runs."""
+        """True while the process runs."""
         return self.process is not None and self.process.returncode is None
 
     @property
     def fate(self) -> str:
-        """What became of its process, in words for a failure message."""
+        """State of the process, worded for failure messages."""
         if self.process is None:
             return "not started"
         if self.running:
@@ -178,11 +179,11 @@
     def signal(self, number: signal.Signals) -> None:
         """Send the process a signal.
 
-        Not by `Process.send_signal`: that polls, which takes the exit status of a process that has
-        just ended away from the loop, and `ended` then returns 255.
+        This uses `os.kill` instead of `Process.send_signal`. The latter polls the process: if it
+        has just ended, the poll reaps it before the event loop can, and `ended` returns 255.
 
         Raises:
-            ProcessLookupError: When it has ended.
+            ProcessLookupError: When the process has ended.
         """
         assert self.process is not None
         if not self.running:
@@ -190,7 +191,7 @@
         os.kill(self.process.pid, number)
 
     async def ended(self) -> int:
-        """Return the exit status, once all lines are read."""
+        """Wait for the process to end and for all its lines to be read; returns the exit status."""
         assert self.process is not None and self._reader is not None
         status = await self.process.wait()
         await self._reader
