--- a/tools/rolling_upgrade.py
+++ b/tools/rolling_upgrade.py
@@ -1,11 +1,12 @@
-"""Runs entry VMs of two versions of the sources on one store and says whether they work together.
+"""Tests whether entry VMs of two versions of the sources work together on one store.
 
     python -m tools.rolling_upgrade --other=PATH
 
-PATH is the root of another checkout, as `git worktree` makes one. Owns the play and its checks:
-every VM names all others to callers, deltas go both ways, a changed configuration is in force at
-all, no VM finds anything unreadable. Relies on `entry_vm` for the processes and on the stand-ins
-for store and backend servers. Exits with 1 when a check fails.
+PATH is the root of another checkout, for instance a worktree made with `git worktree`. The test
+checks that every VM lists all VMs to callers, that deltas go both ways between the versions, that a
+changed configuration comes into force at all VMs, and that no VM logs a message or item that it
+cannot read. It relies on `entry_vm` for the processes and on the stand-ins for the store and the
+backend servers. The exit status is 1 when a check fails.
 """
 
 import asyncio
@@ -27,24 +28,24 @@
 
 from .entry_vm import METRICS_PORT, ROOT, EntryVm, free_port, own_address
 
-_WAIT_S = 30.0
-"""Longest wait for a check to hold, in seconds: ten times what a start takes beside other work."""
+_CHECK_TIMEOUT_S = 30.0
+"""Longest wait for a check to hold: ten times the start of a VM on a busy machine."""
 
-_POLL_S = 0.05
+_POLL_INTERVAL_S = 0.05
 _HOST = "quotes.example"
 _OK = 200
 _NOT_FOUND = 404
-_UNREADABLE = ("unreadable", "fault")
-"""Events that show that a VM does not understand another's words."""
+_MISREAD_EVENTS = ("unreadable", "fault")
+"""Log events that show that a VM could not read what another one sent or stored."""
 
 
 class Check(NamedTuple):
-    """One check of the play.
+    """Result of one check.
 
     Args:
-        name: What has to hold.
-        held: True when it did.
-        seconds: How long it took to hold.
+        name: The condition that has to hold.
+        held: True when it held within the timeout.
+        seconds: Time until it held, or until the timeout.
     """
 
     name: str
@@ -53,7 +54,7 @@
 
 
 class VersionedVm(EntryVm):
-    """An entry VM of the sources below some root.
+    """An entry VM that runs the sources of a given checkout.
 
     Args:
         root: Root of the sources.
@@ -67,18 +68,18 @@
 
     @property
     def delta_url(self) -> str:
-        """Return where it answers other VMs' requests for deltas."""
+        """URL at which other VMs request deltas from this one."""
         port = self.table["InternalPorts"][0]
         return f"http://{self.ip}:{port}/v1/delta?after=0"
 
 
-class Upgrade:
-    """One play.
+class UpgradeTest:
+    """One run of the test.
 
     Args:
         other: Root of the other version's sources.
-        folder: Where settings files are laid.
-        vms: How many VMs each version gets.
+        folder: Folder for the settings files.
+        vms: Number of VMs of each version.
     """
 
     def __init__(self, other: Path, folder: Path, vms: int) -> None:
@@ -89,7 +90,7 @@
         self.vms: list[VersionedVm] = []
 
     async def run(self) -> list[Check]:
-        """Play it and return the checks."""
+        """Start all VMs, run the checks in order and return their results."""
         loop = asyncio.get_running_loop()
         self.store = StoreStandIn(loop)
         self.store.put("op/config", _configuration(1, "/rates/"))
@@ -100,7 +101,7 @@
             self.session = await stack.enter_async_context(session)
             try:
                 await self._start(stack)
-                await self._judge()
+                await self._run_checks()
             finally:
                 await asyncio.gather(*(vm.kill() for vm in self.vms))
         return self.checks
@@ -129,25 +130,25 @@
             self.vms.append(VersionedVm(root, name, ip, store, port, self.folder))
         for vm in self.vms:
             await vm.start()
-        await self._check("all are ready", self._all_ready)
+        await self._check("all VMs are ready", self._all_ready)
 
-    async def _judge(self) -> None:
-        await self._check("each names all to callers", self._all_named)
-        await self._check("each is in step with the store", self._all_in_step)
+    async def _run_checks(self) -> None:
+        await self._check("each VM lists all VMs to callers", self._all_named)
+        await self._check("all VMs hold the same store revision", self._all_at_same_revision)
         self.store.put("op/config", _configuration(2, "/tariffs/"))
-        await self._check("a changed configuration is in force at all", self._all_changed)
-        await self._check("each serves the changed route", self._all_serve)
-        await self._check("each gives deltas that the other version reads", self._deltas)
-        await self._check("each follows a peer of the other version", self._peers_followed)
-        await self._check("nothing is unreadable", self._nothing_unreadable)
+        await self._check("a changed configuration is in force at all VMs", self._all_changed)
+        await self._check("each VM serves the changed route", self._all_serve)
+        await self._check("each VM answers requests for deltas", self._deltas)
+        await self._check("VMs of each version have taken deltas from peers", self._peers_followed)
+        await self._check("no VM logged anything that it could not read", self._nothing_misread)
 
     async def _check(self, name: str, holds: Callable[[], Awaitable[bool]]) -> None:
         began = time.monotonic()
         held = False
-        while not held and time.monotonic() - began < _WAIT_S:
+        while not held and time.monotonic() - began < _CHECK_TIMEOUT_S:
             held = await holds()
             if not held:
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
         self.checks.append(Check(name, held, round(time.monotonic() - began, 2)))
 
     async def _get(self, url: str, **headers: str) -> tuple[int, bytes]:
@@ -173,7 +174,7 @@
         status, body = await self._get(f"http://{vm.ip}:{METRICS_PORT}/state")
         return json.loads(body) if status == _OK else {}
 
-    async def _all_in_step(self) -> bool:
+    async def _all_at_same_revision(self) -> bool:
         states = [await self._state(vm) for vm in self.vms]
         return len({state.get("store_revision") for state in states}) == 1
 
@@ -195,7 +196,7 @@
         return all(status == _OK and body for status, body in bodies)
 
     async def _peers_followed(self) -> bool:
-        """Count deltas that VMs of each version have taken from others."""
+        """Write to the store; returns whether VMs of each version have taken deltas from peers."""
         taken = {self.other: 0.0, ROOT: 0.0}
         self.store.put("op/evacuate/none", b"{}")
         await asyncio.sleep(1.0)
@@ -209,12 +210,12 @@
         rows = (line.split() for line in body.decode().splitlines())
         return sum(float(row[1]) for row in rows if row[0] == name)
 
-    async def _nothing_unreadable(self) -> bool:
-        return not self.strange_lines()
+    async def _nothing_misread(self) -> bool:
+        return not self.misread_lines()
 
-    def strange_lines(self) -> list[dict[str, Any]]:
-        """Return the lines that show that one VM does not understand another."""
-        return [line for vm in self.vms for line in vm.lines if line["event"] in _UNREADABLE]
+    def misread_lines(self) -> list[dict[str, Any]]:
+        """Return the log lines of VMs that could not read what another one sent or stored."""
+        return [line for vm in self.vms for line in vm.lines if line["event"] in _MISREAD_EVENTS]
 
 
 def _configuration(version: int, prefix: str) -> bytes:
@@ -240,18 +241,18 @@
 
 
 def main(other: str, vms: int = 3) -> None:
-    """Play a rolling upgrade.
+    """Test a rolling upgrade and print the result of each check.
 
     Args:
         other: Root of the other version's sources.
-        vms: How many VMs each version gets.
+        vms: Number of VMs of each version.
     """
     with tempfile.TemporaryDirectory() as folder:
-        upgrade = Upgrade(Path(other).resolve(), Path(folder), vms)
+        upgrade = UpgradeTest(Path(other).resolve(), Path(folder), vms)
         checks = asyncio.run(upgrade.run())
     for check in checks:
         print(f"{'held' if check.held else 'FAILED'} after {check.seconds:5.2f} s: {check.name}")
-    for line in upgrade.strange_lines():
+    for line in upgrade.misread_lines():
         print(json.dumps(line))
     sys.exit(0 if all(check.held for check in checks) else 1)
 
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,7 +1,7 @@
-"""Runs all tests, lists the known red ones, and ends with the line `N passed, N failed`.
+"""Runs all tests, prints the known failures, and ends with the line `N passed, N failed`.
 
-Owns the exit status of a test run: 1 for a failure that KNOWN-RED.txt does not list, for too many
-known ones, or when nothing ran. Hypothesis runs derandomized, so that a run can be repeated.
+The exit status is 1 for a failure that KNOWN-RED.txt does not list, for more entries there than
+allowed, or when no test ran. Hypothesis runs derandomized, so that runs are reproducible.
 """
 
 import logging
@@ -12,12 +12,12 @@
 from hypothesis import settings
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-_MOST_RED = 3
-"""Most known red tests; KNOWN-RED.txt states the same."""
+_MAX_KNOWN_RED = 3
+"""Limit on the entries of KNOWN-RED.txt, which states the same figure."""
 
 
 def known_red() -> dict[str, str]:
-    """Return the tests that are known to fail, with their causes."""
+    """Return the entries of KNOWN-RED.txt by test id."""
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
     rows = [line for line in lines if line.strip() and not line.startswith("#")]
     return {row.split("|")[0].strip(): row for row in rows}
@@ -36,10 +36,12 @@
     new = [test for test in failed if test not in red]
     for row in red.values():
         print(f"known red: {row}")
-    if len(red) > _MOST_RED:
-        print(f"KNOWN-RED.txt has {len(red)} tests; at most {_MOST_RED} may stand there")
+    if len(red) > _MAX_KNOWN_RED:
+        print(
+            f"KNOWN-RED.txt lists {len(red)} tests; the limit is {_MAX_KNOWN_RED}: mend some first"
+        )
     print(f"{result.testsRun - len(failed)} passed, {len(failed)} failed")
-    return 1 if new or len(red) > _MOST_RED or result.testsRun == 0 else 0
+    return 1 if new or len(red) > _MAX_KNOWN_RED or result.testsRun == 0 else 0
 
 
 if __name__ == "__main__":
--- a/tools/unused.py
+++ b/tools/unused.py
@@ -1,10 +1,10 @@
-"""Lists code that nothing uses, as vulture sees it.
+"""Lists unused code, as found by vulture.
 
     python -m tools.unused
 
-Owns the list of folders and the confidence. Relies on vulture and on `tools/vulture_names.py`,
-which names what libraries call. Classes of test files are passed over: unittest finds test cases
-by itself.
+This module sets the folders to scan and the confidence threshold. It relies on vulture and on
+`tools/vulture_names.py`, which lists the names that only libraries use. Classes of test files are
+left out, since unittest discovers test cases.
 """
 
 import sys
@@ -13,20 +13,22 @@
 from vulture import Vulture
 from vulture.core import Item
 
-FOLDERS = ("sprucewinch", "platform", "standins", "tools", "tests", "examples")
+SCANNED_FOLDERS = ("sprucewinch", "platform", "standins", "tools", "tests", "examples")
 GENERATED = ("*/peer_pb2.py", "*/peer_grpc.py")
-STATE_MACHINE = ("@initialize", "@invariant", "@rule")
-"""Decorators of methods that Hypothesis calls."""
+HYPOTHESIS_DECORATORS = ("@initialize", "@invariant", "@rule")
+"""Decorators of methods that Hypothesis calls in its stateful tests."""
 
-CONFIDENCE = 60
-"""Least confidence of a finding, in per cent; vulture gives 60 to names that no code mentions."""
+MIN_CONFIDENCE_PERCENT = 60
+"""Lowest confidence of a reported finding; vulture assigns 60 to names that no code mentions."""
 
 
 def main() -> int:
-    """Print what is unused; returns the exit status."""
-    vulture = Vulture(ignore_decorators=STATE_MACHINE)
-    vulture.scavenge(FOLDERS, exclude=GENERATED)
-    unused = [item for item in vulture.get_unused_code(CONFIDENCE) if not _is_test_case(item)]
+    """Print unused code; returns the exit status, 1 when there is any."""
+    vulture = Vulture(ignore_decorators=HYPOTHESIS_DECORATORS)
+    vulture.scavenge(SCANNED_FOLDERS, exclude=GENERATED)
+    unused = [
+        item for item in vulture.get_unused_code(MIN_CONFIDENCE_PERCENT) if not _is_test_case(item)
+    ]
     for item in unused:
         print(item.get_report())
     return 1 if unused else 0
--- a/tools/wrong_versions.py
+++ b/tools/wrong_versions.py
@@ -1,10 +1,11 @@
-"""Shows that the proofs of the platform's rules fail on wrong versions of the mechanisms.
+"""Mutation test: checks that the tests of the platform's rules fail on faulty mechanisms.
 
     python -m tools.wrong_versions
 
-For each rule a copy of the sources is made wrong in one place, and that rule's tests run on it.
-A wrong version that stays green is a proof that proves nothing. Owns the copies and the runs;
-`wrong_version_list` has the versions.
+Each wrong version is a copy of the sources with a fault put in at one place. The tests of the rule
+that the fault breaks run on the copy and have to fail; if they pass, they do not check the rule.
+This module makes the copies and runs the tests; `wrong_version_list` and the two modules beside it
+list the versions.
 """
 
 import os
@@ -28,34 +29,36 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 _COPIED = ("sprucewinch", "platform", "standins", "tests", "tools")
-_LONGEST_S = 180.0
-"""Seconds after which the tests of a wrong version count as failed. A guess, never measured."""
+_RUN_TIMEOUT_S = 180.0
+"""Timeout of the tests of one wrong version; a timeout counts as a failure."""
 
 
 class StaleVersionError(SprucewinchError):
-    """The text that a wrong version replaces does not stand in its file just once."""
+    """The text that a wrong version replaces does not occur exactly once in its file."""
 
 
 def make_wrong(version: WrongVersion, folder: Path) -> None:
-    """Make a copy of the sources wrong in one place.
+    """Put the fault of a wrong version into a copy of the sources.
 
     Args:
-        version: What is wrong.
-        folder: The copy.
+        version: The wrong version.
+        folder: Root of the copy.
 
     Raises:
-        StaleVersionError: When the text to replace is not there just once.
+        StaleVersionError: When the text to replace does not occur exactly once.
     """
     path = folder / version.path
     text = path.read_text(encoding="utf-8")
     if text.count(version.old) != 1:
         problem = f"{version.path} has {text.count(version.old)} times {version.old!r}"
-        raise StaleVersionError(problem, "bring this wrong version up to date with its mechanism")
+        raise StaleVersionError(
+            problem, "update the quoted text of this wrong version to the present source"
+        )
     path.write_text(text.replace(version.old, version.new), encoding="utf-8")
 
 
 def is_red(version: WrongVersion) -> bool:
-    """Return whether the tests of a wrong version fail on it."""
+    """Return whether the tests of a wrong version fail on it, as they should."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         for part in _COPIED:
@@ -74,7 +77,7 @@
             cwd=folder,
             env=environment,
             capture_output=True,
-            timeout=_LONGEST_S,
+            timeout=_RUN_TIMEOUT_S,
             check=False,
         )
     except subprocess.TimeoutExpired:
@@ -83,7 +86,7 @@
 
 
 def main() -> int:
-    """Run all wrong versions; returns the exit status, 1 when one stays green."""
+    """Test all wrong versions and print a table; returns 1 when the tests of one pass, else 0."""
     console = Console(width=120)
     table = Table("rule", "wrong version", "tests", "seen")
     green = 0
