--- a/tools/load/__init__.py
+++ b/tools/load/__init__.py
@@ -1,4 +1,4 @@
-"""Seeded load on the own interface as callers make it, checked against what the servers ran.
+"""Seeded load generator for the own interface; results are checked against the servers' runs.
 
-Start with `load`, which plans the arrivals; `request` is the way of one of them.
+Start with `load`, which plans the arrivals; `request` sends one of them.
 """
--- a/tools/load/checks.py
+++ b/tools/load/checks.py
@@ -1,8 +1,8 @@
-"""Compares what callers saw with what ran at the stand-ins.
+"""Compares the callers' results with what ran at the stand-ins.
 
-Owns the promises to callers of the own interface: nothing lost or wrong, nothing run that was
-refused, nothing answered that did not run, nothing run twice that must not. Relies on the stand-ins
-for what ran.
+This module holds the guarantees to callers of the own interface: no request is lost or answered
+wrongly, none runs that was refused as not run, none is answered without a run, and none that is not
+repeatable runs twice. It relies on the stand-ins for the record of what ran.
 """
 
 from collections import Counter
@@ -15,10 +15,11 @@
 
 
 async def runs_at_servers(configuration: Configuration) -> tuple[Counter[str], int, list[str]]:
-    """Ask every stand-in what it ran.
+    """Ask each stand-in what it ran.
 
     Returns:
-        Runs by operation, refused-for-room answers, and servers that ran more than their slots.
+        Runs by operation, number of requests that servers refused for lack of a slot, and servers
+        that ran more requests at once than they have slots.
     """
     runs: Counter[str] = Counter()
     shed, over = 0, []
@@ -37,7 +38,7 @@
 def broken_promises(
     results: list[Result], runs: Counter[str], services: dict[str, Service]
 ) -> list[str]:
-    """Return a line for every promise that a request saw broken."""
+    """Return one line for each violation of a guarantee."""
     broken = []
     for result in results:
         ran = runs.get(result.operation, 0)
--- a/tools/load/client_block.py
+++ b/tools/load/client_block.py
@@ -1,7 +1,7 @@
-"""One client block: which entry VMs it was told of, and which tickets it holds.
+"""One client block: its cached look-ups and its unused tickets.
 
-Owns a caller's caches of the own interface, look-ups and tickets, and how it fills them. Knows some
-entry VMs of each region from the start, as callers do by their own configuration.
+This module owns the two caches of a caller of the own interface and fills them. A client block
+knows some entry VMs of each region from the start, as callers do by their own configuration.
 """
 
 import random
@@ -12,26 +12,26 @@
 
 import aiohttp
 
-_TICKETS = 4
-"""Tickets asked for at once. A guess, never measured."""
+_TICKETS_PER_CALL = 4
+"""Tickets requested in one call."""
 
 _MS_PER_S = 1000
 """Milliseconds in a second."""
 
 
-class _Cached(NamedTuple):
+class _CachedLookup(NamedTuple):
     entry_vms: list[dict[str, str]]
     until: float
 
 
 class ClientBlock:
-    """One client block.
+    """A caller identified by its client block.
 
     Args:
-        block: Its network.
-        region: Its region.
-        known: Callers' addresses of entry VMs that it knows from the start, by region.
-        rng: Source of randomness, shared by all of a load.
+        block: Network of the client block, in CIDR notation.
+        region: Region of the client block.
+        known: Caller addresses of the entry VMs that it knows from the start, by region.
+        rng: Source of randomness, shared by the whole load.
     """
 
     def __init__(
@@ -41,11 +41,15 @@
         self.region = region
         self._known = known
         self._rng = rng
-        self._lookups: dict[str, _Cached] = {}
+        self._lookups: dict[str, _CachedLookup] = {}
         self._tickets: dict[tuple[str, str], list[str]] = {}
 
     async def look_up(self, session: aiohttp.ClientSession, service: str) -> list[dict[str, str]]:
-        """Return the entry VMs for a service, from the cache while that holds; empty for none."""
+        """Return the entry VMs for a service, cached for the TTL of the answer.
+
+        Returns:
+            The entry VMs; empty when none of the known ones answered.
+        """
         cached = self._lookups.get(service)
         if cached is not None and cached.until > time.monotonic():
             return cached.entry_vms
@@ -59,28 +63,32 @@
                         continue
                     answer = await response.json()
             except aiohttp.ClientError:
-                continue  # the next address may answer; none at all is a result, `no-entry-vm`
+                continue  # the next address may answer; if none does, the result is `no-entry-vm`
             until = time.monotonic() + answer["ttl_ms"] / _MS_PER_S
-            self._lookups[service] = _Cached(answer["entry_vms"], until)
+            self._lookups[service] = _CachedLookup(answer["entry_vms"], until)
             return answer["entry_vms"]
         return []
 
     def forget(self, service: str) -> None:
-        """Look up anew at the next request: no entry VM that it was told of can be reached."""
+        """Drop the cached look-up of a service, as none of its entry VMs could be reached."""
         self._lookups.pop(service, None)
 
     async def take_ticket(
         self, session: aiohttp.ClientSession, service: str, address: str
     ) -> Optional[str]:
-        """Return a ticket of an entry VM, from those at hand if any; None when it gives none."""
-        at_hand = self._tickets.setdefault((service, address), [])
-        if not at_hand:
-            url = f"http://{address}/v1/tickets?service={service}&count={_TICKETS}"
+        """Return an unused ticket of an entry VM, requesting more if none is cached.
+
+        Returns:
+            The ticket; None when the entry VM issues none or cannot be reached.
+        """
+        cached_tickets = self._tickets.setdefault((service, address), [])
+        if not cached_tickets:
+            url = f"http://{address}/v1/tickets?service={service}&count={_TICKETS_PER_CALL}"
             try:
                 async with session.post(url) as response:
                     if response.status != HTTPStatus.OK:
                         return None
-                    at_hand.extend((await response.json())["tickets"])
+                    cached_tickets.extend((await response.json())["tickets"])
             except aiohttp.ClientError:
                 return None
-        return at_hand.pop()
+        return cached_tickets.pop()
--- a/tools/load/load.py
+++ b/tools/load/load.py
@@ -1,7 +1,7 @@
-"""Load on a fleet from planned arrivals.
+"""Open-loop load on a fleet: requests are sent at planned times, whatever the answers.
 
-Owns the plan and the random source that all of a load draws from: the same seed gives the same
-arrivals. Relies on `request` for what each of them does.
+This module owns the plan and the random source of the whole load: the same seed gives the same
+arrivals. It relies on `request` for sending each of them.
 """
 
 import asyncio
@@ -22,15 +22,15 @@
 
 
 class Load:
-    """Drives flows against a fleet from planned arrivals.
+    """Sends flows of requests to a fleet at planned times.
 
     Args:
         configuration: The deployment.
-        entry_vms: Callers' addresses that callers know from the start, by region.
-        flows: What is sent.
+        entry_vms: Caller addresses of the entry VMs that callers know from the start, by region.
+        flows: Flows of requests to send.
         seed: Seed of all arrivals.
         blocks: Client blocks in each region.
-        come_backs: How often a refused caller comes back.
+        max_retries: Limit on the retries of a refused request.
     """
 
     def __init__(
@@ -41,11 +41,11 @@
         *,
         seed: int = 1,
         blocks: int = 100,
-        come_backs: int = 3,
+        max_retries: int = 3,
     ) -> None:
         self.flows = flows
         self.rng = random.Random(seed)
-        self.come_backs = come_backs
+        self.max_retries = max_retries
         self.results: list[Result] = []
         self.started = 0.0
         self._deployment = Deployment(configuration)
@@ -59,7 +59,11 @@
         }
 
     async def run(self, seconds: float) -> None:
-        """Send everything that arrives within some seconds, and wait for all answers."""
+        """Send all requests planned for a period, and wait for all answers.
+
+        Args:
+            seconds: Length of the period.
+        """
         arrivals = self._plan(seconds)
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(
@@ -71,7 +75,7 @@
                 wait = self.started + at - time.monotonic()
                 if wait > 0:
                     await asyncio.sleep(wait)
-                tasks.append(asyncio.create_task(self._one(session, at, flow, caller)))
+                tasks.append(asyncio.create_task(self._send_planned(session, at, flow, caller)))
             await asyncio.gather(*tasks)
 
     def _plan(self, seconds: float) -> list[tuple[float, Flow, ClientBlock]]:
@@ -85,7 +89,7 @@
         planned.sort(key=lambda row: row[0])
         return planned
 
-    async def _one(
+    async def _send_planned(
         self, session: aiohttp.ClientSession, at: float, flow: Flow, caller: ClientBlock
     ) -> None:
         operation = f"{flow.service}-{len(self.results)}-{self.rng.getrandbits(48):x}"
@@ -93,7 +97,7 @@
         self.results.append(result)
         body = self.rng.randbytes(flow.body_bytes)
         request = Request(session, self._deployment, flow, caller, result, body)
-        await request.run(self.come_backs)
+        await request.run(self.max_retries)
         result.latency_ms = (time.monotonic() - self.started - at) * _MS_PER_S
 
 
--- a/tools/load/request.py
+++ b/tools/load/request.py
@@ -1,8 +1,8 @@
-"""The way of one request of the load, from its first attempt to what became of it.
+"""One request of the load, from its first attempt to its result.
 
-Owns attempts at one entry VM after the other, come-backs as told, the delay of the way, and the
-check that an answer is whole and the request's own. Relies on `client_block` for look-ups and
-tickets.
+This module tries the entry VMs of a look-up in turn, retries refused requests after the time that
+the refusal states, adds the network delay between caller and entry VM, and checks that an answer is
+complete and belongs to the request. It relies on `client_block` for look-ups and tickets.
 """
 
 import asyncio
@@ -18,24 +18,24 @@
 from .client_block import ClientBlock
 from .results import Flow, Result
 
-_CLIENT_MS = 1.0
-"""One-way delay of a caller to its own region, in milliseconds, as the brief has it for Kovács."""
+_OWN_REGION_MS = 1.0
+"""One-way delay between a caller and an entry VM of its own region."""
 
-_GIVE_UP_S = 20.0
-"""Seconds after which a caller gives a request up. A guess, never measured."""
+_REQUEST_TIMEOUT_S = 20.0
+"""Time after which a caller gives up a request with all its retries, as lost."""
 
-_UNTOLD_MS = 100
-"""Wait of a refused caller that is told no time, in milliseconds. A guess, never measured."""
+_DEFAULT_RETRY_MS = 100
+"""Wait before a retry when the refusal states a time of 0."""
 
-_NOBODY_MS = 200
-"""Wait of a caller that reached no entry VM, in milliseconds. A guess, never measured."""
+_NO_ENTRY_VM_RETRY_MS = 200
+"""Wait before a retry when no entry VM could be reached."""
 
 _MS_PER_S = 1000
 """Milliseconds in a second."""
 
 
 class Deployment:
-    """What callers know of a deployment: which services need tickets, and how far regions are.
+    """What callers know of a deployment: which services need tickets, and delays between regions.
 
     Args:
         configuration: The deployment.
@@ -46,15 +46,15 @@
         self._links = {frozenset((link.a, link.b)): link.one_way_ms for link in configuration.link}
 
     def needs_ticket(self, service: str) -> bool:
-        """Return whether requests of a service need a ticket, as they must not run twice."""
+        """Return whether requests of a service need a ticket, since they must not run twice."""
         return not self._repeatable[service]
 
     def distance_s(self, client_region: str, region: str) -> float:
         """Return the one-way delay from a caller to an entry VM, in seconds."""
-        between_ms = 0.0
+        link_ms = 0.0
         if client_region != region:
-            between_ms = self._links.get(frozenset((client_region, region)), 0.0)
-        return (between_ms + _CLIENT_MS) / _MS_PER_S
+            link_ms = self._links.get(frozenset((client_region, region)), 0.0)
+        return (link_ms + _OWN_REGION_MS) / _MS_PER_S
 
 
 class Request:
@@ -62,11 +62,11 @@
 
     Args:
         session: HTTP client of the load.
-        deployment: What the caller knows of it.
-        flow: What it is one of.
-        caller: Who sends it.
-        result: What became of it; filled in here.
-        body: Its body.
+        deployment: What the caller knows of the deployment.
+        flow: Flow that the request belongs to.
+        caller: Client block that sends it.
+        result: Result of the request, filled in here.
+        body: Body of the request.
     """
 
     def __init__(
@@ -85,24 +85,24 @@
         self.result = result
         self.body = body
 
-    async def run(self, come_backs: int) -> None:
-        """Send it, and again as told when it is refused, until it is given up.
+    async def run(self, max_retries: int) -> None:
+        """Send the request, and retry it while it is refused as not run.
 
         Args:
-            come_backs: How often it may be sent again.
+            max_retries: Limit on the retries.
         """
         try:
-            async with asyncio.timeout(_GIVE_UP_S):
-                for left in reversed(range(come_backs + 1)):
+            async with asyncio.timeout(_REQUEST_TIMEOUT_S):
+                for left in reversed(range(max_retries + 1)):
                     wait_ms = await self._attempt()
                     if self.result.outcome != "not-run" or not left:
                         return
-                    await asyncio.sleep((wait_ms or _UNTOLD_MS) / _MS_PER_S)
+                    await asyncio.sleep((wait_ms or _DEFAULT_RETRY_MS) / _MS_PER_S)
         except TimeoutError:
             self.result.outcome = "lost"
 
     async def _attempt(self) -> Optional[int]:
-        """Send it once; returns when to come back, in milliseconds, if refused."""
+        """Make one attempt; returns the wait before a retry, in milliseconds, if refused."""
         service = self.flow.service
         for vm in await self.caller.look_up(self.session, service):
             ticket = None
@@ -121,7 +121,7 @@
                 return None
         self.result.outcome, self.result.reason = "not-run", "no-entry-vm"
         self.caller.forget(service)
-        return _NOBODY_MS
+        return _NO_ENTRY_VM_RETRY_MS
 
     async def _send(self, vm: dict[str, str], ticket: Optional[str]) -> Optional[int]:
         headers = {
@@ -138,10 +138,10 @@
         async with call as response:
             answer = await response.read()
             await asyncio.sleep(distance_s)
-        return self._judge(response, answer)
+        return self._fill_in_result(response, answer)
 
-    def _judge(self, response: aiohttp.ClientResponse, answer: bytes) -> Optional[int]:
-        """Fill in the result; returns when to come back, in milliseconds, if refused."""
+    def _fill_in_result(self, response: aiohttp.ClientResponse, answer: bytes) -> Optional[int]:
+        """Fill in the result; returns the wait before a retry, in milliseconds, if refused."""
         result = self.result
         result.outcome = response.headers.get("sprucewinch-outcome", "wrong")
         result.hall = response.headers.get("sprucewinch-hall", "")
--- a/tools/load/results.py
+++ b/tools/load/results.py
@@ -1,6 +1,6 @@
-"""What load consists of and what became of it.
+"""Types of the flows that a load consists of and of the results of its requests.
 
-Owns the types of flows and results, which the other modules of the folder and the demo share.
+The other modules of the folder and the demo share them.
 """
 
 from dataclasses import dataclass
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Flow:
-    """Requests of one service.
+    """A flow of like requests to one service, with Poisson arrivals.
 
     Args:
-        service: Service.
-        per_s: Mean requests a second of each client region.
+        service: Name of the service.
+        per_s: Mean rate of each client region, in requests a second.
         method: HTTP method.
         path: Path at the backend server.
-        body_bytes: Size of the body.
-        query: Query for the stand-in.
+        body_bytes: Size of the body, in bytes.
+        query: Query string for the stand-in, with its question mark.
     """
 
     service: str
@@ -29,18 +29,18 @@
 
 @dataclass(slots=True)
 class Result:
-    """What became of one request.
+    """Result of one request.
 
     Args:
-        service: Service.
-        operation: Its name at the backend servers.
+        service: Name of the service.
+        operation: Unique id under which the backend servers record its runs.
         client_region: Region of the caller.
         outcome: `answered`, `not-run`, `unknown`, `wrong` or `lost`.
         reason: Reason of a refusal.
-        latency_ms: From the planned arrival to the end of the answer, come-backs included.
-        at: Planned arrival, seconds after the start.
+        latency_ms: Time from the planned arrival to the end of the answer, with all retries.
+        at: Planned arrival, in seconds after the start.
         region: Region of the entry VM.
-        hall: Data hall that answered, as the answer says.
+        hall: Data hall that answered, as its header states.
     """
 
     service: str
@@ -55,7 +55,7 @@
 
 
 def quantile(values: list[float], part: float) -> float:
-    """Return a quantile of values by the nearest rank; 0 of none."""
+    """Return a quantile of values by the nearest-rank method; 0.0 for an empty list."""
     if not values:
         return 0.0
     ordered = sorted(values)
