--- a/tests/adapter.py
+++ b/tests/adapter.py
@@ -1,4 +1,4 @@
-"""Makes the modules of the folder `platform/` importable for tests, by their plain names."""
+"""Adds the folder `platform/` to the import path, so that tests import its modules by name."""
 
 import sys
 from pathlib import Path
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces of the core."""
+"""Settings, nodes and an in-memory platform for tests of the own interface."""
 
 import random
 from collections.abc import Callable
@@ -12,18 +12,18 @@
 from sprucewinch.hall.store.documents import CONFIGURATION_KEY, Revisioned
 from sprucewinch.hall.store.store import Entry, Mismatch, Platform, VmListing, Written
 
-EXAMPLE = "examples/freight.toml"
+EXAMPLE_PATH = "examples/freight.toml"
 
 
 def example() -> Configuration:
-    """Return the freight deployment."""
+    """Return the configuration of the example deployment."""
     from pathlib import Path
 
-    return load_configuration(Path(EXAMPLE))
+    return load_configuration(Path(EXAMPLE_PATH))
 
 
 def settings(vm: str = "a", hall: str = "van-1", region: str = "lower-mainland") -> Settings:
-    """Return a daemon's settings."""
+    """Return settings of a daemon, with fixed addresses."""
     return Settings(
         vm=vm,
         hall=hall,
@@ -37,7 +37,13 @@
 
 
 def node(now: float = 0.0, incarnation: int = 1, **place: str) -> Node:
-    """Return the core of a daemon."""
+    """Return the node of a daemon: its state and decisions, without sockets or store.
+
+    Args:
+        now: Time at which it starts, in seconds.
+        incarnation: Incarnation of its process.
+        **place: Arguments of `settings`.
+    """
     return Node(
         settings(**place),
         incarnation=incarnation,
@@ -48,14 +54,14 @@
 
 
 def configure(target: Node, document: Optional[Document] = None) -> None:
-    """Put a document in force at a node."""
+    """Put a document in force at a node; by default revision 1 with the example configuration."""
     held = document or Document(1, example())
     value = encode_document(held)
     assert target.shelf.offer(Revisioned(CONFIGURATION_KEY, held.revision, value))
 
 
 def run(target: Node, begin: float, end: float, step: float = 0.5) -> None:
-    """Let a node tick from one time to another."""
+    """Tick a node from one time to another, both included; all in seconds."""
     now = begin
     while now <= end:
         target.tick(now)
@@ -63,7 +69,14 @@
 
 
 class FakePlatform(Platform):
-    """The platform's service in memory; `fault` is asked before and after every call."""
+    """The platform's key-value service in memory.
+
+    Attributes:
+        down: Makes all calls but `close` fail with `PlatformError`.
+        lose_next_answer: Makes the next `put` write its value and then fail with
+            `WriteUnknownError`, as when the answer is lost.
+        before_put: Called once before the next `put` compares versions, for a concurrent write.
+    """
 
     def __init__(self) -> None:
         self.version = 0
@@ -73,7 +86,7 @@
         self.before_put: Optional[Callable[[], None]] = None
 
     def write(self, key: str, value: bytes) -> Entry:
-        """Write a value as somebody else would."""
+        """Write a value as another client would, without a check of its version."""
         self.version += 1
         self.values[key] = Entry(key, self.version, value)
         return self.values[key]
--- a/tests/manual_clock.py
+++ b/tests/manual_clock.py
@@ -1,13 +1,13 @@
-"""A clock for tests."""
+"""A clock that tests set by hand."""
 
 from sprucewinch.clock import Clock
 
 
 class ManualClock(Clock):
-    """A clock that stands still until a test sets `now`.
+    """A clock that advances only when a test sets `now`.
 
     Args:
-        start: First reading of both clocks, in seconds.
+        start: Initial reading of the monotonic and the wall clock, in seconds.
     """
 
     def __init__(self, start: float = 1000.0) -> None:
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -1,4 +1,8 @@
-"""A fleet that follows one store on a virtual clock: roles, heartbeats, notices; no requests."""
+"""A fleet of entry VMs that follow one store on a virtual clock.
+
+The VMs run the components for following the store and peers, heartbeats, notices and reports in
+one process and over virtual links; they serve no requests of callers.
+"""
 
 import asyncio
 import random
@@ -40,16 +44,17 @@
 
 REGIONS = ("east", "west", "north")
 FLEET_HALLS = {f"{region}-a": region for region in REGIONS}
-_DATAGRAM_S = 0.005
+_DATAGRAM_DELAY_S = 0.005
+"""One-way delay of a datagram between two VMs."""
 
 
 class FleetVm:
     """One VM of the fleet.
 
     Args:
-        fleet: The fleet.
-        number: Its number, from 0.
-        incarnation: Number of its process.
+        fleet: Fleet that the VM belongs to.
+        number: Number of the VM in the fleet, from 0.
+        incarnation: Incarnation of its process.
     """
 
     def __init__(self, fleet: "VirtualFleet", number: int, *, incarnation: int = 1) -> None:
@@ -70,7 +75,7 @@
             self.name, self.region, self.gossip, self.store_view, outages, regions=len(REGIONS)
         )
         self.datagrams = Datagrams(loop.time)
-        self.datagrams.transport = _Datagrams(self)  # type: ignore[assignment]
+        self.datagrams.transport = _DatagramTransport(self)  # type: ignore[assignment]
         self.reports = PeerReports(self.datagrams, self.follow_role)
         self.registry = BackendRegistry(
             self.store_view, BOUNDS, self.name, FLEET_HALLS, outages, self.reports
@@ -135,12 +140,12 @@
             reporter.run,
             self._tick,
         )
-        machine = copy_context()
-        machine.run(current_link.set, self.link)
-        self.tasks = [loop.create_task(run(), context=machine) for run in loops]
+        vm_context = copy_context()
+        vm_context.run(current_link.set, self.link)
+        self.tasks = [loop.create_task(run(), context=vm_context) for run in loops]
 
     async def _tick(self) -> None:
-        """Drop lapsed entries as the daemon does."""
+        """Remove expired entries every 0.2 s, as the daemon does."""
         while True:
             if self.store_view.has_configuration:
                 self.registry.settle()
@@ -148,12 +153,12 @@
             await asyncio.sleep(0.2)
 
     def peer(self) -> tuple[str, int]:
-        """Return the address that its datagrams come from."""
+        """Return the source address of its datagrams."""
         ip, port = self.address.split(":")
         return ip, int(port)
 
     def kill(self) -> None:
-        """End the VM at once."""
+        """Stop all tasks and the listener of the VM at once, as when its process is killed."""
         for task in self.tasks:
             task.cancel()
         self.fleet.loop.listeners.pop(self.address)
@@ -166,14 +171,20 @@
 
 
 class VirtualFleet:
-    """All VMs and their store.
+    """A number of VMs and the store that they follow.
 
     Args:
-        loop: The virtual loop.
-        store: The store.
-        count: How many VMs.
-        seed: Seed of the VMs' randomness.
-        link_mbps: Widths of the VMs' links in turn, in Mbit/s; none for links without a limit.
+        loop: Virtual event loop.
+        store: Store that the VMs follow.
+        count: Number of VMs.
+        seed: Seed of the VMs' random sources.
+        link_mbps: Bandwidths assigned to the VMs' links in rotation, in Mbit/s; empty for links
+            without a limit.
+
+    Attributes:
+        gone: Names of killed VMs.
+        cut: Names of VMs that `isolate` has cut off from the others.
+        empty_deltas: Makes all VMs answer requests for deltas from an empty store view.
     """
 
     def __init__(
@@ -195,40 +206,40 @@
         self.vms = [FleetVm(self, number) for number in range(count)]
 
     def start_again(self, vm: FleetVm) -> FleetVm:
-        """Start a killed VM as a new process that knows nothing."""
+        """Restart a killed VM as a new process without any state."""
         at = self.vms.index(vm)
         self.gone.discard(vm.name)
         self.vms[at] = FleetVm(self, at, incarnation=2)
         return self.vms[at]
 
     def deliver(self, sender: FleetVm, data: bytes, address: tuple[str, int]) -> None:
-        """Bring a datagram to its VM, unless one of the two is gone or cut off."""
+        """Deliver a datagram, unless its sender or its receiver is killed or cut off."""
         found = [m for m in self.vms if m.address == f"{address[0]}:{address[1]}"]
         for vm in found:
             if not {vm.name, sender.name} & (self.gone | self.cut):
                 self.loop.call_later(
-                    _DATAGRAM_S, vm.datagrams.datagram_received, data, sender.peer()
+                    _DATAGRAM_DELAY_S, vm.datagrams.datagram_received, data, sender.peer()
                 )
 
     def isolate(self, vm: FleetVm) -> None:
-        """Cut a VM off from all others; it still reaches the store."""
+        """Cut a VM off from all other VMs; it can still reach the store."""
         self.cut.add(vm.name)
         self.loop.listeners[vm.address].silent = True
 
     def store_followers(self) -> list[FleetVm]:
-        """Return the VMs that follow the store now."""
+        """Return the running VMs that follow the store directly now."""
         now = self.loop.time()
         return [
             vm for vm in self.vms if vm.name not in self.gone and vm.follow_role.follows_store(now)
         ]
 
     def versions(self) -> set[int]:
-        """Return the versions in force at the VMs that are there."""
+        """Return the configuration versions in force at the running VMs."""
         return {m.version() for m in self.vms if m.name not in self.gone}
 
 
-class _Datagrams:
-    """Stands for a datagram transport."""
+class _DatagramTransport:
+    """Datagram transport of a VM that sends over the virtual fleet."""
 
     def __init__(self, vm: FleetVm) -> None:
         self.vm = vm
@@ -239,7 +250,7 @@
 
 
 class _Deltas(asyncio.Protocol):
-    """A VM's peer listener: its application, served in memory."""
+    """Peer listener of a VM: serves its `DeltaApp` over a virtual connection."""
 
     def __init__(self, vm: FleetVm) -> None:
         self.vm = vm
@@ -275,7 +286,7 @@
         return {"type": "http.request", "body": b"", "more_body": False}
 
     async def _send(self, message: dict[str, Any]) -> None:
-        """Write head and body at once: the virtual loop keeps no order within one moment."""
+        """Write head and body in one call: the virtual loop keeps no order of calls at one time."""
         if message["type"] == "http.response.start":
             lines = [f"HTTP/1.1 {message['status']} x".encode()]
             lines += [name + b": " + value for name, value in message["headers"]]
