--- a/tests/test_plays.py
+++ b/tests/test_plays.py
@@ -1,4 +1,4 @@
-"""Entries of the journal side by side."""
+"""Tables and charts that compare entries of the journal."""
 
 import json
 import tempfile
@@ -37,7 +37,7 @@
         table = {"id": entry_id, "argv": ["../x/a.toml", "--why", "b"], "why": "b", "days": days}
         (self.folder / f"20261202T100000-{entry_id}.json").write_text(json.dumps(table))
 
-    def test_days_that_all_have_stand_beside_each_other_with_broken_rules(self) -> None:
+    def test_common_days_are_listed_side_by_side_with_broken_rules(self) -> None:
         entries = [read("aaaa", self.folder), read("bbbb", self.folder)]
         lines = days_table(entries)
         self.assertEqual(len(lines), 3)
@@ -45,18 +45,18 @@
         self.assertTrue(lines[2].endswith("broken: SHIFT |"))
         self.assertEqual(entries[0].site, "a")
 
-    def test_prices_are_means_of_common_days_and_trifles_are_left_out(self) -> None:
+    def test_prices_are_means_of_common_days_without_negligible_ones(self) -> None:
         entries = [read("aaaa", self.folder)]
         self.assertEqual(prices_table(entries)[2:], ["| cloud calls | 0.0300 |"])
 
-    def test_what_cannot_be_read_is_named(self) -> None:
+    def test_unreadable_entries_are_reported_with_their_problem(self) -> None:
         self._write("cccc", {"name": "quiet-1"})
         for entry_id, words in (("dddd", "0 entries"), ("cccc", "run, score or hunt")):
             with self.subTest(entry_id), self.assertRaises(PlayError) as caught:
                 read(entry_id, self.folder)
             self.assertIn(words, str(caught.exception))
 
-    def test_the_chart_draws_a_bar_for_each_entry_and_day_in_common(self) -> None:
+    def test_the_chart_draws_a_bar_for_each_entry_and_common_day(self) -> None:
         entries = [read("aaaa", self.folder), read("bbbb", self.folder)]
         console = Console(width=80, file=StringIO())
         console.print(chart(entries, ["before", "after"]))
@@ -65,6 +65,6 @@
         for words in ("scale-1", "before", "0.600", "after", "0.700 broken"):
             self.assertIn(words, drawn)
 
-    def test_names_that_do_not_fit_the_entries_are_refused(self) -> None:
+    def test_names_that_do_not_match_the_entries_are_refused(self) -> None:
         with self.assertRaisesRegex(PlayError, "one name for each id"):
             draw("", "before")
