--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,7 +1,8 @@
 """A local fleet of the own interface: stand-ins and daemons as separate processes on loopback.
 
-Owns the processes, their settings files and logs, and ends every process that it started. Used by
-the demo and by process tests. Relies on `standins.platform` and `standins.backend`.
+This module owns the processes, their settings files and logs, and ends every process that it
+started. The demo and the process tests use it. It relies on `standins.platform` and
+`standins.backend`.
 """
 
 import os
@@ -22,17 +23,17 @@
 from .ports import free_ports
 
 TOKEN = "demo-token-for-loopback-only"
-"""Operators' token of all daemons; it protects nothing."""
+"""Operators' token of all daemons; not a secret, since they listen on loopback only."""
 
-_READY_S = 30.0
-"""Seconds that a condition of a fleet is waited for, by default. A guess, never measured."""
+_CONDITION_TIMEOUT_S = 30.0
+"""Default time that `wait_until` waits for a condition."""
 
-_END_S = 15.0
-"""Seconds that a daemon's planned stop may take. A guess, never measured."""
+_STOP_TIMEOUT_S = 15.0
+"""Longest time that a daemon may take to shut down after SIGTERM."""
 
 
 class Vm(NamedTuple):
-    """An entry VM of the fleet."""
+    """An entry VM of the fleet; `caller`, `peer` and `operators` are addresses of its listeners."""
 
     name: str
     hall: str
@@ -43,12 +44,12 @@
 
 
 class Fleet:
-    """Starts and ends the processes; a context manager that leaves none behind.
+    """Starts and ends the processes; as a context manager, it kills all of them on exit.
 
     Args:
         configuration: Deployment that the daemons run.
         vms_per_hall: Entry VMs in each data hall.
-        work_ms: Mean time of a request at a backend server, by service.
+        work_ms: Mean service time of a request at a backend server, by service, in milliseconds.
         seed: Seed of the stand-ins.
     """
 
@@ -97,12 +98,12 @@
             )
 
     def start_daemons(self, names: Iterable[str] | None = None) -> None:
-        """Start daemons; all by default."""
+        """Start the named daemons; all by default."""
         for name in names if names is not None else self.vms:
             self.start_daemon(name)
 
     def start_daemon(self, name: str, **changes: Any) -> None:
-        """Start one daemon, with changed settings if wanted."""
+        """Start one daemon; `changes` override single settings."""
         vm = self.vms[name]
         settings: dict[str, Any] = {
             "vm": vm.name,
@@ -134,26 +135,30 @@
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill one process at once."""
+        """Kill one process with SIGKILL and wait for its end."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
 
     def stop_daemons(self) -> dict[str, int]:
-        """Stop all daemons as planned; returns their exit statuses."""
+        """Shut down all daemons with SIGTERM.
+
+        Returns:
+            Exit statuses by name; -1 for a daemon that did not end within `_STOP_TIMEOUT_S`.
+        """
         running = {n: p for n, p in self.processes.items() if n in self.vms}
         for process in running.values():
             process.send_signal(signal.SIGTERM)
         statuses = {}
         for name, process in running.items():
             try:
-                statuses[name] = process.wait(_END_S)
+                statuses[name] = process.wait(_STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 statuses[name] = -1
         return statuses
 
     def kill_all(self) -> None:
-        """End every process that is left."""
+        """Kill all processes that still run."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
@@ -161,23 +166,29 @@
             process.wait()
 
     def log_of(self, name: str) -> str:
-        """Return what a process has logged."""
+        """Return the log of a process."""
         return (self.folder / f"{name}.log").read_text(errors="replace")
 
 
 async def wait_until(
-    check: Callable[[], Any], what: str, *, longest_s: float = _READY_S, every_s: float = 0.05
+    check: Callable[[], Any],
+    what: str,
+    *,
+    longest_s: float = _CONDITION_TIMEOUT_S,
+    every_s: float = 0.05,
 ) -> Any:
-    """Wait until an awaitable check returns something true.
+    """Poll a check until it returns a true value, and return that value.
+
+    A connection error during a check counts as a false value.
 
     Args:
-        check: Returns an awaitable.
-        what: What is waited for, for the message.
-        longest_s: Longest wait, in seconds.
-        every_s: Time between checks, in seconds.
+        check: Called for each poll; returns an awaitable.
+        what: The condition as a noun phrase, for the error message.
+        longest_s: Timeout, in seconds.
+        every_s: Interval between polls, in seconds.
 
     Raises:
-        TimeoutError: When it did not become true in time.
+        TimeoutError: When no check returned a true value in time.
     """
     import asyncio
 
@@ -189,12 +200,12 @@
         except (aiohttp.ClientError, OSError):
             pass
         if time.monotonic() > until:
-            raise TimeoutError(f"waited {longest_s} s for {what}")
+            raise TimeoutError(f"timed out after {longest_s} s waiting for {what}")
         await asyncio.sleep(every_s)
 
 
 class Operator:
-    """Calls to the operators' port of one daemon."""
+    """Client of the operators' port of one daemon, under an operator's name."""
 
     def __init__(self, session: aiohttp.ClientSession, vm: Vm, name: str = "demo") -> None:
         self.session = session
@@ -202,11 +213,11 @@
         self.headers = {"authorization": f"Bearer {TOKEN}", "sprucewinch-operator": name}
 
     async def call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """Make a call; returns status and answer."""
+        """Make a call; returns the status and the decoded JSON body."""
         url = f"http://{self.vm.operators}{path}"
         async with self.session.request(method, url, json=body, headers=self.headers) as response:
             return response.status, await response.json()
 
     async def get(self, path: str) -> Any:
-        """Read something; returns the answer."""
+        """Make a GET call; returns the decoded JSON body, whatever the status."""
         return (await self.call("GET", path))[1]
