--- a/tests/test_process_crashing_requests.py
+++ b/tests/test_process_crashing_requests.py
@@ -1,4 +1,7 @@
-"""A request that crashes servers, with the real program as processes and real sockets."""
+"""A request that crashes backend servers: all VMs quarantine it, until an operator releases it.
+
+The VMs are real processes; the backend servers are stand-ins in the test's process.
+"""
 
 import asyncio
 import time
@@ -9,11 +12,11 @@
 
 from .gateway_process import GatewayCase
 
-_SICK = "/rates/sick"
-_DOWN_S = 1.5
-_KNOWN_S = 3.0
-_SECONDS = 8.0
-_LINES = 40
+_CRASHING_PATH = "/rates/sick"
+_RESTART_DELAY_S = 1.5
+_QUARANTINE_TIME_S = 3.0
+_TEST_LOAD_S = 8.0
+_REPORTED_LINES = 40
 
 
 class CrashingRequests(GatewayCase):
@@ -21,12 +24,12 @@
     servers = 8
 
     async def asyncSetUp(self) -> None:
-        self.listening: dict[str, asyncio.Server] = {}
+        self.listeners: dict[str, asyncio.Server] = {}
         self.crashed_at: list[float] = []
         self.sent_at: list[float] = []
-        self.mended = False
+        self.crash_fixed = False
         self.fingerprint = ""
-        self.starts: set[asyncio.Task] = set()
+        self.restart_tasks: set[asyncio.Task] = set()
         await super().asyncSetUp()
 
     async def _listen(self, accept) -> str:
@@ -34,26 +37,26 @@
         self.addCleanup(server.close)
         owner = getattr(accept, "__self__", None)
         if isinstance(owner, ScriptedServer):
-            self.listening[owner.server_id] = server
+            self.listeners[owner.server_id] = server
             owner.on_run = lambda run: self._run(owner, run)
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     def _run(self, backend: ScriptedServer, run: Run) -> None:
-        if run.target == _SICK and not self.mended:
+        if run.target == _CRASHING_PATH and not self.crash_fixed:
             self.sent_at.append(time.monotonic())
             asyncio.get_running_loop().call_later(0.04, self._crash, backend)
 
     def _crash(self, backend: ScriptedServer) -> None:
-        server = self.listening.pop(backend.server_id, None)
+        server = self.listeners.pop(backend.server_id, None)
         if server is None:
             return
         self.crashed_at.append(time.monotonic())
         server.close()
         backend.reset()
-        self.starts.add(asyncio.create_task(self._start_again(backend.server_id)))
+        self.restart_tasks.add(asyncio.create_task(self._restart(backend.server_id)))
 
-    async def _start_again(self, server_id: str) -> None:
-        await asyncio.sleep(_DOWN_S)
+    async def _restart(self, server_id: str) -> None:
+        await asyncio.sleep(_RESTART_DELAY_S)
         again = ScriptedServer(asyncio.get_running_loop(), f"{server_id}+")
         self.backends.append(again)
         await self._list(again, await self._listen(again.accept))
@@ -61,56 +64,56 @@
 
     async def test_one_is_refused_by_all_vms_and_by_one_that_starts(self) -> None:
         statuses: list[int] = []
-        end = time.monotonic() + _SECONDS
+        end = time.monotonic() + _TEST_LOAD_S
         number = 0
         while time.monotonic() < end:
             number += 1
             vm = self.vms[number % len(self.vms)]
-            statuses.append((await self.ask(vm, _SICK, f"sick{number}"))[0])
+            statuses.append((await self.ask(vm, _CRASHING_PATH, f"sick{number}"))[0])
             answer = await self.ask(vm, f"/rates/{number}", f"q{number}")
-            self.assertEqual(answer[0], 200, (answer, self._told(f"q{number}")))
+            self.assertEqual(answer[0], 200, (answer, self._recent_lines(f"q{number}")))
             await asyncio.sleep(0.15)
-        later = [at for at in self.sent_at if at > self.crashed_at[2] + _KNOWN_S]
-        self.assertEqual(later, [])
+        sent_late = [at for at in self.sent_at if at > self.crashed_at[2] + _QUARANTINE_TIME_S]
+        self.assertEqual(sent_late, [])
         self.assertLessEqual(len(self.crashed_at), 6)
-        status, body, headers = await self.ask(self.vms[0], _SICK, "last")
+        status, body, headers = await self.ask(self.vms[0], _CRASHING_PATH, "last")
         self.assertEqual((status, body), (503, b'{"reason":"crashes-servers"}'))
         self.assertGreater(float(headers["retry-after"]), 30.0)
-        await self._lists_it()
+        await self._check_quarantined_listing()
         await self.vms[0].kill()
         await self.vms[0].start()
         await self.until(lambda: self.ready(self.vms[0]), "the VM to be ready again")
-        self.assertEqual((await self.ask(self.vms[0], _SICK, "again"))[0], 503)
+        self.assertEqual((await self.ask(self.vms[0], _CRASHING_PATH, "again"))[0], 503)
         self.assertEqual(len([at for at in self.sent_at if at > self.crashed_at[2] + 3.0]), 0)
-        await self._is_let_go()
+        await self._check_release()
 
-    def _told(self, request_id: str) -> list[dict[str, Any]]:
-        """Return the lines that the VMs wrote since shortly before a request."""
-        lines = [line for vm in self.vms for line in vm.lines[-_LINES:]]
+    def _recent_lines(self, request_id: str) -> list[dict[str, Any]]:
+        """Return the last lines of the VMs on a request or on any server, for failure messages."""
+        lines = [line for vm in self.vms for line in vm.lines[-_REPORTED_LINES:]]
         return [line for line in lines if line.get("id") == request_id or "server" in line]
 
-    async def _lists_it(self) -> None:
-        """Check what the operators' command shows."""
+    async def _check_quarantined_listing(self) -> None:
+        """Check what the operators' command `quarantined` prints."""
         status, output = await self.operate("quarantined")
         self.assertEqual(status, 0, output)
         self.assertRegex(output, r"^[0-9a-f]{32}  GET /rates/sick\n  refused since .* trials made")
         self.assertRegex(output, r"ended i-\d+\+?, process not stated, .* s before, seen by vm\d")
         self.fingerprint = output.split()[0]
 
-    async def _is_let_go(self) -> None:
-        """Check that the operators' command lets it go, and refuses a name that is none."""
-        self.mended = True
+    async def _check_release(self) -> None:
+        """Check that `release` ends the quarantine, and refuses an unknown fingerprint."""
+        self.crash_fixed = True
         status, output = await self.operate("release", "00ff")
         self.assertEqual(status, 2)
         self.assertIn("no such request is refused", output)
         status, output = await self.operate("release", self.fingerprint)
         self.assertEqual(status, 0, output)
 
-        async def served() -> bool:
-            answers = [await self.ask(vm, _SICK, f"let-{vm.name}") for vm in self.vms]
+        async def all_serve() -> bool:
+            answers = [await self.ask(vm, _CRASHING_PATH, f"let-{vm.name}") for vm in self.vms]
             return all(answer[0] == 200 for answer in answers)
 
-        await self.until(served, "all VMs to let it go")
+        await self.until(all_serve, "all VMs to serve the released request")
 
 
 if __name__ == "__main__":
--- a/tests/test_process_requests.py
+++ b/tests/test_process_requests.py
@@ -1,3 +1,5 @@
+"""Requests and bookings through real daemons: outcomes, tickets, leaving servers, planned stops."""
+
 import asyncio
 import contextlib
 import io
@@ -19,30 +21,30 @@
             async with self.session.get(url) as response:
                 answer = await response.json()
             self.assertEqual(answer["entry_vms"][0]["vm"], first.name)
-        with self.subTest("the caller among the examples works as it stands"):
-            await self.example_caller(first)
-        with self.subTest("a booking runs once, wherever it is sent again"):
+        with self.subTest("the example caller runs unchanged"):
+            await self.check_example_caller(first)
+        with self.subTest("a booking runs once, whichever VM it is sent to again"):
             ticket = await self.ticket(first)
             for vm in (first, first, second):
                 status, _ = await self.book(vm, "twice", ticket)
                 self.assertEqual(status, 200)
             self.assertEqual(await self.runs("twice"), 1)
-        with self.subTest("at two VMs at the same time"):
+        with self.subTest("a booking sent to two VMs at the same time runs once"):
             ticket = await self.ticket(first)
             both = [self.book(vm, "race", ticket, "?work_ms=200") for vm in (first, second)]
             statuses = sorted(status for status, _ in await asyncio.gather(*both))
             self.assertEqual(statuses, [200, 409])
             self.assertEqual(await self.runs("race"), 1)
-        with self.subTest("no ticket, no run"):
+        with self.subTest("a booking without a ticket is refused as not run"):
             status, headers, _ = await self.send(first, "booking", method="POST", operation="no")
             self.assertEqual((status, headers["sprucewinch-outcome"]), (428, "not-run"))
             self.assertEqual(await self.runs("no"), 0)
         with (
-            self.subTest("a cut answer is never a short success"),
+            self.subTest("a truncated answer is an error, never a shorter success"),
             self.assertRaises(aiohttp.ClientPayloadError),
         ):
             await self.send(first, "rates", "?answer_bytes=900000&cut_at=200000")
-        with self.subTest("deadline passes before the answer: unknown, and the caller hears it"):
+        with self.subTest("a deadline that passes during the run ends as unknown"):
             ticket = await self.ticket(first)
             status, headers, _ = await self.send(
                 first,
@@ -54,27 +56,27 @@
                 sprucewinch_deadline_ms="200",
             )
             self.assertEqual((status, headers["sprucewinch-outcome"]), (504, "unknown"))
-        with self.subTest("a server that drops a kept connection is not asked again"):
-            await self.dropped(first)
-        with self.subTest("a peer that dies half-way through an answer cuts it"):
-            await self.peer_dies_half_way()
-        with self.subTest("answers on kept connections belong to their callers"):
-            await self.own_answers(first)
-        with self.subTest("headers beyond the limit get a clear refusal"):
+        with self.subTest("a booking is not retried when the server drops a reused connection"):
+            await self.check_dropped_connection(first)
+        with self.subTest("a peer killed during an answer leaves it truncated"):
+            await self.check_peer_death_during_answer()
+        with self.subTest("answers on reused connections go to their own callers"):
+            await self.check_own_answers(first)
+        with self.subTest("headers beyond the limit are refused with 431"):
             status, headers, body = await self.send(first, "rates", x="y" * 20_000)
             self.assertEqual(status, 431)
             self.assertIn(b'"reason":"malformed"', body)
-        with self.subTest("an unreachable server is certain not to have run"):
-            await self.unreachable_server(first)
+        with self.subTest("a booking for an unreachable server is reported as not run"):
+            await self.check_unreachable_server(first)
 
-    async def example_caller(self, vm) -> None:
+    async def check_example_caller(self, vm) -> None:
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
             await caller.main(vm.caller, "10.1.2.0/24")
         self.assertIn("rate: ", output.getvalue())
         self.assertIn("booked: ", output.getvalue())
 
-    async def dropped(self, vm) -> None:
+    async def check_dropped_connection(self, vm) -> None:
         for attempt in ("warm", "dropped"):
             ticket = await self.ticket(vm)
             status, headers, _ = await self.send(
@@ -89,8 +91,8 @@
             self.assertEqual(headers["sprucewinch-outcome"], outcome, status)
             self.assertEqual(await self.runs(attempt), 1)
 
-    async def peer_dies_half_way(self) -> None:
-        """The first hall's server is leaving, so the second hall's VM runs the request."""
+    async def check_peer_death_during_answer(self) -> None:
+        """The server of the first data hall leaves, so the VM of the second runs the request."""
         near, far = self.vm(0), self.vm(1)
         server = self.pool("hall-1", "rates")
         await self.server_post(server, "/stand-in/leaving", {"leaving": True})
@@ -105,7 +107,7 @@
         self.fleet.start_daemon(far.name)
         await self.until_ready(near)
 
-    async def own_answers(self, vm) -> None:
+    async def check_own_answers(self, vm) -> None:
         async def one(number: int) -> None:
             name = f"mine-{number}"
             slow = "?work_ms=400" if number % 3 == 0 else "?work_ms=5"
@@ -121,7 +123,7 @@
         for begin in range(0, 60, 6):
             await asyncio.gather(*(one(number) for number in range(begin, begin + 6)))
 
-    async def unreachable_server(self, vm) -> None:
+    async def check_unreachable_server(self, vm) -> None:
         for hall in self.configuration.hall:
             self.fleet.kill(f"backend-{hall.name}")
         ticket = await self.ticket(vm)
@@ -158,12 +160,12 @@
 
 class Leaving(FleetCase):
     async def test_leaving_server_gets_no_new_work_within_three_seconds(self) -> None:
-        """The server says so itself; the platform is down and its list lags."""
+        """The server reports it itself; the platform is down, so its list is out of date."""
         await self.platform_faults(down=True)
         server = self.pool("hall-1", "rates")
         await self.server_post(server, "/stand-in/leaving", {"leaving": True})
 
-        async def refused() -> int:
+        async def refused_as_leaving() -> int:
             async with self.session.get(f"http://{server}/stand-in/runs") as response:
                 return (await response.json())["counters"].get("leaving", 0)
 
@@ -174,11 +176,11 @@
             self.assertEqual(status, 200, headers)
             halls.add(headers["sprucewinch-hall"])
             await asyncio.sleep(0.05)
-        after_grace = await refused()
+        after_grace = await refused_as_leaving()
         for _ in range(20):
             status, _, _ = await self.send(self.vm(0), "rates")
             self.assertEqual(status, 200)
-        self.assertEqual(await refused(), after_grace)
+        self.assertEqual(await refused_as_leaving(), after_grace)
 
     async def test_leaving_server_known_only_from_the_platforms_list(self) -> None:
         server = self.pool("hall-1", "rates")
@@ -187,15 +189,15 @@
         self.fleet.kill(self.vm(0).name)
         self.fleet.start_daemon(self.vm(0).name)
 
-        async def elsewhere() -> bool:
+        async def serves_again() -> bool:
             status, headers, _ = await self.send(self.vm(0), "rates")
             return status == 200 and headers["sprucewinch-hall"] == "hall-1"
 
-        await wait_until(elsewhere, "the first VM")
+        await wait_until(serves_again, "the first VM to serve")
         with self.assertRaises(TimeoutError):
-            await wait_until(lambda: self.ran_on(server), "a run", longest_s=1.0)
+            await wait_until(lambda: self.listed_ran_on(server), "a run", longest_s=1.0)
 
-    async def ran_on(self, server: str) -> bool:
+    async def listed_ran_on(self, server: str) -> bool:
         await self.send(self.vm(0), "rates", operation="listed")
         async with self.session.get(f"http://{server}/stand-in/runs") as response:
             return "listed" in (await response.json())["runs"]
@@ -207,8 +209,8 @@
             start = await response.content.readany()
             self.fleet.signal(vm.name, signal.SIGTERM)
             await asyncio.sleep(0.5)
-            self.fleet.signal(vm.name, signal.SIGTERM)  # a second stop during the first
-            status, _, _ = await self.send(vm, "rates")  # a caller with a cached answer
+            self.fleet.signal(vm.name, signal.SIGTERM)  # a repeated stop must change nothing
+            status, _, _ = await self.send(vm, "rates")  # callers still use a cached look-up
             self.assertEqual(status, 200)
             rest = await response.content.read()
         self.assertGreaterEqual(len(start) + len(rest), 655360)
