--- a/tests/processes.py
+++ b/tests/processes.py
@@ -83,10 +83,10 @@
         Returns:
             Status, headers and body.
         """
-        named = {"sprucewinch-client-block": CALLER}
-        named.update({name.replace("_", "-"): value for name, value in headers.items()})
+        all_headers = {"sprucewinch-client-block": CALLER}
+        all_headers.update({name.replace("_", "-"): value for name, value in headers.items()})
         url = f"http://{vm.caller}/s/{service}/work{query}"
-        async with self.session.request(method, url, headers=named) as response:
+        async with self.session.request(method, url, headers=all_headers) as response:
             return response.status, dict(response.headers), await response.read()
 
     async def ticket(self, vm: Vm) -> str:
--- a/tests/test_process_crashing_requests.py
+++ b/tests/test_process_crashing_requests.py
@@ -1,6 +1,7 @@
 """A request that crashes backend servers: all VMs quarantine it, until an operator releases it.
 
-The VMs are real processes; the backend servers are stand-ins in the test's process.
+A VM that starts later refuses it as well. The VMs are real processes with real sockets; the backend
+servers are stand-ins in the test's process.
 """
 
 import asyncio
@@ -14,9 +15,14 @@
 
 _CRASHING_PATH = "/rates/sick"
 _RESTART_DELAY_S = 1.5
-_QUARANTINE_TIME_S = 3.0
-_TEST_LOAD_S = 8.0
+"""Time from the crash of a backend server until a new process is listed in its place."""
+
+_MAX_QUARANTINE_DELAY_S = 3.0
+"""Time after the third crash by which all VMs must refuse the request."""
+
+_LOAD_DURATION_S = 8.0
 _REPORTED_LINES = 40
+"""Last lines of each VM that a failure message searches."""
 
 
 class CrashingRequests(GatewayCase):
@@ -64,7 +70,7 @@
 
     async def test_one_is_refused_by_all_vms_and_by_one_that_starts(self) -> None:
         statuses: list[int] = []
-        end = time.monotonic() + _TEST_LOAD_S
+        end = time.monotonic() + _LOAD_DURATION_S
         number = 0
         while time.monotonic() < end:
             number += 1
@@ -73,7 +79,7 @@
             answer = await self.ask(vm, f"/rates/{number}", f"q{number}")
             self.assertEqual(answer[0], 200, (answer, self._recent_lines(f"q{number}")))
             await asyncio.sleep(0.15)
-        sent_late = [at for at in self.sent_at if at > self.crashed_at[2] + _QUARANTINE_TIME_S]
+        sent_late = [at for at in self.sent_at if at > self.crashed_at[2] + _MAX_QUARANTINE_DELAY_S]
         self.assertEqual(sent_late, [])
         self.assertLessEqual(len(self.crashed_at), 6)
         status, body, headers = await self.ask(self.vms[0], _CRASHING_PATH, "last")
