--- a/tests/test_process_faults.py
+++ b/tests/test_process_faults.py
@@ -29,7 +29,7 @@
             return (await response.json())["in_use"]
 
     async def test_peers_that_die_or_freeze_with_an_operation(self) -> None:
-        """The server of the first data hall leaves, so operations are forwarded to the second one."""
+        """The first hall's server leaves, so operations are forwarded to the second hall."""
         near, far = self.vm(0), self.vm(1)
         await self.set_leaving(self.pool("hall-1", "booking"))
         with self.subTest("forwarded to the peer, and answered"):
