--- a/sprucewinch/steering/guard.py
+++ b/sprucewinch/steering/guard.py
@@ -63,7 +63,7 @@
 
 
 class Granted(NamedTuple):
-    """The shares that the guard grants, and the limits that set them apart from the wanted ones.
+    """The shares that the guard grants, and the limits that took effect.
 
     Args:
         shares: Granted shares, before the shift cap.
@@ -104,15 +104,15 @@
     return Granted(make_shares(snapshot.order, fitted), (*drained, *limited))
 
 
-def valid_weights(wanted: object, order: tuple[str, ...]) -> Optional[str]:
-    """Check what a policy returned.
+def weights_problem(wanted: object, order: tuple[str, ...]) -> Optional[str]:
+    """Return what is wrong with the weights that a policy returned.
 
     Args:
         wanted: What the policy returned.
         order: Regions of the configuration.
 
     Returns:
-        None when it is usable; otherwise a message that says what is wrong with it.
+        A message; None when the weights are valid.
     """
     if not isinstance(wanted, dict):
         return "the result is not a dictionary of region to weight"
--- a/sprucewinch/steering/policy.py
+++ b/sprucewinch/steering/policy.py
@@ -31,7 +31,7 @@
 
 from ..errors import PolicyError
 from ._sandbox import StepCounter, StepLimitError, compile_bounded
-from .guard import valid_weights
+from .guard import weights_problem
 from .measures import RegionMeasures, Snapshot
 
 STEP_LIMIT = 20_000
@@ -128,7 +128,7 @@
             return PolicyFault("the program exceeded the recursion limit")
         except Exception as error:  # noqa: BLE001 - any error of a program is a fault
             return PolicyFault(f"{type(error).__name__}: {error}")
-        problem = valid_weights(result, snapshot.order)
+        problem = weights_problem(result, snapshot.order)
         return PolicyFault(problem) if problem else result
 
 
